--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Admission.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Admission.java
@@ -19,62 +19,62 @@
 import org.larkkeel.relay.ServiceName;
 
 /**
- * Takes calls in by the configuration in force, or refuses them at once.
+ * Admits calls by the configuration in force, or refuses them immediately.
  *
- * <p>Invariant: the revision in force never decreases. Not safe for use by several threads.
+ * <p>Invariant: the revision in force never decreases. Not thread-safe.
  */
 final class Admission {
   private static final long MILLI = 1_000_000L;
   private static final long NOT_READY_RETRY_MILLIS = 300;
 
-  private final Fleet fleet;
+  private final UpstreamTable upstreams;
   private final SplittableRandom random;
-  private final CrashGuard guard;
+  private final CrashGuard crashGuard;
   private final FinalAnswers answers;
   private final Consumer<RelayEffect> effects;
   private RelayConfiguration configuration;
 
   Admission(
-      Fleet fleet,
+      UpstreamTable upstreams,
       SplittableRandom random,
-      CrashGuard guard,
+      CrashGuard crashGuard,
       FinalAnswers answers,
       Consumer<RelayEffect> effects) {
-    this.fleet = fleet;
+    this.upstreams = upstreams;
     this.random = random;
-    this.guard = guard;
+    this.crashGuard = crashGuard;
     this.answers = answers;
     this.effects = effects;
   }
 
-  /** The configuration in force; null if there is none. */
+  /** Returns the configuration in force; null if there is none. */
   RelayConfiguration configuration() {
     return configuration;
   }
 
-  /** Whether calls can be placed. */
+  /** Returns whether calls can be placed. */
   boolean isReady() {
-    return configuration != null && fleet.isKnown();
+    return configuration != null && upstreams.isListReceived();
   }
 
   private long revision() {
     return configuration == null ? 0 : configuration.revision();
   }
 
-  /** Takes over a configuration that is not older than that in force. */
-  void read(RelayConfiguration read) {
+  /** Applies a configuration if it is newer than the one in force. */
+  void apply(RelayConfiguration candidate) {
     long before = revision();
-    if (configuration != null && read.revision() <= before) {
-      if (read.revision() < before) {
-        report(new RelayFact.Stale(read.revision(), before));
+    if (configuration != null && candidate.revision() <= before) {
+      if (candidate.revision() < before) {
+        report(new RelayFact.Stale(candidate.revision(), before));
       }
       return;
     }
-    configuration = read;
-    report(new RelayFact.InForce(read.revision(), before, read.size()));
+    configuration = candidate;
+    report(new RelayFact.InForce(candidate.revision(), before, candidate.size()));
   }
 
-  /** Takes a call in; empty if it was refused. */
+  /** Admits a call; returns empty if the call was refused. */
   Optional<CallState> admit(long at, RelayCall call) {
     if (!isReady()) {
       answers.refuse(call, ErrorKind.NOT_READY, NOT_READY_RETRY_MILLIS, "no configuration yet");
@@ -85,14 +85,15 @@
       answers.refuse(call, ErrorKind.NO_RULE, 0, "revision " + revision());
       return Optional.empty();
     }
-    long left = guard.remainingNanos(at, call);
-    if (left > 0) {
-      answers.refuse(call, ErrorKind.QUARANTINED, left / MILLI, CrashGuard.REFUSAL);
+    long remainingNanos = crashGuard.remainingNanos(at, call);
+    if (remainingNanos > 0) {
+      answers.refuse(
+          call, ErrorKind.QUARANTINED, remainingNanos / MILLI, CrashGuard.REFUSAL_DETAIL);
       return Optional.empty();
     }
     Optional<RelayWorkspace> workspace = workspace(call);
-    if (workspace.isEmpty() && !mayBeAnonymous(rule.get())) {
-      answers.refuse(call, ErrorKind.UNAUTHENTICATED, 0, refusal(call));
+    if (workspace.isEmpty() && !allowsAnonymous(rule.get())) {
+      answers.refuse(call, ErrorKind.UNAUTHENTICATED, 0, refusalDetail(call));
       return Optional.empty();
     }
     return Optional.of(admit(at, call, rule.get(), workspace));
@@ -104,7 +105,7 @@
     if (call.deadlineMillis() > 0) {
       millis = Math.min(millis, call.deadlineMillis());
     }
-    CallState c = new CallState(call, rule, service(rule), at, at + millis * MILLI);
+    CallState c = new CallState(call, rule, drawService(rule), at, at + millis * MILLI);
     c.workspace = workspace;
     report(
         new RelayFact.Admitted(
@@ -119,18 +120,18 @@
     return c;
   }
 
-  /** Looks up anew for whom a call is; whether its caller may still have it sent. */
+  /** Looks up the workspace of a call again; returns whether the call may still be sent. */
   boolean isAllowed(CallState c) {
     Optional<RelayWorkspace> now = workspace(c.call);
-    if (now.isEmpty() && !mayBeAnonymous(c.rule)) {
+    if (now.isEmpty() && !allowsAnonymous(c.rule)) {
       return false;
     }
     c.workspace = now;
     return true;
   }
 
-  /** What the caller of a call without a known key is told. */
-  static String refusal(RelayCall call) {
+  /** Returns the detail of the refusal of a call that has no key or an unknown one. */
+  static String refusalDetail(RelayCall call) {
     return call.key().isEmpty() ? "the request has no key" : "no workspace holds the key";
   }
 
@@ -138,11 +139,11 @@
     return call.key().flatMap(configuration.workspaces()::find);
   }
 
-  private boolean mayBeAnonymous(RelayRule rule) {
+  private boolean allowsAnonymous(RelayRule rule) {
     return rule.anonymous() || !configuration.workspaces().areRequired();
   }
 
-  private ServiceName service(RelayRule rule) {
+  private ServiceName drawService(RelayRule rule) {
     int total = 0;
     for (RelayRule.Share share : rule.split()) {
       total += share.weight();
@@ -154,7 +155,8 @@
         return share.service();
       }
     }
-    throw new IllegalStateException("the weights of " + rule.name() + " do not add up");
+    throw new IllegalStateException(
+        "the service weights of rule " + rule.name() + " do not sum to the drawn total");
   }
 
   private void report(RelayFact fact) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/AttemptState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/AttemptState.java
@@ -10,15 +10,15 @@
 import org.larkkeel.relay.RelayEffect.Purpose;
 
 /**
- * One send of a call.
+ * One attempt of a call.
  *
- * @param id the attempt
- * @param call whose it is
- * @param upstream where it went
- * @param purpose what for
- * @param sentAt when
- * @param repeat whether it was taken from the budget of repeats
- * @param units what it adds to the load of the upstream while it is in flight
+ * @param id the identifier of the attempt
+ * @param call the call
+ * @param upstream the upstream to which the attempt was sent
+ * @param purpose the purpose of the attempt
+ * @param sentAt the time at which the attempt was sent
+ * @param retry whether the attempt is a retry that counts against the retry budget
+ * @param loadUnits the load that the attempt adds to the upstream while it is in flight
  */
 record AttemptState(
     AttemptId id,
@@ -26,25 +26,25 @@
     UpstreamState upstream,
     Purpose purpose,
     long sentAt,
-    boolean repeat,
-    long units) {
-  /** Whether it may run the call, or go on with its run. */
-  boolean runs() {
+    boolean retry,
+    long loadUnits) {
+  /** Returns whether the attempt may run the call, or continue its run. */
+  boolean mayRun() {
     return !(purpose instanceof Purpose.ReadPrompt);
   }
 
-  /** Whether it may begin a run of its own. */
-  boolean beginsRun() {
-    return runs() && !continues();
+  /** Returns whether the attempt may start a run of its own. */
+  boolean startsRun() {
+    return mayRun() && !continuesRun();
   }
 
-  /** Whether the upstream that runs it reads its prompt as well. */
-  boolean readsPrompt() {
+  /** Returns whether the upstream that runs the call also prefills its prompt. */
+  boolean prefillsLocally() {
     return purpose instanceof Purpose.Run || purpose instanceof Purpose.Fetch;
   }
 
-  /** Whether it goes on with a run that began elsewhere. */
-  boolean continues() {
+  /** Returns whether the attempt continues a run that began at another upstream. */
+  boolean continuesRun() {
     return purpose instanceof Purpose.Continue;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Attempts.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Attempts.java
@@ -18,63 +18,63 @@
 import org.larkkeel.relay.RelayWorkspace;
 
 /**
- * The sends that are in flight.
+ * Tracks the attempts in flight.
  *
- * <p>Invariant: a call has at most one, and the load of its upstream counts it until it is over.
- * Not safe for use by several threads.
+ * <p>Invariant: a call has at most one attempt in flight, and the load of the attempt's upstream
+ * includes it until the attempt ends. Not thread-safe.
  */
 final class Attempts {
   private static final double MILLI = 1e6;
 
-  private final Fleet fleet;
+  private final UpstreamTable upstreams;
   private final Timers timers;
   private final Consumer<RelayEffect> effects;
   private final Map<AttemptId, AttemptState> inFlight = new HashMap<>();
-  private long last;
+  private long lastId;
 
-  Attempts(Fleet fleet, Timers timers, Consumer<RelayEffect> effects) {
-    this.fleet = fleet;
+  Attempts(UpstreamTable upstreams, Timers timers, Consumer<RelayEffect> effects) {
+    this.upstreams = upstreams;
     this.timers = timers;
     this.effects = effects;
   }
 
-  /** All in flight; a copy. */
+  /** Returns a copy of all attempts in flight. */
   List<AttemptState> all() {
     return List.copyOf(inFlight.values());
   }
 
-  /** The attempt if it is in flight still. */
+  /** Returns the attempt if it is still in flight. */
   Optional<AttemptState> find(AttemptId id) {
     return Optional.ofNullable(inFlight.get(id)).filter(a -> a.call().attempt == a);
   }
 
   /**
-   * Sends a call.
+   * Sends an attempt.
    *
    * @param at now
-   * @param c the call, which has none in flight
-   * @param choice where to
-   * @param purpose what for
-   * @param isRepeat whether it was taken from the budget of repeats
-   * @param units what it adds to the load of the upstream
+   * @param c the call, which has no attempt in flight
+   * @param choice the chosen upstream
+   * @param purpose the purpose of the attempt
+   * @param isRetry whether the attempt is a retry that counts against the retry budget
+   * @param loadUnits the load that the attempt adds to the upstream
    */
-  void begin(long at, CallState c, Choice choice, Purpose purpose, boolean isRepeat, long units) {
-    AttemptId id = new AttemptId(++last);
-    AttemptState a = new AttemptState(id, c, choice.best(), purpose, at, isRepeat, units);
-    c.sends++;
-    c.arrivals++;
-    if (a.beginsRun()) {
-      c.runs++;
+  void send(long at, CallState c, Choice choice, Purpose purpose, boolean isRetry, long loadUnits) {
+    AttemptId id = new AttemptId(++lastId);
+    AttemptState a = new AttemptState(id, c, choice.best(), purpose, at, isRetry, loadUnits);
+    c.attemptCount++;
+    c.arrivalCount++;
+    if (a.startsRun()) {
+      c.runCount++;
     }
     c.attempt = a;
-    c.attemptBeganAt = Long.MIN_VALUE;
+    c.attemptFirstEventAt = Long.MIN_VALUE;
     inFlight.put(id, a);
-    choice.best().started();
-    choice.best().addLoad(units);
+    choice.best().attemptStarted();
+    choice.best().addLoad(loadUnits);
     effects.accept(new RelayEffect.Report(placed(c, a, choice)));
-    long patience = Patience.of(a, fleet.unit(a.upstream(), at));
-    if (patience < c.deadline - at) {
-      timers.add(new Timers.Due.Patience(at + patience, id));
+    long timeoutNanos = AttemptTimeouts.timeoutNanos(a, upstreams.unitNanos(a.upstream(), at));
+    if (timeoutNanos < c.deadline - at) {
+      timers.add(new Timers.Timer.AttemptTimeout(at + timeoutNanos, id));
     }
     effects.accept(
         new RelayEffect.Send(
@@ -83,7 +83,7 @@
             choice.best().upstream(),
             purpose,
             c.deadline,
-            Patience.silence(a),
+            AttemptTimeouts.idleTimeoutNanos(a),
             c.workspace.map(RelayWorkspace::name)));
   }
 
@@ -96,36 +96,37 @@
         choice.cost() / MILLI,
         choice.runnerUp(),
         choice.runnerUpCost() / MILLI,
-        c.sends,
+        c.attemptCount,
         choice.candidates());
   }
 
-  /** Notes that one is over, in whatever way. */
-  void over(AttemptState a) {
+  /** Records that an attempt has ended, for whatever reason. */
+  void ended(AttemptState a) {
     inFlight.remove(a.id());
-    a.upstream().ended();
-    a.upstream().addLoad(-a.units());
+    a.upstream().attemptEnded();
+    a.upstream().addLoad(-a.loadUnits());
     a.call().attempt = null;
   }
 
-  /** Tells that the connection of one has broken, after it is over. */
-  void broken(long at, AttemptState a) {
+  /** Reports that the connection of an attempt broke, after the attempt has ended. */
+  void reportBroken(long at, AttemptState a) {
     CallState c = a.call();
-    long begun = c.attemptBeganAt == Long.MIN_VALUE ? -1 : at - c.attemptBeganAt;
+    long sinceFirstEvent =
+        c.attemptFirstEventAt == Long.MIN_VALUE ? -1 : at - c.attemptFirstEventAt;
     effects.accept(
         new RelayEffect.Report(
             new RelayFact.AttemptBroken(
                 c.call.wireId(),
                 a.id(),
-                a.upstream().life(),
+                a.upstream().incarnation(),
                 c.call.identity().fingerprint(),
                 at - a.sentAt(),
-                begun,
+                sinceFirstEvent,
                 a.upstream().inFlight())));
   }
 
-  /** Tells that one has ended without a usable answer. */
-  void failed(AttemptState a, String cause, boolean mayHaveRun) {
+  /** Reports that an attempt has ended without a usable answer. */
+  void reportFailed(AttemptState a, String cause, boolean mayHaveRun) {
     effects.accept(
         new RelayEffect.Report(
             new RelayFact.AttemptFailed(
@@ -133,6 +134,6 @@
                 a.id(),
                 a.upstream().upstream().id(),
                 cause,
-                mayHaveRun && a.runs())));
+                mayHaveRun && a.mayRun())));
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallState.java
@@ -18,13 +18,16 @@
 import org.larkkeel.relay.ServiceName;
 
 /**
- * One call from its admission to its final answer.
+ * The state of one call from its admission to its final answer.
  *
- * <p>Invariant: at most one attempt is in flight. Not safe for use by several threads.
+ * <p>Invariant: at most one attempt is in flight. Not thread-safe.
  */
-final class CallState implements Seeker {
-  /** A caller with less than this part of the rule's time left has been refused before. */
-  private static final double FRESH_SHARE = 0.97;
+final class CallState implements PendingReservation {
+  /**
+   * A call with less than this share of the rule's timeout left is taken for a caller's retry of a
+   * refused call.
+   */
+  private static final double FIRST_TRY_SHARE = 0.97;
 
   private static final long MILLI = 1_000_000L;
 
@@ -34,74 +37,82 @@
   final long arrivedAt;
   final long deadline;
 
-  /** For whom it is; empty for an anonymous call. */
+  /** The workspace of the call; empty for an anonymous call. */
   Optional<RelayWorkspace> workspace = Optional.empty();
 
-  /** From whose quota it takes tokens; null if from none. */
-  QuotaKey.OfWorkspace quotaOf;
+  /** The quota from which the call takes tokens; null if there is none. */
+  QuotaKey.OfWorkspace quotaKey;
 
-  /** How many it takes. */
+  /** The number of quota tokens that the call takes. */
   long quotaTokens;
 
-  /** Whether it waits for tokens. */
+  /** True while the call waits for quota tokens. */
   boolean awaitsQuota;
 
-  /** Whether it has them. */
+  /** True while the call holds its quota tokens. */
   boolean holdsQuota;
 
-  /** Whether it waits for a permit to one of its upstreams. */
+  /** True while the call waits for a permit for one of its upstreams. */
   boolean awaitsPermit;
 
-  /** Until when. */
-  long permitUntil;
+  /** The time until which the call waits for a permit. */
+  long permitWaitUntil;
 
-  /** The upstreams to which it is not sent again. */
-  final Set<UpstreamLife> without = new HashSet<>();
+  /** The upstreams to which the call is not sent again. */
+  final Set<UpstreamLife> excluded = new HashSet<>();
 
   /** The attempt in flight; null if there is none. */
   AttemptState attempt;
 
-  /** When the attempt in flight brought its first event; {@link Long#MIN_VALUE} if it has not. */
-  long attemptBeganAt = Long.MIN_VALUE;
+  /**
+   * The time of the first event of the attempt in flight; {@link Long#MIN_VALUE} before that event.
+   */
+  long attemptFirstEventAt = Long.MIN_VALUE;
 
-  /** The upstream at which memory is set aside for it; null if there is none. */
-  UpstreamState home;
+  /** The upstream at which memory is reserved for the call; null if there is none. */
+  UpstreamState reservedUpstream;
 
-  /** What is set aside there. */
-  long homeUnits;
+  /** The number of tokens that are reserved there. */
+  long reservedUnits;
 
-  /** The tokens that were generated for it. */
-  long generated;
+  /** The number of tokens generated for the call. */
+  long generatedTokens;
 
-  /** Whether it waits for room. */
-  boolean waiting;
+  /** True while the call waits for a reservation. */
+  boolean awaitsReservation;
 
-  /** The prompt, once it was read; null before and after its use. */
-  Purpose.TakeOver prompt;
+  /**
+   * The prefilled prompt that another upstream can take over; null before the prefill and after its
+   * use.
+   */
+  Purpose.TakeOver prefilledPrompt;
 
-  /** The upstream that has read its prompt; null if none has. */
-  UpstreamLife reader;
+  /** The upstream that prefilled the prompt; null if none has. */
+  UpstreamLife prefillUpstream;
 
-  /** The upstream that may have lost the call's prompt; null if none may. */
-  UpstreamLife suspect;
+  /** The upstream that may have lost the call's prefilled prompt; null if none may. */
+  UpstreamLife suspectUpstream;
 
-  /** How many upstreams have declined the prompt. */
-  int promptDeclined;
+  /** The number of upstreams that declined the prefilled prompt. */
+  int promptDeclines;
 
-  /** All sends. */
-  int sends;
+  /** The number of all attempts. */
+  int attemptCount;
 
-  /** Sends that count as arrivals at an upstream. */
-  int arrivals;
+  /**
+   * The number of attempts that count as arrivals at an upstream; if there was one, the next
+   * attempt is a retry.
+   */
+  int arrivalCount;
 
-  /** Sends that have run or may have. */
-  int runs;
+  /** The number of attempts that have run or may have run. */
+  int runCount;
 
-  /** Whether the caller has the beginning of a stream. */
-  boolean began;
+  /** True once the caller has the beginning of a stream. */
+  boolean streamBegan;
 
-  /** When it began; 0 if not. */
-  long beganAt;
+  /** The time at which the stream began; 0 if it has not. */
+  long streamBeganAt;
 
   CallState(RelayCall call, RelayRule rule, ServiceName service, long arrivedAt, long deadline) {
     this.call = call;
@@ -111,19 +122,19 @@
     this.deadline = deadline;
   }
 
-  /** Sets memory aside at an upstream, and no longer where it was set aside before. */
-  void moveIn(UpstreamState upstream, long units) {
-    moveOut();
-    home = upstream;
-    homeUnits = units;
-    home.addLoad(units);
+  /** Reserves memory at an upstream and releases an earlier reservation. */
+  void reserveAt(UpstreamState upstream, long units) {
+    releaseReservation();
+    reservedUpstream = upstream;
+    reservedUnits = units;
+    reservedUpstream.addLoad(units);
   }
 
-  /** Gives back the memory that is set aside. */
-  void moveOut() {
-    if (home != null) {
-      home.addLoad(-homeUnits);
-      home = null;
+  /** Releases the reserved memory, if any. */
+  void releaseReservation() {
+    if (reservedUpstream != null) {
+      reservedUpstream.addLoad(-reservedUnits);
+      reservedUpstream = null;
     }
   }
 
@@ -143,39 +154,41 @@
   }
 
   @Override
-  public Set<UpstreamLife> without() {
-    return without;
+  public Set<UpstreamLife> excluded() {
+    return excluded;
   }
 
   @Override
   public boolean isWaiting() {
-    return waiting;
+    return awaitsReservation;
   }
 
   @Override
-  public void setWaiting(boolean now) {
-    waiting = now;
+  public void setWaiting(boolean waiting) {
+    awaitsReservation = waiting;
   }
 
-  /** Whether the caller has all of its time left, so that it was not refused before. */
+  /**
+   * Returns whether the caller has nearly all of its time left, so that it was not refused before.
+   */
   @Override
-  public boolean isFresh() {
+  public boolean isFirstTry() {
     return call.deadlineMillis() == 0
-        || call.deadlineMillis() >= FRESH_SHARE * rule.timeoutMillis();
+        || call.deadlineMillis() >= FIRST_TRY_SHARE * rule.timeoutMillis();
   }
 
   @Override
-  public boolean isBegun() {
-    return began || call.resumes();
+  public boolean isStreaming() {
+    return streamBegan || call.resumes();
   }
 
   @Override
-  public boolean isInTime(long at) {
-    return Sizing.isInTime(this, at);
+  public boolean canMeetTarget(long at) {
+    return CallDemands.canMeetTarget(this, at);
   }
 
-  /** Thousands of prompt tokens, or one for calls without a prompt: the unit of work. */
-  double units() {
+  /** Returns the work of the call in units of 1000 prompt tokens; at least 1. */
+  double workUnits() {
     return Math.max(1, call.size().prompt() / 1_000.0);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Choice.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Choice.java
@@ -7,13 +7,13 @@
 package org.larkkeel.relay.internal;
 
 /**
- * The upstream that was chosen, and against what.
+ * The chosen upstream and its alternatives.
  *
- * @param best the cheapest
- * @param cost its estimate
- * @param runnerUp the name of the next; empty if there is none
- * @param runnerUpCost its estimate
- * @param candidates how many could have been chosen
+ * @param best the upstream with the lowest cost
+ * @param cost its estimated cost in weighted nanoseconds
+ * @param runnerUp the name of the upstream with the second lowest cost; empty if there is none
+ * @param runnerUpCost its estimated cost in weighted nanoseconds
+ * @param candidates the number of upstreams that could have been chosen
  */
 record Choice(
     UpstreamState best, double cost, String runnerUp, double runnerUpCost, int candidates) {}
--- /dev/null
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Core.java
@@ -0,0 +1,91 @@
+/*
+ * Copyright (C) 2026 The larkkeel authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+
+package org.larkkeel.relay.internal;
+
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import org.larkkeel.relay.RelayEffect;
+import org.larkkeel.relay.RelayFact;
+import org.larkkeel.relay.RelaySettings;
+import org.larkkeel.relay.ServiceBounds;
+import org.larkkeel.relay.ServiceName;
+
+/**
+ * Holds the components of one relay router and passes their effects to the sink.
+ *
+ * <p>Invariant: all components are created before the first event is handled. Not thread-safe.
+ */
+final class Core {
+  final RelaySettings settings;
+  final SplittableRandom random;
+  final Timers timers = new Timers();
+  final UpstreamTable upstreams;
+  final MemoryReservations reservations;
+  final Attempts attempts;
+  final PrefillResults prefillResults;
+  final FinalAnswers answers;
+  final RetryBudget retryBudget;
+  final Evacuation evacuation;
+  final EndedIncarnations endedIncarnations;
+  final CrashGuard crashGuard;
+  final Admission admission;
+  final HeldQuotas heldQuotas;
+  final Quotas quotas;
+  final PermitQueue permits = new PermitQueue(this);
+  final OpenCalls openCalls = new OpenCalls(this);
+  final Dispatch dispatch = new Dispatch(this);
+  final Outcomes outcomes = new Outcomes(this);
+  private Consumer<RelayEffect> effects = e -> {};
+
+  Core(RelaySettings settings) {
+    final CallAdapters adapters = new CallAdapters(this);
+    this.settings = settings;
+    this.random = new SplittableRandom(settings.seed());
+    this.heldQuotas = new HeldQuotas(settings.tolerance(), settings.nodes());
+    this.upstreams =
+        new UpstreamTable(settings.missingNanos(), random.split(), heldQuotas, this::report);
+    this.reservations =
+        new MemoryReservations(
+            upstreams, timers, random, settings, adapters.new ReservationCalls());
+    this.attempts = new Attempts(upstreams, timers, this::emit);
+    this.prefillResults = new PrefillResults(upstreams, this::emit);
+    this.answers = new FinalAnswers(this::emit);
+    this.retryBudget = new RetryBudget(settings);
+    this.evacuation = new Evacuation(upstreams, timers, adapters.new EvacuationRuns());
+    this.endedIncarnations =
+        new EndedIncarnations(
+            reservations, evacuation, adapters.new EndedIncarnationsEnvironment());
+    this.crashGuard = new CrashGuard(~settings.seed(), this::emit, adapters.new CrashGuardCalls());
+    this.admission = new Admission(upstreams, random, crashGuard, answers, this::emit);
+    this.quotas =
+        new Quotas(
+            timers,
+            new SplittableRandom(settings.seed() + 1),
+            heldQuotas,
+            upstreams.rateLimits(),
+            adapters.new QuotaCalls(),
+            this::emit);
+  }
+
+  /** Sets the sink that receives all effects. */
+  void effects(Consumer<RelayEffect> sink) {
+    effects = sink;
+  }
+
+  void emit(RelayEffect effect) {
+    effects.accept(effect);
+  }
+
+  void report(RelayFact fact) {
+    effects.accept(new RelayEffect.Report(fact));
+  }
+
+  /** Returns the limits that apply to each upstream of a service. */
+  ServiceBounds bounds(ServiceName service) {
+    return admission.configuration().bounds(service);
+  }
+}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashEvidence.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashEvidence.java
@@ -19,41 +19,48 @@
 import org.larkkeel.relay.RelayFact;
 
 /**
- * Finds out whether an upstream has ended when the connection of an attempt breaks, and which
- * requests it may have ended under.
+ * Determines whether an upstream has crashed when the connection of an attempt breaks, and which
+ * requests may have caused the crash.
  *
- * <p>A broken connection alone proves nothing: answers are lost, and connections are reset. An end
- * is proven if the address refuses connections, if the list of upstreams shows another life or none
- * any more, or if another upstream answers there. A request whose stream had run for a while is no
- * suspect, nor is one whose upstream had announced that it leaves.
+ * <p>A broken connection alone proves nothing: answers are lost, and connections are reset. The end
+ * of an incarnation is proven if its address refuses connections, if the discovery list shows
+ * another incarnation or none, or if another upstream answers at the address. A request whose
+ * stream had run for a while is not suspect, nor is one whose upstream had announced that it
+ * leaves.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class CrashEvidence {
   private static final long MILLI = 1_000_000L;
 
-  /** A request that has run for so long at an upstream is not why it ended. */
-  private static final long HARMLESS_NANOS = 1_000 * MILLI;
+  /** A request whose stream has run for longer than this is not the cause of a crash. */
+  private static final long MAX_SUSPECT_STREAM_NANOS = 1_000 * MILLI;
 
-  /** How long a proof is waited for: the list shows an end some heartbeats later. */
-  private static final long WAIT_NANOS = 10_000 * MILLI;
+  /**
+   * The maximum wait for a proof: the discovery list shows the end of an incarnation some
+   * heartbeats later.
+   */
+  private static final long PROOF_WAIT_NANOS = 10_000 * MILLI;
 
-  /** As the other, while something listens: only an upstream that is back already has ended. */
-  private static final long WAIT_LISTENING_NANOS = 5_000 * MILLI;
+  /**
+   * The maximum wait for a proof while the address accepts connections: only an upstream that has
+   * already restarted has ended then.
+   */
+  private static final long LISTENING_PROOF_WAIT_NANOS = 5_000 * MILLI;
 
-  private static final int MOST_PENDING = 256;
+  private static final int MAX_PENDING = 256;
 
   private final Map<UpstreamLife, Pending> pending = new HashMap<>();
   private final Consumer<RelayEffect> effects;
-  private final Ends ends;
+  private final EndListener endListener;
 
-  /** Hears of proven ends. */
-  interface Ends {
-    /** A life of an upstream has ended while it had these requests. */
-    void ended(long at, UpstreamLife life, ImmutableSet<Fingerprint> requests);
+  /** Is notified of proven ends of incarnations. */
+  interface EndListener {
+    /** Handles the proven end of an incarnation of an upstream that had these requests. */
+    void incarnationEnded(long at, UpstreamLife incarnation, ImmutableSet<Fingerprint> requests);
   }
 
-  /** Requests that wait for a proof. */
+  /** The requests of one incarnation that wait for a proof of its end. */
   private static final class Pending {
     private final List<Fingerprint> requests = new ArrayList<>();
     private long until;
@@ -63,73 +70,76 @@
     }
   }
 
-  CrashEvidence(Consumer<RelayEffect> effects, Ends ends) {
+  CrashEvidence(Consumer<RelayEffect> effects, EndListener endListener) {
     this.effects = effects;
-    this.ends = ends;
+    this.endListener = endListener;
   }
 
-  /** The connection of an attempt broke while its upstream had it. */
-  void broken(long at, AttemptState a) {
+  /** Handles a connection that broke while its upstream had the attempt. */
+  void connectionLost(long at, AttemptState a) {
     if (!isSuspect(at, a)) {
       return;
     }
     pending.values().removeIf(p -> at > p.until);
-    UpstreamLife life = a.upstream().life();
-    Pending p = pending.get(life);
+    UpstreamLife incarnation = a.upstream().incarnation();
+    Pending p = pending.get(incarnation);
     if (p == null) {
-      if (pending.size() >= MOST_PENDING) {
+      if (pending.size() >= MAX_PENDING) {
         return;
       }
-      p = new Pending(at + WAIT_NANOS);
-      pending.put(life, p);
+      p = new Pending(at + PROOF_WAIT_NANOS);
+      pending.put(incarnation, p);
       effects.accept(new RelayEffect.Probe(a.upstream().upstream()));
     }
-    if (p.requests.size() < MOST_PENDING) {
+    if (p.requests.size() < MAX_PENDING) {
       p.requests.add(a.call().call.identity().fingerprint());
     }
   }
 
   private static boolean isSuspect(long at, AttemptState a) {
-    long beganAt = a.call().attemptBeganAt;
-    boolean ran = beganAt != Long.MIN_VALUE && at - beganAt > HARMLESS_NANOS;
-    return !ran && !a.upstream().isLeaving();
+    long firstEventAt = a.call().attemptFirstEventAt;
+    boolean isHarmless =
+        firstEventAt != Long.MIN_VALUE && at - firstEventAt > MAX_SUSPECT_STREAM_NANOS;
+    return !isHarmless && !a.upstream().isLeaving();
   }
 
-  /** A life of an upstream has ended with an attempt whose connection has not broken yet. */
-  void endedWith(long at, AttemptState a, String proof) {
+  /**
+   * Handles the proven end of an incarnation with an attempt whose connection has not broken yet.
+   */
+  void endedWithAttempt(long at, AttemptState a, String proof) {
     if (isSuspect(at, a)) {
       Fingerprint request = a.call().call.identity().fingerprint();
-      proven(at, a.upstream().life(), proof, ImmutableSet.of(request));
+      reportEnd(at, a.upstream().incarnation(), proof, ImmutableSet.of(request));
     }
   }
 
-  /** A probe was answered. */
-  void probed(long at, UpstreamLife life, ProbeResult result) {
-    Pending p = pending.get(life);
+  /** Handles the result of a probe. */
+  void probed(long at, UpstreamLife incarnation, ProbeResult result) {
+    Pending p = pending.get(incarnation);
     if (result == ProbeResult.REFUSES) {
-      ended(at, life, "refuses_connections");
+      incarnationEnded(at, incarnation, "refuses_connections");
     } else if (result == ProbeResult.LISTENS && p != null) {
-      p.until = Math.min(p.until, at + WAIT_LISTENING_NANOS);
+      p.until = Math.min(p.until, at + LISTENING_PROOF_WAIT_NANOS);
     }
   }
 
   /**
-   * A life of an upstream has ended.
+   * Handles the proven end of an incarnation.
    *
-   * @param proof what shows it, for the log
+   * @param proof the kind of proof, for the log
    */
-  void ended(long at, UpstreamLife life, String proof) {
-    Pending p = pending.remove(life);
+  void incarnationEnded(long at, UpstreamLife incarnation, String proof) {
+    Pending p = pending.remove(incarnation);
     if (p == null || at > p.until) {
       return;
     }
-    proven(at, life, proof, ImmutableSet.copyOf(p.requests));
+    reportEnd(at, incarnation, proof, ImmutableSet.copyOf(p.requests));
   }
 
-  private void proven(
-      long at, UpstreamLife life, String proof, ImmutableSet<Fingerprint> requests) {
+  private void reportEnd(
+      long at, UpstreamLife incarnation, String proof, ImmutableSet<Fingerprint> requests) {
     effects.accept(
-        new RelayEffect.Report(new RelayFact.UpstreamEnded(life, proof, requests.size())));
-    ends.ended(at, life, requests);
+        new RelayEffect.Report(new RelayFact.UpstreamEnded(incarnation, proof, requests.size())));
+    endListener.incarnationEnded(at, incarnation, requests);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashGuard.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashGuard.java
@@ -20,26 +20,29 @@
 import org.larkkeel.relay.Suspect;
 
 /**
- * Keeps requests away from upstreams that would end under them.
+ * Keeps requests that crash upstreams from being sent to further upstreams.
  *
- * <p>{@link CrashEvidence} finds ends and {@link Quarantine} counts them; here both meet the calls
- * of this node and what other nodes tell. Not safe for use by several threads.
+ * <p>{@link CrashEvidence} detects crashes and {@link Quarantine} counts them; this class applies
+ * both to the calls of this node and to the reports of other nodes. Not thread-safe.
  */
 final class CrashGuard {
-  /** What callers of a quarantined request are told. */
-  static final String REFUSAL = "upstreams have ended that ran this request";
+  /** The detail of the refusal of a quarantined request. */
+  static final String REFUSAL_DETAIL = "upstreams have ended that ran this request";
 
   private final Calls calls;
   private final Consumer<RelayEffect> effects;
   private final Quarantine quarantine;
   private final CrashEvidence evidence;
 
-  /** What is needed of the calls. */
+  /** Access to the calls. */
   interface Calls {
-    /** The calls that are at no upstream now; a copy. */
+    /** Returns a copy of the calls without an attempt in flight. */
     List<CallState> idle();
 
-    /** Ends a call, unless it has ended, whose request is quarantined for some time still. */
+    /**
+     * Refuses a call whose request is quarantined for {@code remainingNanos} more; does nothing if
+     * the call has ended.
+     */
     void refuse(long at, CallState c, long remainingNanos);
   }
 
@@ -47,95 +50,106 @@
     this.calls = calls;
     this.effects = effects;
     this.quarantine = new Quarantine(new SplittableRandom(seed));
-    this.evidence = new CrashEvidence(effects, this::endedUnder);
+    this.evidence = new CrashEvidence(effects, this::crashed);
   }
 
-  /** For how long a call must not be sent, in nanoseconds; 0 if it may be. */
+  /**
+   * Returns the remaining quarantine of a call's request in nanoseconds and reports it; 0 if the
+   * call may be sent.
+   */
   long remainingNanos(long at, RelayCall call) {
-    long left = quarantine.remainingNanos(at, call.identity());
-    if (left > 0) {
+    long remaining = quarantine.remainingNanos(at, call.identity());
+    if (remaining > 0) {
       Fingerprint request = call.identity().fingerprint();
-      report(new RelayFact.Quarantined(call.wireId(), request, quarantine.ends(request), left));
+      report(
+          new RelayFact.Quarantined(
+              call.wireId(), request, quarantine.crashCount(request), remaining));
     }
-    return left;
+    return remaining;
   }
 
-  /** As the other, of a request by its name. */
+  /** Returns the remaining quarantine of a request in nanoseconds; 0 if it is not quarantined. */
   long remainingNanos(long at, Fingerprint request) {
     return quarantine.remainingNanos(at, request);
   }
 
-  /** An upstream has answered a call, so that it did not end under it. */
+  /**
+   * Handles the complete answer of an upstream to a call, which proves that the request did not
+   * crash it.
+   */
   void answered(long at, RelayCall call) {
     if (quarantine.clear(at, call.identity())) {
       cleared(at, call.identity().fingerprint(), "answered");
     }
   }
 
-  /** The connection of an attempt broke while its upstream had it. */
-  void broken(long at, AttemptState a) {
-    evidence.broken(at, a);
+  /** Handles a connection that broke while its upstream had the attempt. */
+  void connectionLost(long at, AttemptState a) {
+    evidence.connectionLost(at, a);
   }
 
-  /** A life of an upstream has ended; an attempt is there still. */
-  void endedWith(long at, AttemptState a, String proof) {
-    evidence.endedWith(at, a, proof);
+  /** Handles the proven end of an incarnation with an attempt that is still in flight. */
+  void endedWithAttempt(long at, AttemptState a, String proof) {
+    evidence.endedWithAttempt(at, a, proof);
   }
 
-  /** A life of an upstream has ended, by some proof. */
-  void lifeEnded(long at, UpstreamLife life, String proof) {
-    evidence.ended(at, life, proof);
+  /** Handles the proven end of an incarnation. */
+  void incarnationEnded(long at, UpstreamLife incarnation, String proof) {
+    evidence.incarnationEnded(at, incarnation, proof);
   }
 
-  /** A probe of an upstream was answered. */
-  void probed(long at, UpstreamLife life, ProbeResult result) {
-    evidence.probed(at, life, result);
+  /** Handles the result of a probe of an upstream. */
+  void probed(long at, UpstreamLife incarnation, ProbeResult result) {
+    evidence.probed(at, incarnation, result);
   }
 
-  /** What other nodes are to know. */
+  /** Returns the suspect requests to report to other nodes. */
   ImmutableList<Suspect> suspects(long at) {
-    return quarantine.toTell(at);
+    return quarantine.reports(at);
   }
 
-  /** Takes over what another node knows. */
-  void heard(long at, ImmutableList<Suspect> told) {
-    for (Suspect s : told) {
-      if (quarantine.heard(at, s)) {
+  /** Merges the suspect requests that another node reports. */
+  void merge(long at, ImmutableList<Suspect> reports) {
+    for (Suspect s : reports) {
+      if (quarantine.merge(at, s)) {
         suspected(at, s.request(), "peer");
       }
     }
   }
 
-  /** An operator lets a request be sent again. */
+  /** Releases a request from quarantine, as ordered by an operator. */
   void released(long at, Fingerprint request) {
     if (quarantine.clear(at, request)) {
       cleared(at, request, "released");
     }
   }
 
-  private void endedUnder(long at, UpstreamLife life, ImmutableSet<Fingerprint> requests) {
+  private void crashed(long at, UpstreamLife incarnation, ImmutableSet<Fingerprint> requests) {
     for (Fingerprint request : requests) {
-      if (quarantine.ended(at, request, life)) {
+      if (quarantine.recordCrash(at, request, incarnation)) {
         suspected(at, request, "self");
-        tell(at, request);
+        sendReport(at, request);
       }
     }
   }
 
   private void cleared(long at, Fingerprint request, String cause) {
     report(new RelayFact.Cleared(request, cause));
-    tell(at, request);
+    sendReport(at, request);
   }
 
-  private void tell(long at, Fingerprint request) {
+  private void sendReport(long at, Fingerprint request) {
     quarantine.find(at, request).ifPresent(s -> effects.accept(new RelayEffect.TellSuspect(s)));
   }
 
-  /** More is known of a request; if it is quarantined now, calls that wait end. */
+  /**
+   * Reports new crashes of a request; if the request is quarantined now, refuses the calls that
+   * wait with it.
+   */
   private void suspected(long at, Fingerprint request, String source) {
-    long left = quarantine.remainingNanos(at, request);
-    report(new RelayFact.Suspected(request, quarantine.ends(request), left, source));
-    if (left == 0) {
+    long remaining = quarantine.remainingNanos(at, request);
+    report(new RelayFact.Suspected(request, quarantine.crashCount(request), remaining, source));
+    if (remaining == 0) {
       return;
     }
     for (CallState c : calls.idle()) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Dispatch.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Dispatch.java
@@ -13,25 +13,25 @@
 import org.larkkeel.relay.Stage;
 
 /**
- * Sends calls: where to, and whether they may be sent at all.
+ * Decides whether a call may be sent, chooses its upstream and sends it.
  *
- * <p>Invariant: a call is sent only while its caller's key holds, its request is not quarantined,
- * and repeats are left of its service's budget. Not safe for use by several threads.
+ * <p>Invariant: a call is sent only while its caller's key is valid, its request is not
+ * quarantined, and the retry budget of its service allows it. Not thread-safe.
  */
 final class Dispatch {
   private static final long MILLI = 1_000_000L;
 
-  /** The most sends of one call, those included that reached no upstream. */
-  static final int MOST_SENDS = 6;
+  /** The maximum number of attempts of one call, including those that reached no upstream. */
+  static final int MAX_ATTEMPTS = 6;
 
-  private final Parts parts;
+  private final Core core;
   private boolean draining;
 
-  Dispatch(Parts parts) {
-    this.parts = parts;
+  Dispatch(Core core) {
+    this.core = core;
   }
 
-  /** From now on calls that need memory are sent on without it. */
+  /** Starts draining: from now on calls that need memory are sent on without a reservation. */
   void drain() {
     draining = true;
   }
@@ -40,96 +40,113 @@
     return draining;
   }
 
-  /** Goes on with a call that is within its quota. */
-  void withinQuota(long at, CallState c) {
-    parts.repeats.first(at, c.service);
-    if (parts.rooms.needsRoom(c)) {
-      parts.rooms.settle(at, c);
+  /** Continues with a call that is within its quota. */
+  void quotaGranted(long at, CallState c) {
+    core.retryBudget.recordFirst(at, c.service);
+    if (core.reservations.needsReservation(c)) {
+      core.reservations.reserveOrWait(at, c);
     } else {
       run(at, c);
     }
   }
 
-  /** Begins the work on a call for which memory is set aside. */
-  void begin(long at, CallState c, Optional<Choice> reader) {
-    if (reader.isPresent()) {
-      send(at, c, reader.get(), new Purpose.ReadPrompt(), c.call.size().prompt());
+  /** Starts the work on a call for which memory is reserved. */
+  void start(long at, CallState c, Optional<Choice> prefillUpstream) {
+    if (prefillUpstream.isPresent()) {
+      send(at, c, prefillUpstream.get(), new Purpose.ReadPrompt(), c.call.size().prompt());
     } else {
       run(at, c);
     }
   }
 
-  /** Sends the call to be run: at its home if it has one that still takes work. */
+  /**
+   * Runs the call at its reserved upstream if that still accepts work, or at another one with free
+   * memory; else waits for a reservation. A draining node, or one without an upstream left that
+   * could reserve memory, sends the call regardless of memory.
+   */
   void run(long at, CallState c) {
-    boolean memory = parts.rooms.needsRoom(c);
-    if (memory && ((c.home != null && isUsable(at, c, c.home)) || parts.rooms.findHome(at, c))) {
-      send(at, c, new Choice(c.home, 0, "", 0, 1), purpose(at, c), 0);
-    } else if (!memory) {
-      place(at, c, parts.rooms.need(c, at));
-    } else if (draining || !parts.fleet.has(at, c.service, c.without)) {
-      place(at, c, Sizing.forced(parts.rooms.need(c, at)));
+    boolean needsReservation = core.reservations.needsReservation(c);
+    if (needsReservation
+        && ((c.reservedUpstream != null && isUsable(at, c, c.reservedUpstream))
+            || core.reservations.tryReserve(at, c))) {
+      send(at, c, new Choice(c.reservedUpstream, 0, "", 0, 1), purpose(at, c), 0);
+    } else if (!needsReservation) {
+      place(at, c, core.reservations.demand(c, at));
+    } else if (draining || !core.upstreams.hasUpstream(at, c.service, c.excluded)) {
+      place(at, c, CallDemands.withoutMemoryLimit(core.reservations.demand(c, at)));
     } else {
-      parts.prompts.free(c);
-      parts.rooms.await(at, c);
+      core.prefillResults.free(c);
+      core.reservations.awaitReservation(at, c);
     }
   }
 
-  /** Sends the call to the upstream that fits best; gives it up if there is none. */
-  void place(long at, CallState c, Need need) {
+  /**
+   * Sends the call to the upstream with the lowest cost. If there is none, the call waits for a
+   * permit, or fails if none can come.
+   */
+  void place(long at, CallState c, CallDemand demand) {
     Optional<Choice> choice =
-        parts.fleet.choose(at, c.service, Stage::runs, c.without, parts.settings.place(), need);
+        core.upstreams.choose(
+            at, c.service, Stage::runs, c.excluded, core.settings.place(), demand);
     if (choice.isEmpty()) {
-      parts.prompts.free(c);
-      noUpstream(at, c);
+      core.prefillResults.free(c);
+      awaitPermitOrFail(at, c);
       return;
     }
-    boolean memory = parts.rooms.needsRoom(c);
-    if (memory) {
-      c.moveIn(choice.get().best(), need.units());
+    boolean needsReservation = core.reservations.needsReservation(c);
+    if (needsReservation) {
+      c.reserveAt(choice.get().best(), demand.units());
     }
-    send(at, c, choice.get(), purpose(at, c), memory ? 0 : need.units());
+    send(at, c, choice.get(), purpose(at, c), needsReservation ? 0 : demand.units());
   }
 
-  private void noUpstream(long at, CallState c) {
-    OptionalLong opens = parts.fleet.takesWorkAt(at, c.service, c.without);
-    if (opens.isPresent()) {
-      parts.permits.await(at, c, opens.getAsLong());
+  private void awaitPermitOrFail(long at, CallState c) {
+    OptionalLong opensAt = core.upstreams.acceptsWorkAt(at, c.service, c.excluded);
+    if (opensAt.isPresent()) {
+      core.permits.await(at, c, opensAt.getAsLong());
     } else {
-      parts.open.giveUp(at, c, ErrorKind.NO_UPSTREAM, "no upstream of " + c.service + " is left");
+      core.openCalls.fail(at, c, ErrorKind.NO_UPSTREAM, "no upstream of " + c.service + " is left");
     }
   }
 
   Purpose purpose(long at, CallState c) {
-    if (c.prompt != null) {
-      return c.prompt;
+    if (c.prefilledPrompt != null) {
+      return c.prefilledPrompt;
     }
-    return parts.rooms.keeps(at, c).<Purpose>map(Purpose.Fetch::new).orElseGet(Purpose.Run::new);
+    return core.reservations
+        .likelyCacheHolder(at, c)
+        .<Purpose>map(Purpose.Fetch::new)
+        .orElseGet(Purpose.Run::new);
   }
 
   boolean isUsable(long at, CallState c, UpstreamState s) {
-    return s.takesWork(at) && !s.isMissing() && !s.isAvoided(at) && !c.without.contains(s.life());
+    return s.acceptsWork(at)
+        && !s.isMissing()
+        && !s.isEjected(at)
+        && !c.excluded.contains(s.incarnation());
   }
 
-  void send(long at, CallState c, Choice choice, Purpose purpose, long units) {
-    if (!(purpose instanceof Purpose.Continue) && !parts.admission.isAllowed(c)) {
-      parts.open.giveUp(at, c, ErrorKind.UNAUTHENTICATED, 0, Admission.refusal(c.call));
+  void send(long at, CallState c, Choice choice, Purpose purpose, long loadUnits) {
+    if (!(purpose instanceof Purpose.Continue) && !core.admission.isAllowed(c)) {
+      core.openCalls.fail(at, c, ErrorKind.UNAUTHENTICATED, 0, Admission.refusalDetail(c.call));
       return;
     }
-    long left = parts.guard.remainingNanos(at, c.call);
-    if (left > 0) {
-      parts.open.giveUp(at, c, ErrorKind.QUARANTINED, left / MILLI, CrashGuard.REFUSAL);
+    long remaining = core.crashGuard.remainingNanos(at, c.call);
+    if (remaining > 0) {
+      core.openCalls.fail(
+          at, c, ErrorKind.QUARANTINED, remaining / MILLI, CrashGuard.REFUSAL_DETAIL);
       return;
     }
-    if (c.sends >= MOST_SENDS) {
-      parts.open.giveUp(at, c, ErrorKind.OVERLOADED, "sent " + c.sends + " times");
+    if (c.attemptCount >= MAX_ATTEMPTS) {
+      core.openCalls.fail(at, c, ErrorKind.OVERLOADED, "sent " + c.attemptCount + " times");
       return;
     }
-    boolean repeat = c.arrivals > 0;
-    if (repeat && !parts.repeats.take(at, c.service)) {
-      parts.report(parts.repeats.spent(at, c));
-      parts.open.giveUp(at, c, ErrorKind.OVERLOADED, "the budget of repeats is used up");
+    boolean isRetry = c.arrivalCount > 0;
+    if (isRetry && !core.retryBudget.tryAcquire(at, c.service)) {
+      core.report(core.retryBudget.spentFact(at, c));
+      core.openCalls.fail(at, c, ErrorKind.OVERLOADED, "the budget of repeats is used up");
       return;
     }
-    parts.attempts.begin(at, c, choice, purpose, repeat, units);
+    core.attempts.send(at, c, choice, purpose, isRetry, loadUnits);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Evacuation.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Evacuation.java
@@ -21,134 +21,149 @@
 import org.larkkeel.relay.RelayFact;
 
 /**
- * Moves runs off upstreams that leave, with their memory.
+ * Moves runs off leaving upstreams, together with their memory.
  *
- * <p>A move has two steps: the memory is copied while the run goes on, which proves that the
- * destination has room and makes the second step short; then the run stops and the rest is copied.
- * It is over once both the copy and the end of the stream are there.
+ * <p>A move has two steps: first the memory is copied while the run continues, which proves that
+ * the destination has capacity and makes the second step short; then the run stops and the rest is
+ * copied. A move is finished once the copy is complete and the stream has ended.
  *
- * <p>Invariants: room is set aside at the destination for each move until it is over; the end of a
- * stream that may have been stopped is not taken for the end of its answer, as streams without a
- * length look complete; a copy is used by the attempt that goes on from it, or freed when its move
- * or that attempt ends, or when the answer that names it comes later; nothing is freed at an
- * upstream that has started again, as the handle may name what belongs to another call now. Not
- * safe for use by several threads.
+ * <p>Invariants: memory is reserved at the destination of each move until the move is finished; the
+ * end of a stream that may have been stopped is not taken for the end of its answer, as streams
+ * without a length look complete; a copy is used by the attempt that continues from it, or freed
+ * when its move or that attempt ends, or when the answer that names the copy arrives later; nothing
+ * is freed at an upstream that has restarted, as the handle may name memory of another call now.
+ * Not thread-safe.
  */
 final class Evacuation {
   private static final long MILLI = 1_000_000L;
 
-  /** How long runs at an upstream that leaves may end by themselves before they are moved. */
-  private static final long AFTER = 1_200 * MILLI;
+  /** The time that runs at a leaving upstream get to finish there before they are moved. */
+  private static final long START_DELAY_NANOS = 1_200 * MILLI;
 
-  /** How long until runs that could not be moved are tried again. */
-  private static final long AGAIN = 200 * MILLI;
+  /** The delay before runs that could not be moved are tried again. */
+  private static final long RETRY_DELAY_NANOS = 200 * MILLI;
 
-  /** How long the second step of a move may take before the run is given up. */
-  private static final long STOP_PATIENCE = 1_000 * MILLI;
+  /** The timeout of the second step of a move, after which the run is abandoned. */
+  private static final long STOP_TIMEOUT_NANOS = 1_000 * MILLI;
 
-  private final Fleet fleet;
+  private final UpstreamTable upstreams;
   private final Timers timers;
   private final Runs runs;
   private final Map<AttemptId, Move> moves = new HashMap<>();
 
-  /** Copies for which an answer is outstanding, by the attempt that was to move. */
-  private final Map<AttemptId, RunCopy> asked = new HashMap<>();
+  /** The copies for which an answer is outstanding, by the attempt to be moved. */
+  private final Map<AttemptId, RunCopy> pendingCopies = new HashMap<>();
 
-  /** Copies from which an attempt is to go on that has not begun. */
-  private final Map<AttemptId, RunCopy> unused = new HashMap<>();
+  /** The copies from which an attempt is to continue that has not begun yet, by that attempt. */
+  private final Map<AttemptId, RunCopy> unusedCopies = new HashMap<>();
 
-  /** Attempts that were to stop and for which there is no copy. */
-  private final Set<AttemptId> doubtful = new HashSet<>();
+  /** The attempts that may have been stopped and for which there is no copy. */
+  private final Set<AttemptId> maybeStopped = new HashSet<>();
 
-  /** What moves need of the calls. */
+  /** Access to the runs. */
   interface Runs {
-    /** All attempts in flight. */
+    /** Returns all attempts in flight. */
     List<AttemptState> attempts();
 
-    /** Whether an attempt is a run that can be moved. */
-    boolean mayMove(long at, AttemptState attempt);
+    /** Returns whether an attempt is a run that can be moved. */
+    boolean canMove(long at, AttemptState attempt);
 
-    /** Where to; empty if there is no room. */
+    /** Returns the destination for a run; empty if no upstream has capacity. */
     Optional<UpstreamState> destination(long at, AttemptState attempt);
 
-    /** The stream of an attempt has ended: with an answer, or without its end. */
-    void ended(long at, AttemptId attempt, Optional<AnswerGrade> end);
+    /**
+     * Handles the end of an attempt's stream.
+     *
+     * @param grade the grade of the answer; empty if the stream was lost before its end
+     */
+    void streamEnded(long at, AttemptId attempt, Optional<AnswerGrade> grade);
 
-    /** The run is to go on from its copy: the attempt that does; empty if none was sent. */
-    Optional<AttemptId> goOn(long at, Move move, String handle);
+    /**
+     * Continues a run from its copy; returns the attempt that continues it, or empty if none was
+     * sent.
+     */
+    Optional<AttemptId> continueRun(long at, Move move, String handle);
 
-    /** Has something done. */
+    /** Emits an effect. */
     void emit(RelayEffect effect);
   }
 
-  /** One run that moves. */
+  /** The move of one run. */
   static final class Move {
     final AttemptState attempt;
     final UpstreamState destination;
-    final long units;
+    final long reservedUnits;
     private final RunCopy copy;
     private MoveStep step = MoveStep.COPY;
-    private boolean complete;
+    private boolean copied;
     private boolean streamEnded;
 
-    /** What the end of the stream would mean without the move; empty if it was lost. */
-    private Optional<AnswerGrade> end = Optional.empty();
+    /**
+     * The grade that the end of the stream would have without the move; empty if the stream was
+     * lost.
+     */
+    private Optional<AnswerGrade> endGrade = Optional.empty();
 
     private Move(AttemptState attempt, UpstreamState destination, RunCopy copy) {
       this.attempt = attempt;
       this.destination = destination;
       this.copy = copy;
-      this.units = Sizing.memory(attempt.call());
+      this.reservedUnits = CallDemands.memoryTokens(attempt.call());
     }
   }
 
-  Evacuation(Fleet fleet, Timers timers, Runs runs) {
-    this.fleet = fleet;
+  Evacuation(UpstreamTable upstreams, Timers timers, Runs runs) {
+    this.upstreams = upstreams;
     this.timers = timers;
     this.runs = runs;
   }
 
-  /** Plans moves off the upstreams that leave since the last look, or are gone from the list. */
-  void look(long at) {
-    for (UpstreamState s : fleet.beginEvacuations()) {
-      timers.add(new Timers.Due.Evacuate(at + AFTER, s.life()));
+  /**
+   * Schedules the evacuation of upstreams that are leaving or missing and have none scheduled yet.
+   */
+  void scheduleEvacuations(long at) {
+    for (UpstreamState s : upstreams.beginEvacuations()) {
+      timers.add(new Timers.Timer.EvacuationStart(at + START_DELAY_NANOS, s.incarnation()));
     }
   }
 
-  /** Moves what is left at an upstream. */
-  void due(long at, UpstreamLife id) {
-    Optional<UpstreamState> source = fleet.find(id);
+  /** Starts to move the runs that are left at an upstream. */
+  void moveRuns(long at, UpstreamLife incarnation) {
+    Optional<UpstreamState> source = upstreams.find(incarnation);
     if (source.isEmpty()) {
       return;
     }
     UpstreamState s = source.get();
-    if (!s.isGoing() || s.inFlight() == 0) {
+    if (!s.isLeavingOrMissing() || s.inFlight() == 0) {
       s.endEvacuation();
       return;
     }
     for (AttemptState a : runs.attempts()) {
-      if (a.upstream() == s && !isMoving(a.id()) && runs.mayMove(at, a)) {
-        runs.destination(at, a).ifPresent(to -> begin(a, to));
+      if (a.upstream() == s && !isMoving(a.id()) && runs.canMove(at, a)) {
+        runs.destination(at, a).ifPresent(to -> startMove(a, to));
       }
     }
-    timers.add(new Timers.Due.Evacuate(at + AGAIN, id));
+    timers.add(new Timers.Timer.EvacuationStart(at + RETRY_DELAY_NANOS, incarnation));
   }
 
-  /** Whether an attempt moves, or an answer to an earlier move of it may still come. */
+  /**
+   * Returns whether an attempt is being moved, or an answer to an earlier move of it may still
+   * arrive.
+   */
   private boolean isMoving(AttemptId id) {
-    return moves.containsKey(id) || asked.containsKey(id);
+    return moves.containsKey(id) || pendingCopies.containsKey(id);
   }
 
-  private void begin(AttemptState a, UpstreamState destination) {
+  private void startMove(AttemptState a, UpstreamState destination) {
     Move move = new Move(a, destination, new RunCopy(handle -> free(a.upstream(), handle)));
-    destination.addLoad(move.units);
+    destination.addLoad(move.reservedUnits);
     moves.put(a.id(), move);
-    ask(move);
+    requestStep(move);
   }
 
-  private void ask(Move move) {
+  private void requestStep(Move move) {
     AttemptState a = move.attempt;
-    asked.put(a.id(), move.copy);
+    pendingCopies.put(a.id(), move.copy);
     runs.emit(
         new RelayEffect.Move(
             a.id(),
@@ -158,19 +173,19 @@
             move.step));
   }
 
-  /** A step was answered. */
+  /** Handles the result of a step. */
   void moved(long at, AttemptId id, MoveResult result) {
-    RunCopy copy = asked.remove(id);
+    RunCopy copy = pendingCopies.remove(id);
     if (copy != null && result instanceof MoveResult.Copied c) {
-      copy.made(c.handle());
+      copy.addHandle(c.handle());
     }
     Move move = moves.get(id);
     if (copy != null && move != null) {
-      answered(at, move, result);
+      stepFinished(at, move, result);
     }
   }
 
-  private void answered(long at, Move move, MoveResult result) {
+  private void stepFinished(long at, Move move, MoveResult result) {
     AttemptState a = move.attempt;
     runs.emit(
         new RelayEffect.Report(
@@ -184,42 +199,42 @@
     switch (result) {
       case MoveResult.Copied c when move.step == MoveStep.COPY -> {
         move.step = MoveStep.STOP;
-        timers.add(new Timers.Due.MoveOver(at + STOP_PATIENCE, a.id()));
-        ask(move);
+        timers.add(new Timers.Timer.MoveTimeout(at + STOP_TIMEOUT_NANOS, a.id()));
+        requestStep(move);
       }
       case MoveResult.Copied c -> {
-        move.complete = true;
-        goOnIfOver(at, move);
+        move.copied = true;
+        continueIfFinished(at, move);
       }
-      case MoveResult.NoRun n -> failed(at, move, move.end);
+      case MoveResult.NoRun n -> moveFailed(at, move, move.endGrade);
       case MoveResult.Failed f -> {
-        doubt(move);
-        failed(at, move, Optional.empty());
+        markMaybeStopped(move);
+        moveFailed(at, move, Optional.empty());
       }
     }
   }
 
-  private void doubt(Move move) {
+  private void markMaybeStopped(Move move) {
     if (move.step == MoveStep.STOP) {
-      doubtful.add(move.attempt.id());
+      maybeStopped.add(move.attempt.id());
     }
   }
 
-  /** Without a copy the run goes on where it is, unless its stream is over. */
-  private void failed(long at, Move move, Optional<AnswerGrade> end) {
-    giveUp(move);
+  /** Abandons a move without a copy: the run continues where it is, unless its stream has ended. */
+  private void moveFailed(long at, Move move, Optional<AnswerGrade> grade) {
+    abandon(move);
     if (move.streamEnded) {
-      runs.ended(at, move.attempt.id(), end);
+      runs.streamEnded(at, move.attempt.id(), grade);
     }
   }
 
   /**
-   * Whether the end of an attempt's stream is kept back, or turned into a loss, as the run may have
-   * been stopped. What it means is known with the answer to the move.
+   * Returns whether the end of an attempt's stream is withheld, or turned into a loss, as the run
+   * may have been stopped. The answer to the move tells what the end means.
    */
-  boolean holds(long at, AttemptId id, Optional<AnswerGrade> end) {
-    if (end.isPresent() && doubtful.remove(id)) {
-      runs.ended(at, id, Optional.empty());
+  boolean withholdsEnd(long at, AttemptId id, Optional<AnswerGrade> grade) {
+    if (grade.isPresent() && maybeStopped.remove(id)) {
+      runs.streamEnded(at, id, Optional.empty());
       return true;
     }
     Move move = moves.get(id);
@@ -227,79 +242,85 @@
       return false;
     }
     move.streamEnded = true;
-    move.end = end;
-    goOnIfOver(at, move);
+    move.endGrade = grade;
+    continueIfFinished(at, move);
     return true;
   }
 
-  private void goOnIfOver(long at, Move move) {
-    if (move.streamEnded && move.complete) {
+  private void continueIfFinished(long at, Move move) {
+    if (move.streamEnded && move.copied) {
       remove(move);
       move.copy
-          .last()
-          .flatMap(handle -> runs.goOn(at, move, handle))
-          .ifPresentOrElse(id -> unused.put(id, move.copy), move.copy::giveUp);
+          .lastHandle()
+          .flatMap(handle -> runs.continueRun(at, move, handle))
+          .ifPresentOrElse(id -> unusedCopies.put(id, move.copy), move.copy::abandon);
     }
   }
 
-  /** The second step takes too long. */
-  void overdue(long at, AttemptId id) {
+  /** Handles the timeout of the second step. */
+  void stopTimedOut(long at, AttemptId id) {
     Move move = moves.get(id);
     if (move == null) {
       return;
     }
-    if (move.complete) {
+    if (move.copied) {
       runs.emit(new RelayEffect.Cancel(id));
       move.streamEnded = true;
-      goOnIfOver(at, move);
+      continueIfFinished(at, move);
     } else {
-      doubt(move);
-      failed(at, move, Optional.empty());
+      markMaybeStopped(move);
+      moveFailed(at, move, Optional.empty());
     }
   }
 
   /**
-   * Upstreams have started again: moves off the lives before are void. Runs that were to move to
-   * one go on where they are, unless they were stopped for it.
+   * Handles incarnations that ended by a restart: moves off them are void. Runs that were to move
+   * to one continue where they are, unless they were stopped for the move.
    */
-  void livesEnded(long at, Set<UpstreamLife> lives) {
+  void incarnationsEnded(long at, Set<UpstreamLife> incarnations) {
     for (Move move : List.copyOf(moves.values())) {
       AttemptState a = move.attempt;
-      if (lives.contains(a.upstream().life())) {
-        giveUp(move);
-      } else if (lives.contains(move.destination.life())) {
-        doubt(move);
-        failed(at, move, Optional.empty());
+      if (incarnations.contains(a.upstream().incarnation())) {
+        abandon(move);
+      } else if (incarnations.contains(move.destination.incarnation())) {
+        markMaybeStopped(move);
+        moveFailed(at, move, Optional.empty());
       }
     }
   }
 
   private void free(UpstreamState source, String handle) {
-    if (!fleet.hasStartedAgain(source.life())) {
+    if (!upstreams.hasRestarted(source.incarnation())) {
       runs.emit(new RelayEffect.Free(source.upstream(), handle));
     }
   }
 
-  /** An attempt has begun; if it goes on from a copy, the copy is used. */
-  void began(AttemptId id) {
-    Optional.ofNullable(unused.remove(id)).ifPresent(RunCopy::used);
+  /**
+   * Handles the beginning of an attempt's answer: if the attempt continues from a copy, the copy is
+   * used.
+   */
+  void attemptBegan(AttemptId id) {
+    Optional.ofNullable(unusedCopies.remove(id)).ifPresent(RunCopy::used);
   }
 
-  /** An attempt is over: a copy that was made of it, or from which it was to go on, is freed. */
-  void abandon(AttemptState a) {
-    doubtful.remove(a.id());
-    Optional.ofNullable(moves.get(a.id())).ifPresent(this::giveUp);
-    Optional.ofNullable(unused.remove(a.id())).ifPresent(RunCopy::giveUp);
+  /**
+   * Handles the end of an attempt: frees the copy that was made of its run, or from which it was to
+   * continue.
+   */
+  void attemptEnded(AttemptState a) {
+    maybeStopped.remove(a.id());
+    Optional.ofNullable(moves.get(a.id())).ifPresent(this::abandon);
+    Optional.ofNullable(unusedCopies.remove(a.id())).ifPresent(RunCopy::abandon);
   }
 
-  private void giveUp(Move move) {
+  private void abandon(Move move) {
     remove(move);
-    move.copy.giveUp();
+    move.copy.abandon();
   }
 
-  /** Ends a move and gives its room back. */
+  /** Ends a move and releases its reservation. */
   private void remove(Move move) {
     moves.remove(move.attempt.id());
-    move.destination.addLoad(-move.units);
+    move.destination.addLoad(-move.reservedUnits);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/FinalAnswers.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/FinalAnswers.java
@@ -14,10 +14,10 @@
 import org.larkkeel.relay.RelayFact;
 
 /**
- * What callers are told in place of an upstream's answer.
+ * Answers callers whose calls have no upstream's answer.
  *
  * <p>Invariant: a caller is told that its call has not run only if no upstream may have run it. Not
- * safe for use by several threads.
+ * thread-safe.
  */
 final class FinalAnswers {
   private final Consumer<RelayEffect> effects;
@@ -32,25 +32,29 @@
     effects.accept(new RelayEffect.Refuse(call.id(), kind, retryAfterMillis, detail));
   }
 
-  /** Ends a call with what is true of it: the kind if nothing may have run, a failure else. */
+  /**
+   * Ends a call with the given kind, or as a failure if the kind says that nothing has run but an
+   * upstream may have run the call.
+   */
   void end(long at, CallState c, ErrorKind kind, long retryAfterMillis, String detail) {
-    boolean mayHaveRun = c.runs > 0;
-    ErrorKind told =
+    boolean mayHaveRun = c.runCount > 0;
+    ErrorKind reportedKind =
         mayHaveRun && kind.execution() == Execution.NOT_RUN ? ErrorKind.UPSTREAM_FAILED : kind;
     report(
         new RelayFact.Refused(
             c.call.wireId(),
             c.rule.name().value(),
-            told,
+            reportedKind,
             detail,
-            c.began,
-            c.sends,
-            c.runs,
+            c.streamBegan,
+            c.attemptCount,
+            c.runCount,
             at - c.arrivedAt));
     effects.accept(
-        c.began
-            ? new RelayEffect.Cut(c.call.id(), told)
-            : new RelayEffect.Refuse(c.call.id(), told, mayHaveRun ? 0 : retryAfterMillis, detail));
+        c.streamBegan
+            ? new RelayEffect.Cut(c.call.id(), reportedKind)
+            : new RelayEffect.Refuse(
+                c.call.id(), reportedKind, mayHaveRun ? 0 : retryAfterMillis, detail));
   }
 
   private void report(RelayFact fact) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Flow.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Flow.java
@@ -40,335 +40,366 @@
 import org.larkkeel.relay.UpstreamNotice;
 
 /**
- * Takes events in and leads each to the part that it concerns.
+ * Handles the events of the relay router by passing each to the component that it concerns.
  *
- * <p>The way of a call: {@link Admission} takes it in, {@link Quotas} may turn it away, {@link
- * Rooms} has it wait for memory, {@link Dispatch} sends it, and {@link Outcomes} says what follows,
- * until {@link OpenCalls} has it no more. {@link Attempts} knows what is in flight, {@link
- * Patience} how long that is waited for, {@link RetryBudget} what may be repeated, {@link Prompts}
- * what was read for others, {@link Evacuation} the runs that move, and {@link FinalAnswers} what
- * callers are told.
+ * <p>The path of a call: {@link Admission} accepts it, {@link Quotas} may refuse it, {@link
+ * MemoryReservations} queues it until memory is reserved, {@link Dispatch} sends it, and {@link
+ * Outcomes} decides what follows, until {@link OpenCalls} drops it. {@link Attempts} tracks the
+ * attempts in flight, {@link AttemptTimeouts} computes their timeouts, {@link RetryBudget} limits
+ * retries, {@link PrefillResults} tracks the prompts that were prefilled for another upstream,
+ * {@link Evacuation} moves runs, and {@link FinalAnswers} answers callers in place of an upstream.
  *
  * <p>Invariants: each call gets exactly one of {@code Deliver}, {@code Refuse} and {@code Cut},
- * unless its caller left; memory is set aside at one upstream for each call in progress that needs
- * any. Not safe for use by several threads.
+ * unless its caller left; memory is reserved at one upstream for each call in progress that needs
+ * any. Not thread-safe.
  */
 public final class Flow {
   private static final long MILLI = 1_000_000L;
 
-  private final Parts parts;
+  private final Core core;
 
-  /** Begins without a configuration. */
+  /** Creates a handler without a configuration. */
   public Flow(RelaySettings settings) {
-    parts = new Parts(settings);
+    core = new Core(settings);
   }
 
-  /** Sets where effects go. */
+  /** Sets the sink that receives all effects. */
   public void effects(Consumer<RelayEffect> sink) {
-    parts.effects(sink);
+    core.effects(sink);
   }
 
-  /** Takes what becomes of attempts. */
+  /** Returns the component that handles the outcomes of attempts. */
   public Outcomes outcomes() {
-    return parts.outcomes;
+    return core.outcomes;
   }
 
-  /** The configuration in force. */
+  /** Returns the configuration in force; empty if there is none. */
   public Optional<RelayConfiguration> configuration() {
-    return Optional.ofNullable(parts.admission.configuration());
+    return Optional.ofNullable(core.admission.configuration());
   }
 
-  /** Whether it can place calls. */
+  /** Returns whether calls can be placed. */
   public boolean isReady() {
-    return parts.admission.isReady();
+    return core.admission.isReady();
   }
 
-  /** The calls without a final answer. */
+  /** Returns the number of calls without a final answer. */
   public int inProgress() {
-    return parts.open.size();
+    return core.openCalls.size();
   }
 
-  /** How many upstreams are known. */
+  /** Returns the number of known upstreams. */
   public int upstreamCount() {
-    return parts.fleet.size();
+    return core.upstreams.size();
   }
 
-  /** What this node has in flight at each upstream. */
+  /** Returns the load that this node has in flight at each upstream. */
   public ImmutableMap<UpstreamLife, Long> loads() {
-    return parts.fleet.loads();
+    return core.upstreams.loads();
   }
 
-  /** The upstreams whose prompts this node has found to be lost at once. */
+  /**
+   * Returns the upstreams at which this node recently observed that prefill handles are lost
+   * immediately.
+   */
   public ImmutableSet<UpstreamLife> lapsing(long at) {
-    return parts.fleet.lapsing(at);
+    return core.upstreams.losingHandles(at);
   }
 
-  /** When a tick is due; {@link Long#MAX_VALUE} if none is. */
+  /** Returns the time at which a tick is due; {@link Long#MAX_VALUE} if none is. */
   public long nextDue() {
-    return parts.timers.next();
+    return core.timers.next();
   }
 
-  /** Takes over a configuration that is not older than that in force. */
-  public void read(RelayConfiguration read) {
-    parts.admission.read(read);
+  /** Applies a configuration if it is newer than the one in force. */
+  public void read(RelayConfiguration configuration) {
+    core.admission.apply(configuration);
   }
 
-  /** Takes over changes of the list of upstreams. */
+  /** Applies changes of the discovery list. */
   public void upstreams(
       long at,
       ImmutableMap<UpstreamName, RelayUpstream> changed,
       ImmutableSet<UpstreamName> removed) {
-    List<UpstreamState> ended = parts.fleet.update(at, changed, removed, parts::report);
-    ended.forEach(s -> parts.guard.lifeEnded(at, s.life(), "restarted"));
-    parts.fleet.missing(removed).forEach(s -> parts.guard.lifeEnded(at, s.life(), "missing"));
-    parts.endedLives.end(at, ended);
-    parts.fleet.forget(at, parts::report);
-    parts.evacuation.look(at);
-    parts.rooms.admitWaiting(at);
-  }
-
-  /** Takes over what another node has in flight. */
+    List<UpstreamState> ended = core.upstreams.update(at, changed, removed, core::report);
+    ended.forEach(s -> core.crashGuard.incarnationEnded(at, s.incarnation(), "restarted"));
+    core.upstreams
+        .missingWithoutNotice(removed)
+        .forEach(s -> core.crashGuard.incarnationEnded(at, s.incarnation(), "missing"));
+    core.endedIncarnations.end(at, ended);
+    core.upstreams.removeMissing(at, core::report);
+    core.evacuation.scheduleEvacuations(at);
+    core.reservations.placePending(at);
+  }
+
+  /** Merges the load report of another node. */
   public void heard(
       long at,
       HostName node,
       ImmutableMap<UpstreamLife, Long> loads,
       ImmutableSet<UpstreamLife> lapsing) {
-    parts.fleet.heard(at, node, loads);
-    lapsing.forEach(id -> parts.fleet.find(id).ifPresent(s -> s.handleLapsedElsewhere(at)));
-    forgetSilent(at);
-    parts.rooms.loadChanged(at);
+    core.upstreams.receiveLoads(at, node, loads);
+    lapsing.forEach(id -> core.upstreams.find(id).ifPresent(s -> s.handleLossReported(at)));
+    dropUnresponsive(at);
+    core.reservations.loadChanged(at);
   }
 
-  private void forgetSilent(long at) {
-    parts.fleet.forgetSilent(at);
-    parts.rooms.forgetSilent(at);
+  private void dropUnresponsive(long at) {
+    core.upstreams.dropUnresponsive(at);
+    core.reservations.dropUnresponsive(at);
   }
 
-  /** Sets who gives room from now on. */
-  public void keeping(long at, RoomKeeping now) {
-    parts.rooms.keeping(at, now);
+  /** Sets how memory is reserved from now on. */
+  public void keeping(long at, RoomKeeping mode) {
+    core.reservations.setMode(at, mode);
   }
 
-  /** The calls for which another node is to be asked for room. */
+  /** Returns the reservation requests to send to the reservation coordinator. */
   public ImmutableList<RoomAsk> asks(long at) {
-    return parts.rooms.asks(at);
+    return core.reservations.requests(at);
   }
 
-  /** Another node asks for room. */
-  public void roomAsked(long at, HostName node, DataCentreName place, ImmutableList<RoomAsk> asks) {
-    parts.rooms.asked(at, node, place, asks);
+  /** Handles the reservation requests of another node. */
+  public void roomAsked(
+      long at, HostName node, DataCentreName dataCentre, ImmutableList<RoomAsk> requests) {
+    core.reservations.requested(at, node, dataCentre, requests);
   }
 
-  /** Room was given to a call. */
+  /** Handles a reservation that the coordinator granted to a call of this node. */
   public void roomGranted(
-      long at, RequestId call, UpstreamLife home, Optional<UpstreamLife> reader) {
-    parts.open.find(call).ifPresent(c -> parts.rooms.granted(at, c, home, reader));
+      long at,
+      RequestId call,
+      UpstreamLife reservedUpstream,
+      Optional<UpstreamLife> prefillUpstream) {
+    core.openCalls
+        .find(call)
+        .ifPresent(c -> core.reservations.granted(at, c, reservedUpstream, prefillUpstream));
   }
 
-  /** Lets an upstream that is ordered to change take no work. */
-  public void ordered(long at, UpstreamLife id, long longestNanos) {
-    Optional<UpstreamState> found = parts.fleet.find(id);
-    if (parts.admission.configuration() == null || found.isEmpty()) {
+  /**
+   * Keeps new work off an upstream that was ordered to change, by reserving all its memory for at
+   * most {@code maxNanos}.
+   */
+  public void ordered(long at, UpstreamLife incarnation, long maxNanos) {
+    Optional<UpstreamState> found = core.upstreams.find(incarnation);
+    if (core.admission.configuration() == null || found.isEmpty()) {
       return;
     }
     UpstreamState s = found.get();
-    s.ordered(parts.bounds(s.upstream().service()).memoryTokens());
-    parts.timers.add(new Timers.Due.OrderOver(at + longestNanos, id));
+    s.ordered(core.bounds(s.upstream().service()).memoryTokens());
+    core.timers.add(new Timers.Timer.OrderTimeout(at + maxNanos, incarnation));
   }
 
-  /** An order is over, or was turned down. */
-  public void orderOver(long at, UpstreamLife id) {
-    parts.fleet.find(id).ifPresent(UpstreamState::orderOver);
-    parts.rooms.admitWaiting(at);
+  /** Handles the end or the refusal of an order. */
+  public void orderOver(long at, UpstreamLife incarnation) {
+    core.upstreams.find(incarnation).ifPresent(UpstreamState::orderEnded);
+    core.reservations.placePending(at);
   }
 
-  /** Sends what waits for room elsewhere, and from now on each call that needs room. */
+  /**
+   * Starts draining: refuses the calls that wait for a reservation, and from now on each call that
+   * needs one, so that they are sent to another node.
+   */
   public void drain(long at) {
-    parts.dispatch.drain();
-    parts.rooms.drain(at);
+    core.dispatch.drain();
+    core.reservations.drain(at);
   }
 
-  /** Sets over how many nodes the slack of the budget is split. */
+  /**
+   * Sets the number of nodes among which the slack of the retry budget and the quotas are divided.
+   */
   public void nodes(long at, int count) {
-    parts.repeats.nodes(count);
-    parts.held.nodes(at, count);
+    core.retryBudget.nodes(count);
+    core.heldQuotas.nodes(at, count);
   }
 
-  /** A call has arrived. */
+  /** Handles the arrival of a call. */
   public void arrived(long at, RelayCall call) {
-    parts.admission.admit(at, call).ifPresent(c -> admitted(at, c));
+    core.admission.admit(at, call).ifPresent(c -> admitted(at, c));
   }
 
   private void admitted(long at, CallState c) {
-    parts.open.add(c);
-    parts.timers.add(new Timers.Due.Deadline(c.deadline, c.call.id()));
-    parts.quotas.admit(at, c);
+    core.openCalls.add(c);
+    core.timers.add(new Timers.Timer.Deadline(c.deadline, c.call.id()));
+    core.quotas.admit(at, c);
   }
 
-  // What upstreams say of themselves.
+  // Notices of upstreams about themselves.
 
-  /** An answer of an upstream says something of the upstream itself. */
-  public void noticed(long at, UpstreamLife life, long sentAt, UpstreamNotice notice) {
-    parts.fleet.find(life).ifPresent(s -> noticed(at, s, sentAt, notice));
+  /** Handles a notice that an upstream's answer carries about the upstream itself. */
+  public void noticed(long at, UpstreamLife incarnation, long sentAt, UpstreamNotice notice) {
+    core.upstreams.find(incarnation).ifPresent(s -> noticed(at, s, sentAt, notice));
   }
 
   private void noticed(long at, UpstreamState s, long sentAt, UpstreamNotice notice) {
-    if (parts.fleet.rates().noticed(at, s, sentAt, notice.rate())) {
-      limitEnded(at);
+    if (core.upstreams.rateLimits().applyNotice(at, s, sentAt, notice.rate())) {
+      rateLimitEnded(at);
     }
-    if (notice.leaving() && parts.fleet.saysLeaving(s, parts::report)) {
-      parts.evacuation.look(at);
+    if (notice.leaving() && core.upstreams.markLeaving(s, core::report)) {
+      core.evacuation.scheduleEvacuations(at);
     }
     if (notice.restNanos() > 0) {
-      s.rest(at, notice.restNanos());
-      parts.timers.add(new Timers.Due.Contest(s.restUntil()));
-      parts.report(new RelayFact.Rests(s.upstream().id(), notice.restNanos()));
+      s.backOff(at, notice.restNanos());
+      core.timers.add(new Timers.Timer.PlacementRetry(s.backoffUntil()));
+      core.report(new RelayFact.Rests(s.upstream().id(), notice.restNanos()));
     }
   }
 
-  /** The limits that upstreams have, and how much this node has used of each. */
+  /** Returns the rate limits of upstreams and this node's usage of each. */
   public ImmutableList<RateUse> rateUses(long at) {
-    return parts.fleet.rates().uses(at);
+    return core.upstreams.rateLimits().usages(at);
   }
 
-  /** Whether an upstream limits its requests, so that each of its answers counts. */
-  public boolean isRateLimited(UpstreamLife life) {
-    return parts.fleet.rates().isLimited(life);
+  /**
+   * Returns whether an upstream has a rate limit, or had one a moment ago, so that each of its
+   * answers counts.
+   */
+  public boolean isRateLimited(UpstreamLife incarnation) {
+    return core.upstreams.rateLimits().isLimited(incarnation);
   }
 
-  /** Other nodes tell of limits. */
-  public void ratesHeard(long at, ImmutableList<RateWord> words) {
-    if (parts.fleet.rates().heard(at, words)) {
-      limitEnded(at);
+  /** Merges the rate limit reports of other nodes. */
+  public void ratesHeard(long at, ImmutableList<RateWord> reports) {
+    if (core.upstreams.rateLimits().merge(at, reports)) {
+      rateLimitEnded(at);
     }
   }
 
-  private void limitEnded(long at) {
-    parts.permits.granted(at);
-    parts.rooms.admitWaiting(at);
+  private void rateLimitEnded(long at) {
+    core.permits.granted(at);
+    core.reservations.placePending(at);
   }
 
-  /** What other nodes are to know of limits. */
+  /** Returns the rate limit reports to send to other nodes. */
   public ImmutableList<RateWord> rates(long at) {
-    return parts.fleet.rates().words(at);
+    return core.upstreams.rateLimits().reports(at);
   }
 
-  /** Whether requests may be sent to a life of an upstream, as far as it has said itself. */
-  public boolean mayReach(long at, UpstreamLife life) {
-    return parts.fleet.find(life).map(s -> s.isOpen(at)).orElse(true);
+  /**
+   * Returns whether an incarnation of an upstream is neither leaving nor in backoff; true for an
+   * unknown one.
+   */
+  public boolean mayReach(long at, UpstreamLife incarnation) {
+    return core.upstreams.find(incarnation).map(s -> s.acceptsRequests(at)).orElse(true);
   }
 
-  // Requests under which upstreams end.
+  // Requests that are suspected of crashing upstreams.
 
-  /** A probe of an upstream was answered. */
-  public void probed(long at, UpstreamLife life, ProbeResult result) {
-    parts.guard.probed(at, life, result);
+  /** Handles the result of a probe of an upstream. */
+  public void probed(long at, UpstreamLife incarnation, ProbeResult result) {
+    core.crashGuard.probed(at, incarnation, result);
   }
 
-  /** What other nodes are to know of requests under which upstreams ended. */
+  /** Returns the suspect requests to report to other nodes. */
   public ImmutableList<Suspect> suspects(long at) {
-    return parts.guard.suspects(at);
+    return core.crashGuard.suspects(at);
   }
 
-  /** For how long a request is quarantined still; 0 if it is not. */
+  /** Returns the remaining quarantine of a request in nanoseconds; 0 if it is not quarantined. */
   public long quarantinedNanos(long at, Fingerprint request) {
-    return parts.guard.remainingNanos(at, request);
+    return core.crashGuard.remainingNanos(at, request);
   }
 
-  /** Takes over what another node knows of such requests. */
-  public void suspectsHeard(long at, ImmutableList<Suspect> told) {
-    parts.guard.heard(at, told);
+  /** Merges the suspect requests that another node reports. */
+  public void suspectsHeard(long at, ImmutableList<Suspect> suspects) {
+    core.crashGuard.merge(at, suspects);
   }
 
-  /** An operator lets a request be sent again. */
+  /** Releases a request from quarantine, as ordered by an operator. */
   public void released(long at, Fingerprint request) {
-    parts.guard.released(at, request);
+    core.crashGuard.released(at, request);
   }
 
-  // Moves: runs at upstreams that leave go on elsewhere with their memory.
+  // Moves: runs at leaving upstreams continue elsewhere with their memory.
 
-  /** A step of a move was answered. */
+  /** Handles the result of a step of a move. */
   public void moved(long at, AttemptId id, MoveResult result) {
-    parts.evacuation.moved(at, id, result);
+    core.evacuation.moved(at, id, result);
   }
 
   // Quotas.
 
-  /** The coordinator of quotas has answered. */
+  /** Handles a grant of the quota coordinator. */
   public void quotaGranted(long at, QuotaGrant grant) {
-    parts.quotas.granted(at, grant);
+    core.quotas.granted(at, grant);
   }
 
-  /** Another node is the coordinator of quotas now. */
+  /** Handles a change of the quota coordinator. */
   public void quotaCoordinatorChanged(long at) {
-    parts.quotas.coordinatorChanged(at);
+    core.quotas.coordinatorChanged(at);
   }
 
-  /** What the coordinator of quotas is to be asked now. */
+  /**
+   * Returns the request to send to the quota coordinator now; empty if none is due.
+   *
+   * @param at now
+   * @param heartbeat whether a request is due in any case while there are quotas
+   */
   public Optional<QuotaAsk> quotaAsk(long at, boolean heartbeat) {
-    return parts.quotas.ask(at, heartbeat);
+    return core.quotas.request(at, heartbeat);
   }
 
-  /** Whether calls wait for tokens of their quotas. */
+  /** Returns whether calls wait for tokens of their quotas. */
   public boolean awaitsQuota() {
-    return parts.quotas.hasWaiting();
+    return core.quotas.hasWaiting();
   }
 
-  /** The limit of a quota; empty if there is no such workspace or upstream. */
+  /** Returns the limit of a quota; empty if there is no such workspace or upstream. */
   public Optional<TokenLimit> limit(QuotaKey key) {
-    return parts.quotas.limit(key);
+    return core.quotas.limit(key);
   }
 
-  /** The caller is gone. */
+  /** Abandons a call whose caller has gone. */
   public void callerLeft(long at, RequestId id) {
-    parts.open.find(id).ifPresent(c -> callerLeft(at, c));
+    core.openCalls.find(id).ifPresent(c -> callerLeft(at, c));
   }
 
   private void callerLeft(long at, CallState c) {
-    parts.report(
-        new RelayFact.CallerLeft(c.call.wireId(), c.rule.name().value(), at - c.arrivedAt));
-    parts.open.cancel(c);
-    parts.open.remove(c);
-    parts.rooms.admitWaiting(at);
+    core.report(new RelayFact.CallerLeft(c.call.wireId(), c.rule.name().value(), at - c.arrivedAt));
+    core.openCalls.cancelAttempt(c);
+    core.openCalls.remove(c);
+    core.reservations.placePending(at);
   }
 
   /**
-   * The machine was suspended: deadlines that have passed end their calls, and what others told
-   * before is forgotten, before anything is sent.
+   * Handles a resume of the machine after a suspension, before anything is sent: calls whose
+   * deadline has passed end, and outdated reports of other nodes are dropped.
    */
   public void resumed(long at, long suspendedNanos) {
-    parts.report(new RelayFact.Resumed(suspendedNanos));
-    parts.quotas.resumed(at);
+    core.report(new RelayFact.Resumed(suspendedNanos));
+    core.quotas.resumed(at);
     ticked(at);
   }
 
-  /** Time has passed. */
+  /** Handles all timers that are due. */
   public void ticked(long at) {
-    for (Timers.Due due = parts.timers.poll(at); due != null; due = parts.timers.poll(at)) {
+    for (Timers.Timer due = core.timers.poll(at); due != null; due = core.timers.poll(at)) {
       switch (due) {
-        case Timers.Due.Deadline d -> parts.open.find(d.call()).ifPresent(c -> deadline(at, c));
-        case Timers.Due.Contest t -> parts.rooms.contestOver(at);
-        case Timers.Due.Room r -> parts.open.find(r.call()).ifPresent(c -> parts.rooms.due(at, c));
-        case Timers.Due.Evacuate e -> parts.evacuation.due(at, e.upstream());
-        case Timers.Due.OrderOver o -> orderOver(at, o.upstream());
-        case Timers.Due.MoveOver m -> parts.evacuation.overdue(at, m.attempt());
-        case Timers.Due.Quota q ->
-            parts.open.find(q.call()).ifPresent(c -> parts.quotas.due(at, c));
-        case Timers.Due.Permit p ->
-            parts.open.find(p.call()).ifPresent(c -> parts.permits.due(at, c));
-        case Timers.Due.Patience p -> parts.outcomes.impatient(at, p.attempt());
+        case Timers.Timer.Deadline d ->
+            core.openCalls.find(d.call()).ifPresent(c -> deadlineReached(at, c));
+        case Timers.Timer.PlacementRetry t -> core.reservations.retryPlacement(at);
+        case Timers.Timer.ReservationTimeout r ->
+            core.openCalls.find(r.call()).ifPresent(c -> core.reservations.waitEnded(at, c));
+        case Timers.Timer.EvacuationStart e -> core.evacuation.moveRuns(at, e.incarnation());
+        case Timers.Timer.OrderTimeout o -> orderOver(at, o.incarnation());
+        case Timers.Timer.MoveTimeout m -> core.evacuation.stopTimedOut(at, m.attempt());
+        case Timers.Timer.QuotaTimeout q ->
+            core.openCalls.find(q.call()).ifPresent(c -> core.quotas.waitTimedOut(at, c));
+        case Timers.Timer.PermitTimeout p ->
+            core.openCalls.find(p.call()).ifPresent(c -> core.permits.waitEnded(at, c));
+        case Timers.Timer.AttemptTimeout p -> core.outcomes.timedOut(at, p.attempt());
       }
     }
-    forgetSilent(at);
+    dropUnresponsive(at);
   }
 
-  private void deadline(long at, CallState c) {
+  private void deadlineReached(long at, CallState c) {
     AttemptState a = c.attempt;
-    parts.open.cancel(c);
+    core.openCalls.cancelAttempt(c);
     if (a != null) {
-      parts.attempts.failed(a, "DEADLINE", true);
+      core.attempts.reportFailed(a, "DEADLINE", true);
     }
-    ErrorKind kind = c.runs > 0 ? ErrorKind.DEADLINE_EXCEEDED : ErrorKind.OVERLOADED;
-    parts.open.giveUp(at, c, kind, "no answer after " + (at - c.arrivedAt) / MILLI + " ms");
+    ErrorKind kind = c.runCount > 0 ? ErrorKind.DEADLINE_EXCEEDED : ErrorKind.OVERLOADED;
+    core.openCalls.fail(at, c, kind, "no answer after " + (at - c.arrivedAt) / MILLI + " ms");
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/HeldQuotas.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/HeldQuotas.java
@@ -12,15 +12,16 @@
 import org.larkkeel.quota.TokenLimit;
 
 /**
- * What this node holds of quotas, from the first event on, as only events carry the time.
+ * The quota tokens that this node holds. The holder is created at the first event that needs it, as
+ * only events carry the time.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class HeldQuotas {
   private final QuotaTolerance tolerance;
   private int nodes;
 
-  /** Null until time is known. */
+  /** Null until an event has carried the time. */
   private QuotaHolder holder;
 
   HeldQuotas(QuotaTolerance tolerance, int nodes) {
@@ -28,8 +29,8 @@
     this.nodes = nodes;
   }
 
-  /** The holder, which begins now if it has not. */
-  QuotaHolder at(long at) {
+  /** Returns the holder; creates it if there is none. */
+  QuotaHolder holderAt(long at) {
     if (holder == null) {
       holder = new QuotaHolder(tolerance, at, at);
       holder.nodes(at, nodes);
@@ -37,17 +38,17 @@
     return holder;
   }
 
-  /** The holder, which has begun. */
-  QuotaHolder begun() {
+  /** Returns the holder, which must have been created. */
+  QuotaHolder existingHolder() {
     return holder;
   }
 
-  /** Whether anything was held yet. */
-  boolean hasBegun() {
+  /** Returns whether the holder was created. */
+  boolean hasHolder() {
     return holder != null;
   }
 
-  /** Sets how many nodes share the quotas. */
+  /** Sets the number of nodes that share the quotas. */
   void nodes(long at, int count) {
     nodes = count;
     if (holder != null) {
@@ -55,22 +56,25 @@
     }
   }
 
-  /** As {@link QuotaHolder#reserve}. */
+  /** Reserves tokens, as {@link QuotaHolder#reserve}. */
   boolean reserve(long at, QuotaKey key, TokenLimit limit, long tokens) {
-    return at(at).reserve(at, key, limit, tokens);
+    return holderAt(at).reserve(at, key, limit, tokens);
   }
 
-  /** As {@link QuotaHolder#spend}. */
+  /** Spends reserved tokens, as {@link QuotaHolder#spend}. */
   void spend(QuotaKey key, long tokens) {
     holder.spend(key, tokens);
   }
 
-  /** As {@link QuotaHolder#refillsAt}. */
+  /**
+   * Returns the time of a quota's refill, as {@link QuotaHolder#refillsAt}; {@link Long#MIN_VALUE}
+   * before the holder is created.
+   */
   long refillsAt(QuotaKey key) {
     return holder == null ? Long.MIN_VALUE : holder.refillsAt(key);
   }
 
-  /** As {@link QuotaHolder#forget}. */
+  /** Forgets a quota, as {@link QuotaHolder#forget}. */
   void forget(QuotaKey key) {
     if (holder != null) {
       holder.forget(key);
--- /dev/null
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/MemoryReservations.java
@@ -0,0 +1,439 @@
+/*
+ * Copyright (C) 2026 The larkkeel authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+
+package org.larkkeel.relay.internal;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableSet;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.Set;
+import java.util.SplittableRandom;
+import org.larkkeel.errors.ErrorKind;
+import org.larkkeel.lib.DataCentreName;
+import org.larkkeel.lib.HostName;
+import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.relay.RelayConfiguration;
+import org.larkkeel.relay.RelayEffect;
+import org.larkkeel.relay.RelayFact;
+import org.larkkeel.relay.RelaySettings;
+import org.larkkeel.relay.RelayUpstream;
+import org.larkkeel.relay.RoomAsk;
+import org.larkkeel.relay.RoomKeeping;
+import org.larkkeel.relay.ServiceName;
+import org.larkkeel.relay.Stage;
+
+/**
+ * Reserves memory for calls at an upstream before their prompts are prefilled, so that no prefill
+ * is wasted.
+ *
+ * <p>By {@link RoomKeeping}, this node reserves by itself, requests reservations from the
+ * reservation coordinator, or is the coordinator for the calls of all nodes. Invariant: a call
+ * waits here or has a reservation, and never both. Not thread-safe.
+ */
+final class MemoryReservations {
+  private static final long MILLI = 1_000_000L;
+
+  /**
+   * The maximum random delay before this node reserves free capacity that other nodes see as well.
+   */
+  private static final long MAX_CONTENTION_DELAY_NANOS = 80 * MILLI;
+
+  private final UpstreamTable upstreams;
+  private final Timers timers;
+  private final SplittableRandom random;
+  private final RelaySettings settings;
+  private final Calls calls;
+  private final PrefillSelector prefillSelector;
+  private final ReservationQueue queue = new ReservationQueue();
+  private final RemoteReservations remote = new RemoteReservations(queue);
+  private RoomKeeping mode = RoomKeeping.EACH;
+  private boolean awaitsContentionDelay;
+
+  /** Access to the calls. */
+  interface Calls {
+    /** Returns the configuration in force; null if there is none. */
+    RelayConfiguration configuration();
+
+    /** Returns the number of nodes. */
+    int nodes();
+
+    /** Returns whether the node is draining. */
+    boolean isDraining();
+
+    /** Returns whether a call may be sent to an upstream. */
+    boolean isUsable(long at, CallState c, UpstreamState s);
+
+    /**
+     * Starts the work on a call that has a reservation.
+     *
+     * @param at now
+     * @param c the call
+     * @param prefillUpstream the upstream that prefills the prompt; empty if the reserved one does
+     */
+    void start(long at, CallState c, Optional<Choice> prefillUpstream);
+
+    /**
+     * Sends a call that cannot wait any longer to the upstream with the lowest cost, regardless of
+     * memory.
+     */
+    void force(long at, CallState c);
+
+    /** Fails a call. */
+    void fail(long at, CallState c, ErrorKind kind, String detail);
+
+    /** Refuses a call with a Retry-After in milliseconds. */
+    void refuseWithRetryAfter(long at, CallState c, long retryAfterMillis, String detail);
+
+    /** Emits an effect. */
+    void emit(RelayEffect effect);
+  }
+
+  MemoryReservations(
+      UpstreamTable upstreams,
+      Timers timers,
+      SplittableRandom random,
+      RelaySettings settings,
+      Calls calls) {
+    this.upstreams = upstreams;
+    this.timers = timers;
+    this.random = random;
+    this.settings = settings;
+    this.calls = calls;
+    this.prefillSelector = new PrefillSelector(upstreams);
+  }
+
+  /** Returns whether a call needs memory at the upstream that runs it. */
+  boolean needsReservation(CallState c) {
+    return c.call.size().prompt() > 0 && calls.configuration().bounds(c.service).memoryTokens() > 0;
+  }
+
+  /** Returns the demand of running a call. */
+  CallDemand demand(CallState c, long at) {
+    return CallDemands.run(c, calls.configuration(), calls.nodes(), at);
+  }
+
+  /**
+   * Reserves memory for a call, or lets it wait for a reservation; refuses it if the node is
+   * draining, so that it is sent to another node.
+   */
+  void reserveOrWait(long at, CallState c) {
+    if (calls.isDraining()) {
+      calls.fail(at, c, ErrorKind.NOT_READY, "the node stops");
+    } else if (mode != RoomKeeping.ASK && !queue.has(c.service) && tryReserve(at, c)) {
+      start(at, c);
+    } else {
+      awaitReservation(at, c);
+    }
+  }
+
+  /**
+   * Lets a call wait for a reservation; refuses it if its upstreams accept no requests within its
+   * maximum wait.
+   */
+  void awaitReservation(long at, CallState c) {
+    c.releaseReservation();
+    OptionalLong opensAt = upstreams.acceptsWorkAt(at, c.service, c.excluded);
+    if (c.runCount == 0
+        && opensAt.isPresent()
+        && opensAt.getAsLong() > at + ReservationTimeouts.maxWaitNanos(c, at)) {
+      long retryAfterMillis =
+          ReservationTimeouts.retryAfterBackoffMillis(at, opensAt.getAsLong(), random);
+      calls.refuseWithRetryAfter(
+          at, c, retryAfterMillis, ReservationTimeouts.notAcceptingDetail(c.service));
+      return;
+    }
+    queue.add(c);
+    report(
+        new RelayFact.Waiting(
+            c.call.wireId(), c.service.value(), demand(c, at).units(), queue.size()));
+    timers.add(
+        new Timers.Timer.ReservationTimeout(
+            at + ReservationTimeouts.maxWaitNanos(c, at), c.call.id()));
+  }
+
+  /** Removes a call from the queue. */
+  void remove(CallState c) {
+    queue.remove(c);
+  }
+
+  /** Reserves memory for a call, if any is free as far as is known here; returns whether it did. */
+  boolean tryReserve(long at, CallState c) {
+    CallDemand demand = demand(c, at);
+    Optional<Choice> choice =
+        upstreams.choose(at, c.service, Stage::runs, c.excluded, settings.place(), demand);
+    choice.ifPresent(found -> reserve(at, c, found.best(), demand));
+    return choice.isPresent();
+  }
+
+  private void reserve(long at, CallState c, UpstreamState upstream, CallDemand demand) {
+    c.reserveAt(upstream, demand.units());
+    report(
+        new RelayFact.RoomTaken(
+            c.call.wireId(),
+            upstream.upstream().id(),
+            demand.units(),
+            upstream.totalLoad(),
+            demand.memoryTokens(),
+            upstreams.reportingNodes(),
+            at - c.arrivedAt));
+  }
+
+  private void start(long at, CallState c) {
+    calls.start(at, c, choosePrefillUpstream(at, c));
+  }
+
+  private Optional<Choice> choosePrefillUpstream(long at, CallState c) {
+    long promptTokens = remotePrefillTokens(c);
+    if (promptTokens == 0) {
+      return Optional.empty();
+    }
+    int maxInFlight =
+        CallDemands.maxInFlight(calls.configuration().bounds(c.service), calls.nodes());
+    return prefillSelector.choose(
+        at, c, c.reservedUpstream.upstream().place(), promptTokens, maxInFlight);
+  }
+
+  /**
+   * Returns the number of prompt tokens that another upstream than the reserved one is to prefill;
+   * 0 if none is to.
+   */
+  private long remotePrefillTokens(CallState c) {
+    int prompt = c.call.size().prompt();
+    boolean needsNoPrefill = c.streamBegan || c.prefilledPrompt != null || mayBeCached(c);
+    return !needsNoPrefill && prompt >= settings.stageTokens() ? prompt : 0;
+  }
+
+  /**
+   * Returns whether an engine that ran the call for its caller before may still have its prompt
+   * cached.
+   */
+  private static boolean mayBeCached(CallState c) {
+    return c.call.resumes() && c.call.prompt().isKnown();
+  }
+
+  /**
+   * Returns the upstream other than the reserved one that most likely has the prompt of a call
+   * cached: the one that prefilled it for this node, or else the one that the prompt ranks first.
+   */
+  Optional<RelayUpstream> likelyCacheHolder(long at, CallState c) {
+    if (c.prefillUpstream != null) {
+      return upstreams
+          .find(c.prefillUpstream)
+          .filter(s -> upstreams.isHealthy(s, at))
+          .map(UpstreamState::upstream);
+    }
+    return mayBeCached(c)
+        ? upstreams.firstRanked(at, c.service, c.call.prompt(), c.reservedUpstream)
+        : Optional.empty();
+  }
+
+  /** Sets the reservation mode from now on. */
+  void setMode(long at, RoomKeeping newMode) {
+    mode = newMode;
+    upstreams.setTotalsReceived(newMode == RoomKeeping.ASK);
+    placePending(at);
+  }
+
+  /** Handles a change of the load of other nodes. */
+  void loadChanged(long at) {
+    if (mode == RoomKeeping.KEEP) {
+      placePending(at);
+    } else if (mode == RoomKeeping.EACH && queue.size() > 0 && !awaitsContentionDelay) {
+      awaitsContentionDelay = true;
+      timers.add(new Timers.Timer.PlacementRetry(at + random.nextLong(MAX_CONTENTION_DELAY_NANOS)));
+    }
+  }
+
+  /** Handles the end of the random delay. */
+  void retryPlacement(long at) {
+    awaitsContentionDelay = false;
+    placePending(at);
+  }
+
+  /**
+   * Handles incarnations that ended by a restart: reservations that were granted there are void.
+   */
+  void incarnationsEnded(Set<UpstreamLife> incarnations) {
+    remote.incarnationsEnded(incarnations);
+  }
+
+  /** Drops the requests of unresponsive nodes. */
+  void dropUnresponsive(long at) {
+    remote.dropUnresponsive(at, UpstreamTable.INACTIVITY_NANOS);
+  }
+
+  /**
+   * Places the pending calls in order until there is no capacity for the next one of their service.
+   * A call with excluded upstreams does not hold up the calls behind it.
+   */
+  void placePending(long at) {
+    if (queue.size() == 0 || mode == RoomKeeping.ASK || calls.configuration() == null) {
+      return;
+    }
+    Set<ServiceName> full = new HashSet<>();
+    for (PendingReservation s : queue.inOrder(at)) {
+      if (!s.isWaiting() || full.contains(s.service())) {
+        continue;
+      }
+      boolean placed =
+          switch (s) {
+            case CallState c -> admit(at, c);
+            case RemoteReservation r -> grant(at, r);
+          };
+      if (!placed && s.excluded().isEmpty()) {
+        full.add(s.service());
+      }
+    }
+  }
+
+  private boolean admit(long at, CallState c) {
+    if (!tryReserve(at, c)) {
+      return false;
+    }
+    queue.remove(c);
+    start(at, c);
+    return true;
+  }
+
+  private boolean grant(long at, RemoteReservation r) {
+    CallDemand demand = CallDemands.remote(r, calls.configuration(), at);
+    if (demand.memoryTokens() == 0) {
+      return false;
+    }
+    Optional<Choice> choice =
+        upstreams.choose(at, r.service(), Stage::runs, r.excluded(), r.dataCentre(), demand);
+    if (choice.isEmpty()) {
+      return false;
+    }
+    UpstreamState reserved = choice.get().best();
+    Optional<UpstreamState> prefillUpstream = prefillUpstreamFor(at, r, reserved);
+    queue.remove(r);
+    r.grant(reserved, prefillUpstream);
+    report(
+        new RelayFact.RoomGiven(
+            r.request().wireId(),
+            r.node(),
+            reserved.upstream().id(),
+            prefillUpstream.map(s -> s.upstream().id().value()).orElse(""),
+            r.request().units(),
+            reserved.totalLoad(),
+            demand.memoryTokens(),
+            at - r.arrivedAt()));
+    sendGrant(r);
+    return true;
+  }
+
+  private Optional<UpstreamState> prefillUpstreamFor(
+      long at, RemoteReservation r, UpstreamState reserved) {
+    long promptTokens = r.request().prompt();
+    return promptTokens == 0
+        ? Optional.empty()
+        : prefillSelector
+            .choose(at, r, reserved.upstream().place(), promptTokens, Integer.MAX_VALUE)
+            .map(Choice::best);
+  }
+
+  private void sendGrant(RemoteReservation c) {
+    calls.emit(
+        new RelayEffect.GrantRoom(
+            c.node(),
+            c.request().call(),
+            c.reservedUpstream().incarnation(),
+            c.prefillUpstream().map(UpstreamState::incarnation)));
+  }
+
+  /** Replaces the reservation requests of another node by exactly these. */
+  void requested(
+      long at, HostName node, DataCentreName dataCentre, ImmutableList<RoomAsk> requests) {
+    remote.replaceRequests(at, node, dataCentre, requests).forEach(this::sendGrant);
+    placePending(at);
+  }
+
+  /** Returns the reservation requests to send to the reservation coordinator. */
+  ImmutableList<RoomAsk> requests(long at) {
+    if (mode != RoomKeeping.ASK || queue.size() == 0) {
+      return ImmutableList.of();
+    }
+    return queue.own().stream().map(c -> request(at, c)).collect(ImmutableList.toImmutableList());
+  }
+
+  private RoomAsk request(long at, CallState c) {
+    return new RoomAsk(
+        c.call.id(),
+        c.call.wireId(),
+        c.service,
+        demand(c, at).units(),
+        remotePrefillTokens(c),
+        c.isFirstTry(),
+        c.isStreaming(),
+        (at - c.arrivedAt) / MILLI,
+        c.rule.targetMillis(),
+        c.call.prompt(),
+        ImmutableSet.<UpstreamLife>builder()
+            .addAll(c.excluded)
+            .addAll(upstreams.notEligible(at, c.service))
+            .build());
+  }
+
+  /**
+   * Handles a granted reservation: takes it, unless the call no longer waits or this node knows the
+   * upstream to be unusable.
+   */
+  void granted(
+      long at, CallState c, UpstreamLife reserved, Optional<UpstreamLife> prefillUpstream) {
+    Optional<UpstreamState> found = upstreams.find(reserved).filter(s -> calls.isUsable(at, c, s));
+    if (!c.awaitsReservation || found.isEmpty()) {
+      return;
+    }
+    queue.remove(c);
+    reserve(at, c, found.get(), demand(c, at));
+    Optional<Choice> prefillChoice =
+        prefillUpstream
+            .flatMap(upstreams::find)
+            .filter(s -> remotePrefillTokens(c) > 0 && calls.isUsable(at, c, s))
+            .map(s -> new Choice(s, 0, "", 0, 1));
+    calls.start(at, c, prefillChoice);
+  }
+
+  /** Handles the end of a call's maximum wait. */
+  void waitEnded(long at, CallState c) {
+    if (!c.awaitsReservation) {
+      return;
+    }
+    if (c.runCount > 0 || c.streamBegan) {
+      queue.remove(c);
+      calls.force(at, c);
+      return;
+    }
+    long retryAfterMillis = ReservationTimeouts.retryAfterMillis(c, at, random);
+    CallDemand demand = demand(c, at);
+    String detail =
+        "no upstream of %s has room: need %d, most free %d of %d, nodes heard %d, keeping %s"
+            .formatted(
+                c.service,
+                demand.units(),
+                upstreams.maxFree(c.service, demand),
+                demand.memoryTokens(),
+                upstreams.reportingNodes(),
+                mode);
+    calls.refuseWithRetryAfter(at, c, retryAfterMillis, detail);
+  }
+
+  /** Refuses the pending calls of this node, so that they are sent to other nodes. */
+  void drain(long at) {
+    for (CallState c : queue.own()) {
+      if (c.awaitsReservation) {
+        calls.fail(at, c, ErrorKind.NOT_READY, "the node stops");
+      }
+    }
+  }
+
+  private void report(RelayFact fact) {
+    calls.emit(new RelayEffect.Report(fact));
+  }
+}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/OpenCalls.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/OpenCalls.java
@@ -15,30 +15,30 @@
 import org.larkkeel.relay.RelayEffect;
 
 /**
- * The calls without a final answer, and what becomes free again with each that ends.
+ * The calls without a final answer, and the release of their resources when they end.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class OpenCalls {
   private static final long RETRY_AFTER_MILLIS = 200;
 
-  private final Parts parts;
+  private final Core core;
   private final Map<RequestId, CallState> calls = new HashMap<>();
 
-  OpenCalls(Parts parts) {
-    this.parts = parts;
+  OpenCalls(Core core) {
+    this.core = core;
   }
 
   void add(CallState c) {
     calls.put(c.call.id(), c);
   }
 
-  /** The call if it has no final answer yet. */
+  /** Returns the call if it has no final answer yet. */
   Optional<CallState> find(RequestId id) {
     return Optional.ofNullable(calls.get(id));
   }
 
-  boolean has(CallState c) {
+  boolean contains(CallState c) {
     return calls.containsKey(c.call.id());
   }
 
@@ -46,47 +46,52 @@
     return calls.size();
   }
 
-  /** All of them; a copy. */
+  /** Returns a copy of all calls. */
   List<CallState> all() {
     return List.copyOf(calls.values());
   }
 
-  /** Notes that an attempt is over, in whatever way. */
-  void over(AttemptState a) {
-    parts.evacuation.abandon(a);
-    parts.attempts.over(a);
+  /** Records that an attempt has ended, for whatever reason. */
+  void attemptEnded(AttemptState a) {
+    core.evacuation.attemptEnded(a);
+    core.attempts.ended(a);
   }
 
   /**
-   * Takes a call out; what was set aside for it, and its prompt if nobody took it, is free again.
+   * Removes a call and releases its reservation, its quota tokens, and its prefilled prompt if no
+   * upstream took it over.
    */
   void remove(CallState c) {
     calls.remove(c.call.id());
-    parts.prompts.free(c);
-    parts.rooms.remove(c);
-    parts.quotas.remove(c);
-    parts.permits.remove(c);
-    c.moveOut();
+    core.prefillResults.free(c);
+    core.reservations.remove(c);
+    core.quotas.remove(c);
+    core.permits.remove(c);
+    c.releaseReservation();
   }
 
-  /** Gives up the attempt that is in flight for a call, if there is one. */
-  void cancel(CallState c) {
+  /** Cancels the attempt in flight of a call, if there is one. */
+  void cancelAttempt(CallState c) {
     AttemptState a = c.attempt;
     if (a != null) {
-      parts.emit(new RelayEffect.Cancel(a.id()));
-      over(a);
+      core.emit(new RelayEffect.Cancel(a.id()));
+      attemptEnded(a);
     }
   }
 
-  /** Ends a call that has no upstream's answer. */
-  void giveUp(long at, CallState c, ErrorKind kind, String detail) {
-    giveUp(at, c, kind, RETRY_AFTER_MILLIS, detail);
+  /** Fails a call that has no upstream's answer, with the default Retry-After. */
+  void fail(long at, CallState c, ErrorKind kind, String detail) {
+    fail(at, c, kind, RETRY_AFTER_MILLIS, detail);
   }
 
-  /** As the other, with the milliseconds after which the caller may come back. */
-  void giveUp(long at, CallState c, ErrorKind kind, long retryAfter, String detail) {
+  /**
+   * Fails a call that has no upstream's answer.
+   *
+   * @param retryAfterMillis the milliseconds after which the caller may retry
+   */
+  void fail(long at, CallState c, ErrorKind kind, long retryAfterMillis, String detail) {
     remove(c);
-    parts.answers.end(at, c, kind, retryAfter, detail);
-    parts.rooms.admitWaiting(at);
+    core.answers.end(at, c, kind, retryAfterMillis, detail);
+    core.reservations.placePending(at);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Outcomes.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Outcomes.java
@@ -22,278 +22,289 @@
 import org.larkkeel.relay.Stage;
 
 /**
- * What follows from the outcome of an attempt: the final answer, another send, or a failure.
+ * Decides what follows from the outcome of an attempt: the final answer, another attempt, or a
+ * failure.
  *
- * <p>Invariant: a call that may run once is sent again only if no earlier send may have run it. Not
- * safe for use by several threads.
+ * <p>Invariant: a call that may run only once is sent again only if no earlier attempt may have run
+ * it. Not thread-safe.
  */
 public final class Outcomes {
   private static final long MILLI = 1_000_000L;
 
-  private final Parts parts;
+  private final Core core;
 
-  Outcomes(Parts parts) {
-    this.parts = parts;
+  Outcomes(Core core) {
+    this.core = core;
   }
 
-  /** A prompt has been read. */
+  /** Handles a prompt that was prefilled for another upstream. */
   public void promptRead(long at, AttemptId id, String handle) {
     AttemptState a = find(id);
     if (a == null) {
       return;
     }
-    parts.open.over(a);
+    core.openCalls.attemptEnded(a);
     CallState c = a.call();
-    learn(at, a);
-    if (!a.repeat()) {
-      c.arrivals--;
+    recordSuccess(at, a);
+    if (!a.retry()) {
+      c.arrivalCount--;
     }
     RelayUpstream source = a.upstream().upstream();
-    parts.report(new RelayFact.PromptRead(c.call.wireId(), id, source.id(), at - a.sentAt()));
-    c.reader = source.life();
-    c.prompt = new Purpose.TakeOver(source, handle);
-    parts.dispatch.run(at, c);
+    core.report(new RelayFact.PromptRead(c.call.wireId(), id, source.id(), at - a.sentAt()));
+    c.prefillUpstream = source.life();
+    c.prefilledPrompt = new Purpose.TakeOver(source, handle);
+    core.dispatch.run(at, c);
   }
 
-  private void learn(long at, AttemptState a) {
-    parts.prompts.confirmLapse(at, a);
-    boolean was = a.upstream().isStruck();
+  private void recordSuccess(long at, AttemptState a) {
+    core.prefillResults.confirmLoss(at, a);
+    boolean wasEjected = a.upstream().hasBeenEjected();
     a.upstream().succeeded(at);
-    if (was) {
-      parts.report(new RelayFact.Restored(a.upstream().upstream().id()));
+    if (wasEjected) {
+      core.report(new RelayFact.Restored(a.upstream().upstream().id()));
     }
-    parts.fleet.took(a.upstream(), at, (at - a.sentAt()) / a.call().units());
+    core.upstreams.recordUnitTime(a.upstream(), at, (at - a.sentAt()) / a.call().workUnits());
   }
 
-  /** A stream has begun. */
+  /** Handles the first event of a stream. */
   public void began(long at, AttemptId id) {
     AttemptState a = find(id);
     if (a == null) {
       return;
     }
     CallState c = a.call();
-    if (a.continues()) {
-      parts.evacuation.began(id);
+    if (a.continuesRun()) {
+      core.evacuation.attemptBegan(id);
       a.upstream().succeeded(at);
     } else {
-      learn(at, a);
+      recordSuccess(at, a);
     }
-    c.prompt = null;
-    c.attemptBeganAt = at;
-    if (!c.began) {
-      c.began = true;
-      c.beganAt = at;
+    c.prefilledPrompt = null;
+    c.attemptFirstEventAt = at;
+    if (!c.streamBegan) {
+      c.streamBegan = true;
+      c.streamBeganAt = at;
     }
-    parts.report(
+    core.report(
         new RelayFact.Began(c.call.wireId(), id, a.upstream().upstream().id(), at - c.arrivedAt));
-    parts.emit(new RelayEffect.Follow(c.call.id(), id));
+    core.emit(new RelayEffect.Follow(c.call.id(), id));
   }
 
-  /** A stream has gone on. */
+  /** Handles further events of a stream. */
   public void progressed(AttemptId id, int events) {
     AttemptState a = find(id);
-    if (a == null || a.call().home == null) {
+    if (a == null || a.call().reservedUpstream == null) {
       return;
     }
     CallState c = a.call();
-    c.generated += (long) events * parts.bounds(c.service).tokensPerEvent();
-    long units = Sizing.memory(c);
-    c.home.addLoad(units - c.homeUnits);
-    c.homeUnits = units;
+    c.generatedTokens += (long) events * core.bounds(c.service).tokensPerEvent();
+    long tokens = CallDemands.memoryTokens(c);
+    c.reservedUpstream.addLoad(tokens - c.reservedUnits);
+    c.reservedUnits = tokens;
   }
 
-  /** A whole answer is there. */
+  /** Handles a complete answer. */
   public void answered(long at, AttemptId id, AnswerGrade grade) {
     AttemptState a = find(id);
-    if (a == null || parts.evacuation.holds(at, id, Optional.of(grade))) {
+    if (a == null || core.evacuation.withholdsEnd(at, id, Optional.of(grade))) {
       return;
     }
     CallState c = a.call();
-    parts.guard.answered(at, c.call);
-    if (grade == AnswerGrade.GOOD && !c.began) {
-      learn(at, a);
+    core.crashGuard.answered(at, c.call);
+    if (grade == AnswerGrade.GOOD && !c.streamBegan) {
+      recordSuccess(at, a);
     } else if (grade == AnswerGrade.FAILED) {
       a.upstream().failed(at);
       if (mayRunAgain(at, c)) {
-        parts.open.over(a);
-        parts.attempts.failed(a, "answered_failure", true);
-        again(at, a);
+        core.openCalls.attemptEnded(a);
+        core.attempts.reportFailed(a, "answered_failure", true);
+        retryElsewhere(at, a);
         return;
       }
     }
     if (grade == AnswerGrade.GOOD) {
-      parts.evacuation.began(id);
+      core.evacuation.attemptBegan(id);
     }
-    parts.open.over(a);
-    if (c.began && grade != AnswerGrade.GOOD) {
-      // The caller has the beginning of a stream: another answer can not take its place.
-      parts.attempts.failed(a, "answered_failure", true);
-      parts.open.giveUp(at, c, ErrorKind.UPSTREAM_FAILED, "the stream could not go on");
+    core.openCalls.attemptEnded(a);
+    if (c.streamBegan && grade != AnswerGrade.GOOD) {
+      // The caller has the beginning of a stream, which no other answer can replace.
+      core.attempts.reportFailed(a, "answered_failure", true);
+      core.openCalls.fail(at, c, ErrorKind.UPSTREAM_FAILED, "the stream could not go on");
       return;
     }
-    long first = (c.began ? c.beganAt : at) - c.arrivedAt;
-    parts.report(
+    long firstEventNanos = (c.streamBegan ? c.streamBeganAt : at) - c.arrivedAt;
+    core.report(
         new RelayFact.Answered(
             c.call.wireId(),
             id,
             a.upstream().upstream().id(),
             c.rule.name().value(),
             grade,
-            first,
+            firstEventNanos,
             at - c.arrivedAt,
-            grade == AnswerGrade.GOOD && first <= c.rule.targetMillis() * MILLI));
-    c.prompt = null;
-    parts.open.remove(c);
-    parts.emit(new RelayEffect.Deliver(c.call.id(), id));
-    parts.rooms.admitWaiting(at);
+            grade == AnswerGrade.GOOD && firstEventNanos <= c.rule.targetMillis() * MILLI));
+    c.prefilledPrompt = null;
+    core.openCalls.remove(c);
+    core.emit(new RelayEffect.Deliver(c.call.id(), id));
+    core.reservations.placePending(at);
   }
 
-  /** Runs a call at another upstream than that of an attempt. */
-  private void again(long at, AttemptState a) {
-    a.call().suspect = null;
-    a.call().without.add(a.upstream().life());
-    parts.dispatch.run(at, a.call());
+  /** Runs a call at an upstream other than that of an attempt. */
+  private void retryElsewhere(long at, AttemptState a) {
+    a.call().suspectUpstream = null;
+    a.call().excluded.add(a.upstream().incarnation());
+    core.dispatch.run(at, a.call());
   }
 
-  /** Whether a call whose last send may have run may be sent once more. */
+  /** Returns whether a call whose last attempt may have run may be sent again. */
   boolean mayRunAgain(long at, CallState c) {
     return c.rule.kind().isRepeatable()
-        && c.runs < c.rule.maxRuns()
-        && c.sends < Dispatch.MOST_SENDS
+        && c.runCount < c.rule.maxRuns()
+        && c.attemptCount < Dispatch.MAX_ATTEMPTS
         && at < c.deadline
-        && parts.repeats.allows(at, c.service);
+        && core.retryBudget.allows(at, c.service);
   }
 
-  /** An attempt has not run. */
+  /** Handles an attempt that has not run. */
   public void refused(long at, AttemptId id, RefusalCause cause) {
     AttemptState a = find(id);
     if (a == null) {
       return;
     }
-    parts.open.over(a);
+    core.openCalls.attemptEnded(a);
     CallState c = a.call();
-    if (a.beginsRun()) {
-      c.runs--;
+    if (a.startsRun()) {
+      c.runCount--;
     }
-    parts.attempts.failed(a, cause.name(), false);
-    boolean goesOn =
+    core.attempts.reportFailed(a, cause.name(), false);
+    boolean continues =
         switch (cause) {
           case NOT_SENT -> notSent(at, a);
           case WRONG_UPSTREAM -> replaced(at, a);
           case DECLINED -> declined(at, a);
         };
-    if (goesOn) {
+    if (continues) {
       return;
     }
-    if (!a.continues()) {
-      again(at, a);
+    if (!a.continuesRun()) {
+      retryElsewhere(at, a);
     } else if (mayRunAgain(at, c)) {
-      parts.dispatch.run(at, c);
+      core.dispatch.run(at, c);
     } else {
-      parts.open.giveUp(at, c, ErrorKind.UPSTREAM_FAILED, "the copy of its run was " + cause);
+      core.openCalls.fail(at, c, ErrorKind.UPSTREAM_FAILED, "the copy of its run was " + cause);
     }
   }
 
-  /** Takes back what was counted for a send that reached nobody; the call goes elsewhere. */
+  /** Undoes the counts of an attempt that reached no upstream; the call is sent to another one. */
   private boolean notSent(long at, AttemptState a) {
-    a.call().arrivals--;
-    if (a.repeat()) {
-      parts.repeats.giveBack(a.sentAt(), a.call().service);
+    a.call().arrivalCount--;
+    if (a.retry()) {
+      core.retryBudget.release(a.sentAt(), a.call().service);
     }
-    strike(at, a, RefusalCause.NOT_SENT.name(), true);
+    recordHardFailure(at, a, RefusalCause.NOT_SENT.name(), true);
     return false;
   }
 
-  /** The upstream is not what was listed; the call goes elsewhere. */
+  /** Ejects an upstream that is not the listed one; the call is sent to another one. */
   private boolean replaced(long at, AttemptState a) {
     a.upstream().replaced(at);
-    parts.guard.lifeEnded(at, a.upstream().life(), "address_taken");
+    core.crashGuard.incarnationEnded(at, a.upstream().incarnation(), "address_taken");
     return false;
   }
 
-  /** Whether a declined call goes on at the same upstream. */
+  /** Handles a declined attempt; returns whether the call continues at the same upstream. */
   private boolean declined(long at, AttemptState a) {
-    if (a.purpose() instanceof Purpose.TakeOver t && readsItself(at, a, t)) {
+    if (a.purpose() instanceof Purpose.TakeOver t && prefillLocally(at, a, t)) {
       return true;
     }
     long until = a.upstream().declined(at);
-    parts.timers.add(new Timers.Due.Contest(until));
+    core.timers.add(new Timers.Timer.PlacementRetry(until));
     return false;
   }
 
-  /** Whether a call whose prompt was declined goes on at the same upstream, which reads it. */
-  private boolean readsItself(long at, AttemptState a, Purpose.TakeOver prompt) {
+  /**
+   * Sends a call whose prefilled prompt was declined to the same upstream again, which then
+   * prefills it locally; returns false if the call is to continue elsewhere.
+   */
+  private boolean prefillLocally(long at, AttemptState a, Purpose.TakeOver prompt) {
     CallState c = a.call();
-    if (parts.prompts.goesOnElsewhere(c, prompt, () -> hasOther(at, a))) {
+    if (core.prefillResults.continuesElsewhere(c, prompt, () -> hasOtherUpstream(at, a))) {
       return false;
     }
-    if (!a.upstream().takesWork(at)) {
+    if (!a.upstream().acceptsWork(at)) {
       return false;
     }
-    parts.dispatch.send(
-        at, c, new Choice(a.upstream(), 0, "", 0, 1), parts.dispatch.purpose(at, c), 0);
+    core.dispatch.send(
+        at, c, new Choice(a.upstream(), 0, "", 0, 1), core.dispatch.purpose(at, c), 0);
     return true;
   }
 
-  private boolean hasOther(long at, AttemptState a) {
+  private boolean hasOtherUpstream(long at, AttemptState a) {
     CallState c = a.call();
-    Set<UpstreamLife> without = new HashSet<>(c.without);
-    without.add(a.upstream().life());
-    return parts
-        .fleet
+    Set<UpstreamLife> excluded = new HashSet<>(c.excluded);
+    excluded.add(a.upstream().incarnation());
+    return core.upstreams
         .choose(
-            at, c.service, Stage::runs, without, parts.settings.place(), parts.rooms.need(c, at))
+            at,
+            c.service,
+            Stage::runs,
+            excluded,
+            core.settings.place(),
+            core.reservations.demand(c, at))
         .isPresent();
   }
 
-  /** An attempt may have run, and its answer is lost. */
+  /** Handles an attempt that may have run and whose answer is lost. */
   public void lost(long at, AttemptId id, FailureCause cause) {
     AttemptState a = find(id);
-    if (a == null || parts.evacuation.holds(at, id, Optional.empty())) {
+    if (a == null || core.evacuation.withholdsEnd(at, id, Optional.empty())) {
       return;
     }
-    parts.open.over(a);
+    core.openCalls.attemptEnded(a);
     CallState c = a.call();
-    parts.prompts.free(c);
-    parts.attempts.failed(a, cause.name(), true);
+    core.prefillResults.free(c);
+    core.attempts.reportFailed(a, cause.name(), true);
     if (cause == FailureCause.CONNECTION_LOST) {
-      parts.attempts.broken(at, a);
-      parts.guard.broken(at, a);
+      core.attempts.reportBroken(at, a);
+      core.crashGuard.connectionLost(at, a);
     }
-    strike(at, a, cause.name(), cause == FailureCause.TIMED_OUT);
-    goOnWithout(at, a, cause.name());
+    recordHardFailure(at, a, cause.name(), cause == FailureCause.TIMED_OUT);
+    retryOrFail(at, a, cause.name());
   }
 
-  /** Sends a call elsewhere whose attempt is lost, if it may; else it ends. */
-  void goOnWithout(long at, AttemptState a, String cause) {
-    if (!a.runs() || mayRunAgain(at, a.call())) {
-      again(at, a);
+  /**
+   * Sends a call whose attempt was lost to another upstream if it may run again; else fails the
+   * call.
+   */
+  void retryOrFail(long at, AttemptState a, String cause) {
+    if (!a.mayRun() || mayRunAgain(at, a.call())) {
+      retryElsewhere(at, a);
     } else {
-      parts.open.giveUp(at, a.call(), ErrorKind.UPSTREAM_FAILED, cause);
+      core.openCalls.fail(at, a.call(), ErrorKind.UPSTREAM_FAILED, cause);
     }
   }
 
-  private void strike(long at, AttemptState a, String cause, boolean hard) {
-    long time = a.upstream().struck(at, hard);
-    if (time > 0) {
-      parts.report(new RelayFact.Ejected(a.upstream().upstream().id(), cause, time));
+  private void recordHardFailure(long at, AttemptState a, String cause, boolean ejectNow) {
+    long ejectedNanos = a.upstream().failedHard(at, ejectNow);
+    if (ejectedNanos > 0) {
+      core.report(new RelayFact.Ejected(a.upstream().upstream().id(), cause, ejectedNanos));
     }
   }
 
-  void impatient(long at, AttemptId id) {
+  void timedOut(long at, AttemptId id) {
     AttemptState a = find(id);
-    if (a == null || a.call().began) {
+    if (a == null || a.call().streamBegan) {
       return;
     }
-    if (a.runs() && !mayRunAgain(at, a.call())) {
+    if (a.mayRun() && !mayRunAgain(at, a.call())) {
       return;
     }
-    parts.emit(new RelayEffect.Cancel(id));
+    core.emit(new RelayEffect.Cancel(id));
     lost(at, id, FailureCause.TIMED_OUT);
   }
 
-  /** The attempt if it is in flight still, or null. */
+  /** Returns the attempt if it is still in flight; else null. */
   private AttemptState find(AttemptId id) {
-    return parts.attempts.find(id).orElse(null);
+    return core.attempts.find(id).orElse(null);
   }
 }
--- /dev/null
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/PendingReservation.java
@@ -0,0 +1,47 @@
+/*
+ * Copyright (C) 2026 The larkkeel authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+
+package org.larkkeel.relay.internal;
+
+import java.util.Set;
+import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.relay.ServiceName;
+
+/**
+ * A call of this node, or one of another node that requests a reservation from this node, while it
+ * needs a reservation.
+ *
+ * <p>Invariant: it is in the {@link ReservationQueue} exactly while {@link #isWaiting}. Not
+ * thread-safe.
+ */
+sealed interface PendingReservation permits CallState, RemoteReservation {
+  /** Returns the service whose upstreams may run the call. */
+  ServiceName service();
+
+  /** Returns the arrival time of the call at its node, by this node's clock. */
+  long arrivedAt();
+
+  /** Returns the time after the arrival within which the call meets its target, in nanoseconds. */
+  long targetNanos();
+
+  /** Returns whether the caller was not refused before. */
+  boolean isFirstTry();
+
+  /** Returns whether the caller has the beginning of a stream that is to continue. */
+  boolean isStreaming();
+
+  /** Returns whether the call can still meet its target if its work begins now. */
+  boolean canMeetTarget(long at);
+
+  /** Returns the excluded upstreams. */
+  Set<UpstreamLife> excluded();
+
+  /** Returns whether the call waits for a reservation. */
+  boolean isWaiting();
+
+  /** Sets whether the call waits for a reservation. */
+  void setWaiting(boolean waiting);
+}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/PermitQueue.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/PermitQueue.java
@@ -14,75 +14,81 @@
 import org.larkkeel.relay.RelayFact;
 
 /**
- * Calls that need no memory and whose upstreams have all used their limits up.
+ * Queues calls that need no memory and whose upstreams have all used up their rate limits.
  *
- * <p>They wait for a permit for a part of their target, the most urgent first; one that can have
- * none by then is told at once when to come back. Not safe for use by several threads.
+ * <p>A call waits for a permit for a part of its target, the most urgent call first; a call that
+ * cannot get one by then is refused immediately with a Retry-After. Not thread-safe.
  */
 final class PermitQueue {
-  /** The part of a call's target that it may wait. */
-  private static final double PATIENCE = 0.4;
+  /** The share of a call's target for which it may wait. */
+  private static final double MAX_WAIT_SHARE = 0.4;
 
   private static final Comparator<CallState> ORDER =
       Comparator.comparingInt((CallState c) -> c.rule.priority())
           .thenComparingLong(c -> c.arrivedAt);
 
-  private final Parts parts;
+  private final Core core;
   private final List<CallState> waiting = new ArrayList<>();
 
-  PermitQueue(Parts parts) {
-    this.parts = parts;
+  PermitQueue(Core core) {
+    this.core = core;
   }
 
   /**
-   * Lets a call wait, or tells its caller when to come back.
+   * Queues a call, or refuses it with a Retry-After.
    *
-   * @param permitAt when the first of its upstreams takes requests again
+   * @param permitAt the time at which the first of its upstreams accepts requests again
    */
   void await(long at, CallState c, long permitAt) {
-    long until = Math.min(c.deadline, at + (long) (PATIENCE * c.targetNanos()));
+    long until = Math.min(c.deadline, at + (long) (MAX_WAIT_SHARE * c.targetNanos()));
     if (permitAt > until) {
       refuse(at, c, permitAt);
       return;
     }
     c.awaitsPermit = true;
-    c.permitUntil = until;
+    c.permitWaitUntil = until;
     waiting.add(c);
-    parts.timers.add(new Timers.Due.Permit(until, c.call.id()));
-    parts.report(new RelayFact.PermitAwaited(c.call.wireId(), c.service.value(), until - at));
+    core.timers.add(new Timers.Timer.PermitTimeout(until, c.call.id()));
+    core.report(new RelayFact.PermitAwaited(c.call.wireId(), c.service.value(), until - at));
   }
 
   private void refuse(long at, CallState c, long permitAt) {
-    long millis = RoomTimes.restMillis(at, permitAt, parts.random);
-    parts.open.giveUp(at, c, ErrorKind.OVERLOADED, millis, RoomTimes.closed(c.service));
+    long millis = ReservationTimeouts.retryAfterBackoffMillis(at, permitAt, core.random);
+    core.openCalls.fail(
+        at, c, ErrorKind.OVERLOADED, millis, ReservationTimeouts.notAcceptingDetail(c.service));
   }
 
-  /** The coordinator has answered: calls go on for which there is a permit, or are refused. */
+  /**
+   * Handles a grant of the quota coordinator: sends the calls for which there is a permit, and
+   * refuses those that cannot get one in time.
+   */
   void granted(long at) {
     for (CallState c : waiting.stream().sorted(ORDER).toList()) {
-      look(at, c, c.permitUntil);
+      check(at, c, c.permitWaitUntil);
     }
   }
 
-  private void look(long at, CallState c, long until) {
+  private void check(long at, CallState c, long until) {
     if (!c.awaitsPermit) {
       return;
     }
-    OptionalLong opens = parts.fleet.takesWorkAt(at, c.service, c.without);
-    if (opens.isEmpty()) {
+    OptionalLong opensAt = core.upstreams.acceptsWorkAt(at, c.service, c.excluded);
+    if (opensAt.isEmpty()) {
       remove(c);
-      parts.dispatch.run(at, c);
-    } else if (opens.getAsLong() > until) {
-      refuse(at, c, opens.getAsLong());
+      core.dispatch.run(at, c);
+    } else if (opensAt.getAsLong() > until) {
+      refuse(at, c, opensAt.getAsLong());
     }
   }
 
-  /** A call has waited for long enough. */
-  void due(long at, CallState c) {
-    look(at, c, Long.MIN_VALUE);
+  /**
+   * Handles the end of a call's maximum wait: sends the call if there is a permit, else refuses it.
+   */
+  void waitEnded(long at, CallState c) {
+    check(at, c, Long.MIN_VALUE);
   }
 
-  /** A call waits no more. */
+  /** Removes a call that waits for a permit; does nothing for another. */
   void remove(CallState c) {
     if (c.awaitsPermit) {
       c.awaitsPermit = false;
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quarantine.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quarantine.java
@@ -22,69 +22,69 @@
 import org.larkkeel.relay.Suspect;
 
 /**
- * The requests that upstreams had when they ended, and which of them are not sent any more.
+ * The requests that upstreams had when they crashed, and which of them are quarantined.
  *
- * <p>A request is quarantined from the third end on, for a time that doubles with each further one.
- * Then it may be tried again; nodes go over to that at different times, so that mostly one of them
- * tries. A whole answer to it on any node makes it a request like others.
+ * <p>A request is quarantined from the third crash on, for a time that doubles with each further
+ * one. Then it may be tried again; the nodes do so at different times, so that usually only one of
+ * them tries. A complete answer to the request on any node clears it.
  *
- * <p>Invariants: each life of an upstream counts once for a request, whoever tells of it; at most
- * {@link #MOST} requests are known, those with more ends longest. Not safe for use by several
- * threads.
+ * <p>Invariants: each incarnation of an upstream counts once for a request, whoever reports it; at
+ * most {@link #MAX_REQUESTS} requests are kept, those with more crashes for longest. Not
+ * thread-safe.
  */
 final class Quarantine {
-  static final int MOST = 512;
+  static final int MAX_REQUESTS = 512;
   private static final long SECOND = 1_000_000_000L;
 
-  /** How long a request is quarantined after its third end. */
-  static final long HOLD_NANOS = 600 * SECOND;
+  /** The duration of the quarantine after the third crash. */
+  static final long QUARANTINE_NANOS = 600 * SECOND;
 
-  private static final int MOST_DOUBLINGS = 3;
+  private static final int MAX_DOUBLINGS = 3;
 
-  /** Nodes try a request again within this time of each other. */
-  private static final long SPREAD_NANOS = 60 * SECOND;
+  /** The maximum random difference between the times at which nodes try a request again. */
+  private static final long MAX_SPREAD_NANOS = 60 * SECOND;
 
-  /** How long an end counts towards the next. */
-  private static final long FORGET_NANOS = 600 * SECOND;
+  /** The minimum time for which a crash counts towards the next. */
+  private static final long MIN_RETENTION_NANOS = 600 * SECOND;
 
-  /** Requests with fewer ends are told to others for this long only. */
-  private static final long NEWS_NANOS = 10 * SECOND;
+  /** The time for which a request with at most one crash is reported to other nodes. */
+  private static final long REPORT_NANOS = 10 * SECOND;
 
-  private static final int MOST_ENDS = 8;
+  private static final int MAX_CRASHES = 8;
 
   private final Map<Fingerprint, Entry> entries = new HashMap<>();
   private final SplittableRandom random;
 
-  /** What is known of one request. */
+  /** The known crashes of one request. */
   private static final class Entry {
-    private final Map<UpstreamLife, Long> ends = new LinkedHashMap<>();
-    private final long spread;
-    private int epoch;
+    private final Map<UpstreamLife, Long> crashes = new LinkedHashMap<>();
+    private final long spreadNanos;
+    private int clearanceEpoch;
     private long changedAt;
 
-    Entry(long spread) {
-      this.spread = spread;
+    Entry(long spreadNanos) {
+      this.spreadNanos = spreadNanos;
     }
 
-    private long lastEnd() {
-      return ends.isEmpty() ? changedAt : Collections.max(ends.values());
+    private long lastCrashAt() {
+      return crashes.isEmpty() ? changedAt : Collections.max(crashes.values());
     }
 
-    private long holdNanos() {
-      long hold = Quarantine.holdNanos(ends.size());
-      return hold == 0 ? 0 : hold + spread;
+    private long quarantineNanos() {
+      long base = Quarantine.quarantineNanos(crashes.size());
+      return base == 0 ? 0 : base + spreadNanos;
     }
 
     private long remainingNanos(long at) {
-      return Math.max(0, lastEnd() + holdNanos() - at);
+      return Math.max(0, lastCrashAt() + quarantineNanos() - at);
     }
 
-    private boolean isForgotten(long at) {
-      return Quarantine.isForgotten(at - lastEnd(), ends.size());
+    private boolean isExpired(long at) {
+      return Quarantine.isExpired(at - lastCrashAt(), crashes.size());
     }
 
-    private boolean isWorthTelling(long at) {
-      return ends.size() > 1 || at - changedAt < NEWS_NANOS;
+    private boolean shouldReport(long at) {
+      return crashes.size() > 1 || at - changedAt < REPORT_NANOS;
     }
   }
 
@@ -92,154 +92,167 @@
     this.random = random;
   }
 
-  /** For how long a request is quarantined still, in nanoseconds; 0 if it is not. */
+  /** Returns the remaining quarantine of a request in nanoseconds; 0 if it is not quarantined. */
   long remainingNanos(long at, RequestIdentity request) {
     return entries.isEmpty() ? 0 : remainingNanos(at, request.fingerprint());
   }
 
-  /** As the other, of a request by its name. */
+  /**
+   * Returns the remaining quarantine of the request with a fingerprint in nanoseconds; 0 if it is
+   * not quarantined.
+   */
   long remainingNanos(long at, Fingerprint request) {
     Entry e = entries.get(request);
     return e == null ? 0 : e.remainingNanos(at);
   }
 
-  /** How many ends count for a request. */
-  int ends(Fingerprint request) {
+  /** Returns the number of crashes that count for a request. */
+  int crashCount(Fingerprint request) {
     Entry e = entries.get(request);
-    return e == null ? 0 : e.ends.size();
+    return e == null ? 0 : e.crashes.size();
   }
 
-  /** Notes that a life of an upstream has ended under a request; says whether that is new. */
-  boolean ended(long at, Fingerprint request, UpstreamLife life) {
-    Entry e = entry(at, request);
-    return add(e, life, at, at);
+  /**
+   * Records that an incarnation of an upstream crashed while it had a request; returns whether that
+   * is new.
+   */
+  boolean recordCrash(long at, Fingerprint request, UpstreamLife incarnation) {
+    Entry e = getOrCreate(at, request);
+    return addCrash(e, incarnation, at, at);
   }
 
-  private static boolean add(Entry e, UpstreamLife life, long endedAt, long now) {
-    Long known = e.ends.get(life);
+  private static boolean addCrash(Entry e, UpstreamLife incarnation, long crashedAt, long now) {
+    Long known = e.crashes.get(incarnation);
     if (known != null) {
-      e.ends.put(life, Math.min(known, endedAt));
+      e.crashes.put(incarnation, Math.min(known, crashedAt));
       return false;
     }
-    e.ends.put(life, endedAt);
-    if (e.ends.size() > MOST_ENDS) {
+    e.crashes.put(incarnation, crashedAt);
+    if (e.crashes.size() > MAX_CRASHES) {
       Map.Entry<UpstreamLife, Long> oldest =
-          Collections.min(e.ends.entrySet(), Map.Entry.comparingByValue());
-      e.ends.remove(oldest.getKey());
+          Collections.min(e.crashes.entrySet(), Map.Entry.comparingByValue());
+      e.crashes.remove(oldest.getKey());
     }
     e.changedAt = now;
     return true;
   }
 
   /**
-   * Takes over what another node knows.
+   * Merges the report of another node.
    *
-   * @return whether the request is quarantined only since then
+   * @return whether the report has put the request into quarantine
    */
-  boolean heard(long at, Suspect told) {
-    Entry known = entries.get(told.request());
-    if (known != null && known.epoch > told.epoch()) {
-      // Who tells an earlier epoch is to hear of this one.
+  boolean merge(long at, Suspect report) {
+    Entry known = entries.get(report.request());
+    if (known != null && known.clearanceEpoch > report.epoch()) {
+      // A node that reports an earlier clearance epoch has not received this one, so report it
+      // again.
       known.changedAt = at;
       return false;
     }
-    if (known == null && isOld(told)) {
+    if (known == null && isExpiredReport(report)) {
       return false;
     }
-    boolean wasQuarantined = remainingNanos(at, told.request()) > 0;
-    Entry e = entry(at, told.request());
-    if (e.epoch < told.epoch()) {
-      startEpoch(at, e, told.epoch());
+    boolean wasQuarantined = remainingNanos(at, report.request()) > 0;
+    Entry e = getOrCreate(at, report.request());
+    if (e.clearanceEpoch < report.epoch()) {
+      startClearanceEpoch(at, e, report.epoch());
     }
-    told.ends().forEach((life, age) -> add(e, life, at - age, at));
+    report.ends().forEach((incarnation, age) -> addCrash(e, incarnation, at - age, at));
     return !wasQuarantined && e.remainingNanos(at) > 0;
   }
 
-  private static boolean isOld(Suspect told) {
-    return !told.ends().isEmpty()
-        && isForgotten(Collections.min(told.ends().values()), told.ends().size());
+  private static boolean isExpiredReport(Suspect report) {
+    return !report.ends().isEmpty()
+        && isExpired(Collections.min(report.ends().values()), report.ends().size());
   }
 
-  private static long holdNanos(int ends) {
-    int doublings = Math.min(ends - Suspect.ENDS_TO_QUARANTINE, MOST_DOUBLINGS);
-    return doublings < 0 ? 0 : HOLD_NANOS << doublings;
+  private static long quarantineNanos(int crashes) {
+    int doublings = Math.min(crashes - Suspect.ENDS_TO_QUARANTINE, MAX_DOUBLINGS);
+    return doublings < 0 ? 0 : QUARANTINE_NANOS << doublings;
   }
 
-  /** Whether nothing is to be known any more of ends of which the last is so long ago. */
-  private static boolean isForgotten(long lastNanos, int ends) {
-    return lastNanos > 2 * (holdNanos(ends) + SPREAD_NANOS) + FORGET_NANOS;
+  /** Returns whether crashes, the last of which is this old, no longer count. */
+  private static boolean isExpired(long lastCrashAgeNanos, int crashes) {
+    return lastCrashAgeNanos
+        > 2 * (quarantineNanos(crashes) + MAX_SPREAD_NANOS) + MIN_RETENTION_NANOS;
   }
 
-  /** Lets a request be one like others; says whether anything counted against it. */
+  /** Clears a request; returns whether any crash counted against it. */
   boolean clear(long at, Fingerprint request) {
     Entry e = entries.get(request);
-    if (e == null || e.ends.isEmpty()) {
+    if (e == null || e.crashes.isEmpty()) {
       return false;
     }
-    startEpoch(at, e, e.epoch + 1);
+    startClearanceEpoch(at, e, e.clearanceEpoch + 1);
     return true;
   }
 
-  /** As the other, of a request whose name is not computed while none is known. */
+  /** Clears a request; computes its fingerprint only if any request is known. */
   boolean clear(long at, RequestIdentity request) {
     return !entries.isEmpty() && clear(at, request.fingerprint());
   }
 
-  private static void startEpoch(long at, Entry e, int epoch) {
-    e.epoch = epoch;
-    e.ends.clear();
+  private static void startClearanceEpoch(long at, Entry e, int epoch) {
+    e.clearanceEpoch = epoch;
+    e.crashes.clear();
     e.changedAt = at;
   }
 
-  private Entry entry(long at, Fingerprint request) {
+  private Entry getOrCreate(long at, Fingerprint request) {
     Entry e = entries.get(request);
     if (e == null) {
-      forgetOne(at);
-      e = new Entry(random.nextLong(SPREAD_NANOS));
+      evictOne(at);
+      e = new Entry(random.nextLong(MAX_SPREAD_NANOS));
       e.changedAt = at;
       entries.put(request, e);
     }
     return e;
   }
 
-  /** Makes room for another, at the cost of those that matter least. */
-  private void forgetOne(long at) {
-    entries.values().removeIf(e -> e.isForgotten(at));
-    if (entries.size() < MOST) {
+  /**
+   * Makes space for another entry by dropping the expired ones, or else the one with the fewest and
+   * oldest crashes.
+   */
+  private void evictOne(long at) {
+    entries.values().removeIf(e -> e.isExpired(at));
+    if (entries.size() < MAX_REQUESTS) {
       return;
     }
     entries.entrySet().stream()
         .min(
-            Comparator.comparingInt((Map.Entry<Fingerprint, Entry> e) -> e.getValue().ends.size())
-                .thenComparingLong(e -> e.getValue().lastEnd()))
+            Comparator.comparingInt(
+                    (Map.Entry<Fingerprint, Entry> e) -> e.getValue().crashes.size())
+                .thenComparingLong(e -> e.getValue().lastCrashAt()))
         .ifPresent(e -> entries.remove(e.getKey()));
   }
 
-  /** What is known of a request; empty if it is nothing. */
+  /** Returns the report on a request; empty if the request is not known. */
   Optional<Suspect> find(long at, Fingerprint request) {
-    return Optional.ofNullable(entries.get(request)).map(e -> told(at, request, e));
+    return Optional.ofNullable(entries.get(request)).map(e -> toReport(at, request, e));
   }
 
-  /** All that others are to know, those with most ends first. */
-  ImmutableList<Suspect> toTell(long at) {
+  /** Returns the reports for other nodes, those with the most crashes first. */
+  ImmutableList<Suspect> reports(long at) {
     if (entries.isEmpty()) {
       return ImmutableList.of();
     }
     for (Iterator<Entry> i = entries.values().iterator(); i.hasNext(); ) {
-      if (i.next().isForgotten(at)) {
+      if (i.next().isExpired(at)) {
         i.remove();
       }
     }
     return entries.entrySet().stream()
-        .filter(e -> e.getValue().isWorthTelling(at))
-        .sorted(Comparator.comparingInt(e -> -e.getValue().ends.size()))
-        .map(e -> told(at, e.getKey(), e.getValue()))
+        .filter(e -> e.getValue().shouldReport(at))
+        .sorted(Comparator.comparingInt(e -> -e.getValue().crashes.size()))
+        .map(e -> toReport(at, e.getKey(), e.getValue()))
         .collect(ImmutableList.toImmutableList());
   }
 
-  private static Suspect told(long at, Fingerprint request, Entry e) {
+  private static Suspect toReport(long at, Fingerprint request, Entry e) {
     ImmutableMap.Builder<UpstreamLife, Long> ages = ImmutableMap.builder();
-    e.ends.forEach((life, endedAt) -> ages.put(life, Math.max(0, at - endedAt)));
-    return new Suspect(request, e.epoch, ages.buildOrThrow());
+    e.crashes.forEach(
+        (incarnation, crashedAt) -> ages.put(incarnation, Math.max(0, at - crashedAt)));
+    return new Suspect(request, e.clearanceEpoch, ages.buildOrThrow());
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quotas.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quotas.java
@@ -23,41 +23,41 @@
 import org.larkkeel.relay.RelayWorkspace;
 
 /**
- * Holds calls to the quotas of their workspaces, before anything is spent on them.
+ * Enforces the quotas of workspaces before any work is spent on their calls.
  *
- * <p>Invariant: the tokens of a call that no upstream has run are given back once, when it ends.
- * Not safe for use by several threads.
+ * <p>Invariant: the tokens of a call that no upstream has run are returned once, when the call
+ * ends. Not thread-safe.
  */
 final class Quotas {
   private static final double MILLI = 1e6;
 
-  /** The part of a call's target that it may wait for tokens to refill. */
-  private static final double PATIENCE = 0.4;
+  /** The share of a call's target for which it may wait for tokens to refill. */
+  private static final double MAX_WAIT_SHARE = 0.4;
 
-  /** Callers that are told the same time come back spread over this part of it. */
-  private static final double SPREAD = 0.25;
+  /** The share of the Retry-After over which callers that get the same time are spread. */
+  private static final double RETRY_AFTER_SPREAD = 0.25;
 
   private final Timers timers;
   private final SplittableRandom random;
-  private final HeldQuotas held;
-  private final UpstreamRates rates;
+  private final HeldQuotas heldQuotas;
+  private final UpstreamRateLimits rateLimits;
   private final Calls calls;
 
-  /** What is needed of the calls. */
+  /** Access to the calls. */
   interface Calls {
-    /** The configuration in force; null if there is none. */
+    /** Returns the configuration in force; null if there is none. */
     RelayConfiguration configuration();
 
-    /** The call that waits under an id, if there still is one. */
+    /** Returns the call of an outcome, if it has not ended. */
     Optional<CallState> find(QuotaHolder.Outcome outcome);
 
-    /** Goes on with a call that is within its quota. */
+    /** Continues with a call that is within its quota. */
     void admitted(long at, CallState c);
 
-    /** Goes on with calls that wait for a permit to their upstreams. */
+    /** Continues with calls that wait for a permit for their upstreams. */
     void permitsGranted(long at);
 
-    /** Ends a call that is not. */
+    /** Refuses a call that is not within its quota. */
     void refuse(long at, CallState c, ErrorKind kind, long retryAfterMillis, String detail);
   }
 
@@ -66,46 +66,48 @@
   Quotas(
       Timers timers,
       SplittableRandom random,
-      HeldQuotas held,
-      UpstreamRates rates,
+      HeldQuotas heldQuotas,
+      UpstreamRateLimits rateLimits,
       Calls calls,
       Consumer<RelayEffect> effects) {
     this.timers = timers;
     this.random = random;
-    this.held = held;
-    this.rates = rates;
+    this.heldQuotas = heldQuotas;
+    this.rateLimits = rateLimits;
     this.calls = calls;
     this.effects = effects;
   }
 
-  /** Goes on with a call, lets it wait, or refuses it. */
+  /** Continues with a call, lets it wait for tokens, or refuses it. */
   void admit(long at, CallState c) {
-    Optional<RelayWorkspace> limited = c.workspace.filter(w -> w.limit().isLimited());
-    if (limited.isEmpty()) {
+    Optional<RelayWorkspace> limitedWorkspace = c.workspace.filter(w -> w.limit().isLimited());
+    if (limitedWorkspace.isEmpty()) {
       calls.admitted(at, c);
       return;
     }
-    RelayWorkspace w = limited.get();
-    c.quotaOf = new QuotaKey.OfWorkspace(w.name());
+    RelayWorkspace w = limitedWorkspace.get();
+    c.quotaKey = new QuotaKey.OfWorkspace(w.name());
     c.quotaTokens = w.cost(c.call.size());
-    boolean alone = held.at(at).isAlone(at);
-    decided(
+    boolean alone = heldQuotas.holderAt(at).isAlone(at);
+    applyDecision(
         at,
         c,
-        held.at(at).take(at, c.call.id(), c.quotaOf, w.limit(), c.quotaTokens, patience(c)),
+        heldQuotas
+            .holderAt(at)
+            .take(at, c.call.id(), c.quotaKey, w.limit(), c.quotaTokens, maxWaitNanos(c)),
         alone);
   }
 
-  private static long patience(CallState c) {
-    return (long) (PATIENCE * c.targetNanos());
+  private static long maxWaitNanos(CallState c) {
+    return (long) (MAX_WAIT_SHARE * c.targetNanos());
   }
 
-  private void decided(long at, CallState c, QuotaHolder.Decision decision, boolean alone) {
+  private void applyDecision(long at, CallState c, QuotaHolder.Decision decision, boolean alone) {
     switch (decision) {
       case QuotaHolder.Decision.Waits d -> {
         c.awaitsQuota = true;
-        long longest = Math.max(QuotaHolder.WAIT_NANOS, patience(c));
-        timers.add(new Timers.Due.Quota(at + longest, c.call.id()));
+        long maxWait = Math.max(QuotaHolder.WAIT_NANOS, maxWaitNanos(c));
+        timers.add(new Timers.Timer.QuotaTimeout(at + maxWait, c.call.id()));
       }
       case QuotaHolder.Decision.Granted d -> {
         c.holdsQuota = true;
@@ -117,10 +119,10 @@
   }
 
   private void refuse(long at, CallState c, long waitNanos, boolean alone) {
-    WorkspaceName name = c.quotaOf.workspace();
+    WorkspaceName name = c.quotaKey.workspace();
     QuotaOutcome outcome = alone ? QuotaOutcome.REFUSED_ALONE : QuotaOutcome.REFUSED;
-    report(at, c, outcome, held.at(at).held(c.quotaOf), waitNanos);
-    double spread = 1 + SPREAD * random.nextDouble();
+    report(at, c, outcome, heldQuotas.holderAt(at).held(c.quotaKey), waitNanos);
+    double spread = 1 + RETRY_AFTER_SPREAD * random.nextDouble();
     long millis = waitNanos == 0 ? 0 : 1 + (long) (waitNanos / MILLI * spread);
     String detail =
         waitNanos == 0
@@ -129,76 +131,82 @@
     calls.refuse(at, c, ErrorKind.WORKSPACE_LIMIT, millis, detail);
   }
 
-  /** The coordinator has answered. */
+  /** Handles a grant of the quota coordinator. */
   void granted(long at, QuotaGrant grant) {
-    for (QuotaHolder.Outcome outcome : held.at(at).granted(at, grant)) {
-      calls.find(outcome).ifPresent(c -> settled(at, c, outcome.decision(), false));
+    for (QuotaHolder.Outcome outcome : heldQuotas.holderAt(at).granted(at, grant)) {
+      calls.find(outcome).ifPresent(c -> waitEnded(at, c, outcome.decision(), false));
     }
-    if (rates.haveLimits()) {
+    if (rateLimits.hasLimits()) {
       calls.permitsGranted(at);
     }
   }
 
-  private void settled(long at, CallState c, QuotaHolder.Decision decision, boolean alone) {
+  private void waitEnded(long at, CallState c, QuotaHolder.Decision decision, boolean alone) {
     c.awaitsQuota = false;
-    decided(at, c, decision, alone);
+    applyDecision(at, c, decision, alone);
   }
 
-  /** A call has waited for the coordinator for long enough. */
-  void due(long at, CallState c) {
+  /** Handles the end of a call's maximum wait for the quota coordinator. */
+  void waitTimedOut(long at, CallState c) {
     if (c.awaitsQuota) {
-      held.at(at)
-          .decideNow(at, c.call.id(), c.quotaOf)
-          .ifPresent(d -> settled(at, c, d, held.at(at).isSilent(at)));
+      heldQuotas
+          .holderAt(at)
+          .decideNow(at, c.call.id(), c.quotaKey)
+          .ifPresent(d -> waitEnded(at, c, d, heldQuotas.holderAt(at).isSilent(at)));
     }
   }
 
-  /** A call has ended. */
+  /** Handles the end of a call: returns its tokens if no upstream may have run it. */
   void remove(CallState c) {
     if (c.awaitsQuota) {
       c.awaitsQuota = false;
-      held.begun().abandon(c.call.id(), c.quotaOf);
+      heldQuotas.existingHolder().abandon(c.call.id(), c.quotaKey);
     }
     if (c.holdsQuota) {
       c.holdsQuota = false;
-      if (c.runs == 0) {
-        held.begun().giveBack(c.quotaOf, c.quotaTokens);
+      if (c.runCount == 0) {
+        heldQuotas.existingHolder().giveBack(c.quotaKey, c.quotaTokens);
       }
     }
   }
 
-  /** Another node is the coordinator now. */
+  /** Handles a change of the quota coordinator. */
   void coordinatorChanged(long at) {
-    held.at(at).coordinatorChanged();
+    heldQuotas.holderAt(at).coordinatorChanged();
   }
 
-  /** The machine was suspended. */
+  /** Handles a resume of the machine after a suspension. */
   void resumed(long at) {
-    if (held.hasBegun()) {
-      held.at(at).resumed(at);
+    if (heldQuotas.hasHolder()) {
+      heldQuotas.holderAt(at).resumed(at);
     }
   }
 
-  /** What the coordinator is to be asked now, if anything; in any case for a heartbeat. */
-  Optional<QuotaAsk> ask(long at, boolean heartbeat) {
+  /**
+   * Returns the request to send to the quota coordinator now; empty if none is due.
+   *
+   * @param at now
+   * @param heartbeat whether a request is due in any case while there are quotas
+   */
+  Optional<QuotaAsk> request(long at, boolean heartbeat) {
     RelayConfiguration configuration = calls.configuration();
     boolean limited = configuration != null && configuration.workspaces().haveLimits();
-    if (!limited && !rates.haveLimits()) {
+    if (!limited && !rateLimits.hasLimits()) {
       return Optional.empty();
     }
-    return held.at(at).ask(at, heartbeat);
+    return heldQuotas.holderAt(at).ask(at, heartbeat);
   }
 
-  /** Whether calls wait for tokens. */
+  /** Returns whether calls wait for tokens. */
   boolean hasWaiting() {
-    return held.hasBegun() && held.begun().hasWaiting();
+    return heldQuotas.hasHolder() && heldQuotas.existingHolder().hasWaiting();
   }
 
-  /** The limit of a quota; empty if there is no such workspace or upstream. */
+  /** Returns the limit of a quota; empty if there is no such workspace or upstream. */
   Optional<TokenLimit> limit(QuotaKey key) {
     return switch (key) {
       case QuotaKey.OfWorkspace w -> limit(w.workspace());
-      case QuotaKey.OfUpstream u -> rates.limit(u.life());
+      case QuotaKey.OfUpstream u -> rateLimits.limit(u.life());
     };
   }
 
@@ -213,12 +221,12 @@
         new RelayEffect.Report(
             new RelayFact.QuotaDecided(
                 c.call.wireId(),
-                c.quotaOf.workspace(),
+                c.quotaKey.workspace(),
                 calls.configuration().revision(),
                 c.quotaTokens,
                 outcome,
                 left,
-                held.at(at).age(at),
+                heldQuotas.holderAt(at).age(at),
                 waitNanos)));
   }
 }
--- /dev/null
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RemoteReservation.java
@@ -0,0 +1,130 @@
+/*
+ * Copyright (C) 2026 The larkkeel authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+
+package org.larkkeel.relay.internal;
+
+import java.util.Optional;
+import java.util.Set;
+import org.larkkeel.lib.DataCentreName;
+import org.larkkeel.lib.HostName;
+import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.relay.RoomAsk;
+import org.larkkeel.relay.ServiceName;
+
+/**
+ * A reservation that another node requests for one of its calls.
+ *
+ * <p>Invariant: what was granted counts at the upstreams from the grant until the node has reported
+ * that it reserved the memory, or no longer requests it. Not thread-safe.
+ */
+final class RemoteReservation implements PendingReservation {
+  private static final long MILLI = 1_000_000L;
+
+  private final HostName node;
+  private final DataCentreName dataCentre;
+  private final long arrivedAt;
+  private RoomAsk request;
+  private boolean waiting;
+  private UpstreamState reservedUpstream;
+  private Optional<UpstreamState> prefillUpstream = Optional.empty();
+
+  RemoteReservation(HostName node, DataCentreName dataCentre, RoomAsk request, long at) {
+    this.node = node;
+    this.dataCentre = dataCentre;
+    this.request = request;
+    this.arrivedAt = at - request.waitedMillis() * MILLI;
+  }
+
+  HostName node() {
+    return node;
+  }
+
+  DataCentreName dataCentre() {
+    return dataCentre;
+  }
+
+  RoomAsk request() {
+    return request;
+  }
+
+  /** Replaces the request by the latest one of the node. */
+  void update(RoomAsk latest) {
+    request = latest;
+  }
+
+  /** Returns the upstream at which memory was granted; null if none was. */
+  UpstreamState reservedUpstream() {
+    return reservedUpstream;
+  }
+
+  /** Returns the upstream that prefills the prompt; empty if the reserved upstream does. */
+  Optional<UpstreamState> prefillUpstream() {
+    return prefillUpstream;
+  }
+
+  /** Grants the reservation and counts it at the upstreams. */
+  void grant(UpstreamState toReserve, Optional<UpstreamState> toPrefill) {
+    reservedUpstream = toReserve;
+    prefillUpstream = toPrefill;
+    reservedUpstream.addGranted(request.units());
+    prefillUpstream.ifPresent(r -> r.addGranted(request.prompt()));
+  }
+
+  /** Releases the grant, if there is one. */
+  void release() {
+    if (reservedUpstream != null) {
+      reservedUpstream.addGranted(-request.units());
+    }
+    prefillUpstream.ifPresent(r -> r.addGranted(-request.prompt()));
+    reservedUpstream = null;
+    prefillUpstream = Optional.empty();
+  }
+
+  @Override
+  public ServiceName service() {
+    return request.service();
+  }
+
+  @Override
+  public long arrivedAt() {
+    return arrivedAt;
+  }
+
+  @Override
+  public long targetNanos() {
+    return request.targetMillis() * MILLI;
+  }
+
+  @Override
+  public boolean isFirstTry() {
+    return request.fresh();
+  }
+
+  @Override
+  public boolean isStreaming() {
+    return request.begun();
+  }
+
+  @Override
+  public boolean canMeetTarget(long at) {
+    return CallDemands.canMeetTarget(this, at);
+  }
+
+  @Override
+  public Set<UpstreamLife> excluded() {
+    return request.without();
+  }
+
+  @Override
+  public boolean isWaiting() {
+    return waiting;
+  }
+
+  @Override
+  public void setWaiting(boolean now) {
+    waiting = now;
+  }
+}
--- /dev/null
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/ReservationQueue.java
@@ -0,0 +1,61 @@
+/*
+ * Copyright (C) 2026 The larkkeel authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+
+package org.larkkeel.relay.internal;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.larkkeel.relay.ServiceName;
+
+/**
+ * The queue of calls that wait for a reservation: those of this node and those that other nodes
+ * request.
+ *
+ * <p>Streams whose callers have the beginning go first, as the loss of one loses all work done for
+ * it; then calls that can still meet their target, among them first those that were not refused
+ * before; then the others; the oldest first within each group. Not thread-safe.
+ */
+final class ReservationQueue {
+  private final Set<PendingReservation> pending = new LinkedHashSet<>();
+
+  void add(PendingReservation s) {
+    s.setWaiting(true);
+    pending.add(s);
+  }
+
+  void remove(PendingReservation s) {
+    s.setWaiting(false);
+    pending.remove(s);
+  }
+
+  /** Returns whether a call of a service waits. */
+  boolean has(ServiceName service) {
+    return pending.stream().anyMatch(s -> s.service().equals(service));
+  }
+
+  int size() {
+    return pending.size();
+  }
+
+  /** Returns all calls in the order in which they are to be placed. */
+  List<PendingReservation> inOrder(long at) {
+    List<PendingReservation> order = new ArrayList<>(pending);
+    order.sort(
+        Comparator.comparing((PendingReservation s) -> !s.isStreaming())
+            .thenComparing(s -> !s.canMeetTarget(at))
+            .thenComparing(s -> !s.isFirstTry())
+            .thenComparingLong(PendingReservation::arrivedAt));
+    return order;
+  }
+
+  /** Returns the calls of this node, in the order in which they began to wait. */
+  List<CallState> own() {
+    return pending.stream().filter(CallState.class::isInstance).map(CallState.class::cast).toList();
+  }
+}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RetryBudget.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RetryBudget.java
@@ -13,14 +13,14 @@
 import org.larkkeel.relay.ServiceName;
 
 /**
- * The repeats that this node may make at each service.
+ * The retries that this node may make at each service.
  *
- * <p>Invariant: as of {@link RetryAllowance}, with the slack split evenly over all nodes. Not safe
- * for use by several threads.
+ * <p>Invariant: that of {@link ServiceRetryBudget}, with the slack divided evenly among all nodes.
+ * Not thread-safe.
  */
 final class RetryBudget {
   private final RelaySettings settings;
-  private final Map<ServiceName, RetryAllowance> allowances = new HashMap<>();
+  private final Map<ServiceName, ServiceRetryBudget> budgets = new HashMap<>();
   private int nodes;
 
   RetryBudget(RelaySettings settings) {
@@ -28,51 +28,54 @@
     this.nodes = settings.nodes();
   }
 
-  /** Sets over how many nodes the slack is split, which is never less than the settings say. */
+  /**
+   * Sets the number of nodes among which the slack is divided; it is never less than in the
+   * settings.
+   */
   void nodes(int count) {
     nodes = Math.max(settings.nodes(), count);
   }
 
-  /** Over how many nodes the slack is split. */
+  /** Returns the number of nodes among which the slack is divided. */
   int nodes() {
     return nodes;
   }
 
-  /** Counts a first send. */
-  void first(long at, ServiceName service) {
-    allowance(service).first(at);
+  /** Counts a first attempt. */
+  void recordFirst(long at, ServiceName service) {
+    budget(service).recordFirst(at);
   }
 
-  /** Counts a repeat if one is allowed. */
-  boolean take(long at, ServiceName service) {
-    return allowance(service).take(at, slack());
+  /** Counts a retry if one is allowed; returns whether it is. */
+  boolean tryAcquire(long at, ServiceName service) {
+    return budget(service).tryAcquire(at, slack());
   }
 
-  /** Whether a repeat is allowed. */
+  /** Returns whether a retry is allowed. */
   boolean allows(long at, ServiceName service) {
-    RetryAllowance a = allowance(service);
+    ServiceRetryBudget a = budget(service);
     return a.used(at) + 1 <= a.allowed(at, slack());
   }
 
   /**
-   * Gives back a repeat that never reached an upstream.
+   * Uncounts a retry that reached no upstream.
    *
-   * @param takenAt when it was taken
+   * @param acquiredAt the time at which the retry was counted
    */
-  void giveBack(long takenAt, ServiceName service) {
-    allowance(service).giveBack(takenAt);
+  void release(long acquiredAt, ServiceName service) {
+    budget(service).release(acquiredAt);
   }
 
-  /** That a call was not sent once more, as its service's repeats are used up. */
-  RelayFact spent(long at, CallState c) {
-    RetryAllowance a = allowance(c.service);
+  /** Returns the fact that a call was not retried, as the retry budget of its service is spent. */
+  RelayFact spentFact(long at, CallState c) {
+    ServiceRetryBudget a = budget(c.service);
     return new RelayFact.BudgetSpent(
         c.call.wireId(), c.service.value(), a.used(at), a.allowed(at, slack()));
   }
 
-  private RetryAllowance allowance(ServiceName service) {
-    return allowances.computeIfAbsent(
-        service, s -> new RetryAllowance(settings.repeatShare(), settings.windowNanos()));
+  private ServiceRetryBudget budget(ServiceName service) {
+    return budgets.computeIfAbsent(
+        service, s -> new ServiceRetryBudget(settings.repeatShare(), settings.windowNanos()));
   }
 
   private double slack() {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RunCopy.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RunCopy.java
@@ -14,52 +14,54 @@
 /**
  * Owns the handles of the copy that one move makes of a run.
  *
- * <p>The copy holds memory at its destination until a run goes on from it or it is freed. Each step
- * of the move names it by a handle. The steps may name it by the same handle or by different ones;
- * as a later step may build on what an earlier one has copied, no handle is freed before the copy
- * is settled.
+ * <p>The copy holds memory at its destination until a run continues from it or it is freed. Each
+ * step of the move names the copy by a handle; the handles of the steps may be the same or
+ * different. As a later step may build on what an earlier one has copied, no handle is freed before
+ * the copy is settled.
  *
- * <p>Invariants: the copy is settled once, by {@link #used} or {@link #giveUp}; from then on each
- * handle has been used or freed exactly once, also one that becomes known later. Not safe for use
- * by several threads.
+ * <p>Invariants: the copy is settled once, by {@link #used} or {@link #abandon}; from then on each
+ * handle has been used or freed exactly once, also one that becomes known later. Not thread-safe.
  */
 final class RunCopy {
   private final Consumer<String> free;
   private final Set<String> handles = new LinkedHashSet<>();
-  private Optional<String> last = Optional.empty();
+  private Optional<String> lastHandle = Optional.empty();
   private boolean settled;
 
   /**
-   * Begins without a handle.
+   * Creates a copy without a handle.
    *
-   * @param free frees what a handle names
+   * @param free frees the memory that a handle names
    */
   RunCopy(Consumer<String> free) {
     this.free = free;
   }
 
-  /** A step is complete and names the copy by this handle. */
-  void made(String handle) {
-    last = Optional.of(handle);
+  /** Adds the handle by which a completed step names the copy. */
+  void addHandle(String handle) {
+    lastHandle = Optional.of(handle);
     if (handles.add(handle) && settled) {
       free.accept(handle);
     }
   }
 
-  /** The handle that was made known last; empty if there is none. */
-  Optional<String> last() {
-    return last;
+  /** Returns the handle that was added last; empty if there is none. */
+  Optional<String> lastHandle() {
+    return lastHandle;
   }
 
-  /** A run has begun from the last handle; the others are freed. */
+  /** Settles the copy after a run has begun from the last handle; the other handles are freed. */
   void used() {
-    last.ifPresent(handles::remove);
-    giveUp();
-    last.ifPresent(handles::add);
+    lastHandle.ifPresent(handles::remove);
+    abandon();
+    lastHandle.ifPresent(handles::add);
   }
 
-  /** No run will go on from the copy. */
-  void giveUp() {
+  /**
+   * Settles the copy if it is not settled yet: no run will continue from it, so its handles are
+   * freed.
+   */
+  void abandon() {
     if (!settled) {
       settled = true;
       handles.forEach(free);
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Timers.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Timers.java
@@ -13,60 +13,64 @@
 import org.larkkeel.lib.UpstreamLife;
 
 /**
- * Times at which something may be due. Those of calls and attempts that are over stay in and mean
- * nothing when they come.
+ * The pending timers. Timers of calls and attempts that have ended remain and have no effect when
+ * they are due.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class Timers {
-  private final PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparingLong(Due::at));
+  private final PriorityQueue<Timer> queue =
+      new PriorityQueue<>(Comparator.comparingLong(Timer::at));
 
-  /** What is due. */
-  sealed interface Due {
-    /** When. */
+  /** A timer. */
+  sealed interface Timer {
+    /** Returns the time at which the timer is due. */
     long at();
 
-    /** The final answer of a call. */
-    record Deadline(long at, RequestId call) implements Due {}
+    /** The deadline of a call. */
+    record Deadline(long at, RequestId call) implements Timer {}
 
-    /** Room that other nodes see as well. */
-    record Contest(long at) implements Due {}
+    /**
+     * The time at which pending calls are placed again: after the random delay for capacity that
+     * other nodes see as well, a backoff, or a declined request.
+     */
+    record PlacementRetry(long at) implements Timer {}
 
-    /** Room for a call. */
-    record Room(long at, RequestId call) implements Due {}
+    /** The end of a call's maximum wait for a reservation. */
+    record ReservationTimeout(long at, RequestId call) implements Timer {}
 
-    /** Runs at an upstream that leaves are to move. */
-    record Evacuate(long at, UpstreamLife upstream) implements Due {}
+    /** The time at which the runs at a leaving upstream are to be moved. */
+    record EvacuationStart(long at, UpstreamLife incarnation) implements Timer {}
 
-    /** The longest that an order may take. */
-    record OrderOver(long at, UpstreamLife upstream) implements Due {}
+    /** The end of the maximum duration of an order. */
+    record OrderTimeout(long at, UpstreamLife incarnation) implements Timer {}
 
-    /** The end of a move that was begun. */
-    record MoveOver(long at, AttemptId attempt) implements Due {}
+    /** The timeout of the second step of a move. */
+    record MoveTimeout(long at, AttemptId attempt) implements Timer {}
 
-    /** The coordinator's answer for a call. */
-    record Quota(long at, RequestId call) implements Due {}
+    /** The end of a call's maximum wait for quota tokens. */
+    record QuotaTimeout(long at, RequestId call) implements Timer {}
 
-    /** The longest wait of a call for a permit. */
-    record Permit(long at, RequestId call) implements Due {}
+    /** The end of a call's maximum wait for a permit. */
+    record PermitTimeout(long at, RequestId call) implements Timer {}
 
-    /** The answer of an attempt that may be made elsewhere. */
-    record Patience(long at, AttemptId attempt) implements Due {}
+    /** The timeout of an attempt that another one may replace. */
+    record AttemptTimeout(long at, AttemptId attempt) implements Timer {}
   }
 
-  void add(Due due) {
+  void add(Timer due) {
     queue.add(due);
   }
 
-  /** The next one that is due by now; null if there is none. */
-  Due poll(long at) {
-    Due head = queue.peek();
+  /** Removes and returns the next timer that is due by now; null if there is none. */
+  Timer poll(long at) {
+    Timer head = queue.peek();
     return head != null && head.at() <= at ? queue.poll() : null;
   }
 
-  /** When the next is due; {@link Long#MAX_VALUE} if there is none. */
+  /** Returns the time at which the next timer is due; {@link Long#MAX_VALUE} if there is none. */
   long next() {
-    Due head = queue.peek();
+    Timer head = queue.peek();
     return head == null ? Long.MAX_VALUE : head.at();
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamState.java
@@ -11,97 +11,104 @@
 import org.larkkeel.relay.RelayUpstream;
 
 /**
- * What this node believes of one life of an upstream; a later life gets a state of its own.
+ * The estimates and known state of one incarnation of an upstream; a later incarnation gets a state
+ * of its own.
  *
- * <p>Times fade: what was learnt counts half after {@link #HALF_LIFE_NANOS}. Not safe for use by
- * several threads.
+ * <p>Measurements decay: their weight halves every {@link #HALF_LIFE_NANOS}. Not thread-safe.
  */
 final class UpstreamState {
   static final long HALF_LIFE_NANOS = 4_000_000_000L;
-  private static final double LEARN = 0.3;
+  private static final double LEARNING_RATE = 0.3;
   private static final double FAILURE_WEIGHT = 6;
-  private static final long FIRST_AVOID_NANOS = 1_000_000_000L;
-  private static final long LONGEST_AVOID_NANOS = 8_000_000_000L;
-  private static final int MOST_DOUBLINGS = 3;
-  private static final long LAPSE_NANOS = 2_000_000_000L;
-  private static final long LAPSE_ELSEWHERE_NANOS = 600_000_000L;
-  private static final long BUSY_NANOS = 250_000_000L;
-
-  /** How often the time for which it is taken for full doubles, while it declines all. */
-  private static final int MOST_BUSY_DOUBLINGS = 2;
-
-  private final UpstreamLife life;
-  private final Surroundings around;
+  private static final long MIN_EJECTION_NANOS = 1_000_000_000L;
+  private static final long MAX_EJECTION_NANOS = 8_000_000_000L;
+  private static final int MAX_EJECTION_DOUBLINGS = 3;
+  private static final long HANDLE_LOSS_NANOS = 2_000_000_000L;
+  private static final long REPORTED_HANDLE_LOSS_NANOS = 600_000_000L;
+  private static final long FULL_NANOS = 250_000_000L;
+
+  /**
+   * The maximum number of doublings of the time for which an upstream that declines every request
+   * is treated as full.
+   */
+  private static final int MAX_FULL_DOUBLINGS = 2;
+
+  private final UpstreamLife incarnation;
+  private final Environment environment;
   private RelayUpstream upstream;
   private int inFlight;
   private long load;
-  private long remote;
-  private long granted;
+  private long remoteLoad;
+  private long grantedLoad;
   private double unitNanos;
-  private long unitAt;
-  private double failures;
-  private long failuresAt;
-  private int strikes;
-  private int declines;
-  private boolean probed;
-  private long avoidUntil = Long.MIN_VALUE;
-  private long busyUntil = Long.MIN_VALUE;
-  private long lapseUntil = Long.MIN_VALUE;
-  private long lapseUntilElsewhere = Long.MIN_VALUE;
+  private long unitUpdatedAt;
+  private double failureRate;
+  private long failureRateUpdatedAt;
+  private int hardFailures;
+  private int consecutiveDeclines;
+  private boolean probing;
+  private long ejectedUntil = Long.MIN_VALUE;
+  private long fullUntil = Long.MIN_VALUE;
+  private long handleLossUntil = Long.MIN_VALUE;
+  private long reportedHandleLossUntil = Long.MIN_VALUE;
   private long missingSince = Long.MAX_VALUE;
-  private boolean saidLeaving;
-  private long restUntil = Long.MIN_VALUE;
-  private final RateBelief rate = new RateBelief();
+  private boolean announcedLeaving;
+  private long backoffUntil = Long.MIN_VALUE;
+  private final RateLimitState rateLimit = new RateLimitState();
   private boolean evacuating;
   private long orderUnits;
 
-  /** What the state of an upstream needs of others. */
-  interface Surroundings {
-    /** What this node has in flight there has changed. */
+  /** Callbacks to the owner of the state. */
+  interface Environment {
+    /** Handles a change of this node's load at the upstream. */
     void loadChanged(UpstreamState s);
 
-    /** Whether its limit lets a request be sent now; if not, a permit is asked for. */
+    /**
+     * Returns whether the rate limit of the upstream permits a request now; if not, a permit is
+     * requested.
+     */
     boolean hasPermit(long at, UpstreamState s);
 
-    /** A request is sent there, which takes the permit. */
-    void sent(UpstreamState s);
+    /** Handles a request that is sent to the upstream, which uses the permit. */
+    void requestSent(UpstreamState s);
   }
 
   /**
-   * Begins to know a life.
+   * Creates the state of an incarnation.
    *
-   * @param around what it needs of others
+   * @param upstream the listed upstream
+   * @param environment the callbacks to the owner
    */
-  UpstreamState(RelayUpstream upstream, Surroundings around) {
-    this.life = upstream.life();
+  UpstreamState(RelayUpstream upstream, Environment environment) {
+    this.incarnation = upstream.life();
     this.upstream = upstream;
-    this.around = around;
+    this.environment = environment;
   }
 
   RelayUpstream upstream() {
     return upstream;
   }
 
-  /** The life of which all here is believed. */
-  UpstreamLife life() {
-    return life;
+  /** Returns the incarnation that this state describes. */
+  UpstreamLife incarnation() {
+    return incarnation;
   }
 
-  /** Whether the start is that of its life. */
-  boolean isOf(Incarnation start) {
-    return life.start().value() == start.value();
+  /** Returns whether the number is that of this incarnation. */
+  boolean isIncarnation(Incarnation number) {
+    return incarnation.start().value() == number.value();
   }
 
-  /** Takes over what is listed of the same life now. */
-  void update(RelayUpstream now) {
-    if (now.stage() != upstream.stage()) {
-      orderOver();
+  /** Applies the current entry of the same incarnation in the discovery list. */
+  void update(RelayUpstream listed) {
+    if (listed.stage() != upstream.stage()) {
+      orderEnded();
     }
-    upstream = now;
+    upstream = listed;
     missingSince = Long.MAX_VALUE;
   }
 
-  void missing(long at) {
+  void markMissing(long at) {
     if (missingSince == Long.MAX_VALUE) {
       missingSince = at;
     }
@@ -115,80 +122,92 @@
     return isMissing() && at - missingSince >= nanos;
   }
 
-  /** Takes all its room while an order is carried out; other nodes are told as of any load. */
+  /**
+   * Reserves the memory of the upstream while an order is carried out; other nodes receive this
+   * like any load.
+   */
   void ordered(long units) {
-    orderOver();
+    orderEnded();
     orderUnits = units;
     addLoad(units);
   }
 
-  /** Gives its room back. */
-  void orderOver() {
+  /** Releases the memory that was reserved for an order, if any. */
+  void orderEnded() {
     addLoad(-orderUnits);
     orderUnits = 0;
   }
 
-  /** Whether it leaves, or is gone from the list. */
-  boolean isGoing() {
+  /** Returns whether the upstream is leaving or missing. */
+  boolean isLeavingOrMissing() {
     return isLeaving() || isMissing();
   }
 
   /**
-   * Whether it leaves, by the list or by its own word. What it says in an answer is newer than what
-   * the list has, which an outage of the store can hold back; only a later life takes it back.
+   * Returns whether the upstream is leaving, by the discovery list or by its notice. The notice in
+   * an answer is newer than the list, which an outage of the store can delay; only a later
+   * incarnation ends it.
    */
   boolean isLeaving() {
-    return upstream.leaving() || saidLeaving;
+    return upstream.leaving() || announcedLeaving;
   }
 
-  /** Notes that it has said in an answer that it leaves; says whether that is new. */
-  boolean saysLeaving() {
+  /**
+   * Records that an answer of the upstream announced that it leaves; returns whether that is new.
+   */
+  boolean markLeaving() {
     boolean isNew = !isLeaving();
-    saidLeaving = true;
+    announcedLeaving = true;
     return isNew;
   }
 
-  /** Whether it has asked for rest that is not over. */
-  boolean isResting(long at) {
-    return at < restUntil;
+  /** Returns whether the upstream is in backoff. */
+  boolean isInBackoff(long at) {
+    return at < backoffUntil;
   }
 
-  /** Until when it has asked for rest; long ago if it has not. */
-  long restUntil() {
-    return restUntil;
+  /** Returns the end of the backoff; {@link Long#MIN_VALUE} if there was none. */
+  long backoffUntil() {
+    return backoffUntil;
   }
 
-  /** Notes that it wants no requests for some time; a shorter time does not end a longer one. */
-  void rest(long at, long nanos) {
-    restUntil = Math.max(restUntil, at + nanos);
+  /**
+   * Records that the upstream wants no requests for some time; a shorter time does not end a longer
+   * one.
+   */
+  void backOff(long at, long nanos) {
+    backoffUntil = Math.max(backoffUntil, at + nanos);
   }
 
-  /** The limit of the requests that it takes, as far as it has said. */
-  RateBelief rate() {
-    return rate;
+  /** Returns the rate limit of the upstream, as far as its answers announced one. */
+  RateLimitState rateLimit() {
+    return rateLimit;
   }
 
-  /** Whether it takes requests, as far as it has said; the number of them may be limited. */
-  boolean isOpen(long at) {
-    return !isLeaving() && !isResting(at);
+  /**
+   * Returns whether the upstream is neither leaving nor in backoff; the rate of its requests may be
+   * limited.
+   */
+  boolean acceptsRequests(long at) {
+    return !isLeaving() && !isInBackoff(at);
   }
 
   /**
-   * Whether it takes new work now, as far as it has said. Where only a permit is missing, one is
-   * asked for.
+   * Returns whether the upstream accepts new work now, as far as is known. If only a permit is
+   * missing, one is requested.
    */
-  boolean takesWork(long at) {
-    return isOpen(at) && around.hasPermit(at, this);
+  boolean acceptsWork(long at) {
+    return acceptsRequests(at) && environment.hasPermit(at, this);
   }
 
-  /** Notes that its runs are to move; says whether that is new. */
+  /** Records that the runs of the upstream are to be moved; returns whether that is new. */
   boolean beginEvacuation() {
     boolean begins = !evacuating;
     evacuating = true;
     return begins;
   }
 
-  /** Notes that it has nothing more to move. */
+  /** Records that the upstream has nothing more to move. */
   void endEvacuation() {
     evacuating = false;
   }
@@ -197,149 +216,170 @@
     return inFlight;
   }
 
-  /** What this node has in flight there. */
+  /** Returns the load that this node has at the upstream. */
   long load() {
     return load;
   }
 
-  /** What all nodes have in flight there, as far as is known. */
-  long wholeLoad() {
-    return load + remote + granted;
+  /** Returns the load that all nodes have at the upstream, as far as is known. */
+  long totalLoad() {
+    return load + remoteLoad + grantedLoad;
   }
 
   void addLoad(long units) {
     if (units != 0) {
       load += units;
-      around.loadChanged(this);
+      environment.loadChanged(this);
     }
   }
 
   void addRemote(long units) {
-    remote = Math.max(0, remote + units);
+    remoteLoad = Math.max(0, remoteLoad + units);
   }
 
-  /** Counts what was granted to another node that has not told of it yet. */
+  /** Adds load that was granted to another node and that the node has not reported yet. */
   void addGranted(long units) {
-    granted += units;
+    grantedLoad += units;
   }
 
-  void started() {
-    around.sent(this);
+  void attemptStarted() {
+    environment.requestSent(this);
     inFlight++;
-    probed = declines > 0;
+    probing = consecutiveDeclines > 0;
   }
 
-  void ended() {
+  void attemptEnded() {
     inFlight--;
-    probed = false;
+    probing = false;
   }
 
-  /** Learns how long one unit of work took. */
-  void took(long at, double nanosPerUnit) {
-    double weight = unitAt == 0 ? 0 : fade(at - unitAt) * (1 - LEARN);
+  /** Records the measured time of one unit of work. */
+  void recordUnitTime(long at, double nanosPerUnit) {
+    double weight = unitUpdatedAt == 0 ? 0 : decay(at - unitUpdatedAt) * (1 - LEARNING_RATE);
     unitNanos = weight * unitNanos + (1 - weight) * nanosPerUnit;
-    unitAt = at;
+    unitUpdatedAt = at;
   }
 
-  /** The estimate of one unit, drawn towards what is usual the older it is. */
-  double unit(long at, double usual) {
-    if (unitAt == 0) {
-      return usual;
+  /**
+   * Returns the estimated time of one unit of work, in nanoseconds; the older the last measurement,
+   * the closer to {@code typical}.
+   */
+  double estimateUnitNanos(long at, double typical) {
+    if (unitUpdatedAt == 0) {
+      return typical;
     }
-    double weight = fade(at - unitAt);
-    return weight * unitNanos + (1 - weight) * usual;
+    double weight = decay(at - unitUpdatedAt);
+    return weight * unitNanos + (1 - weight) * typical;
   }
 
-  /** The factor by which failures of late make it dearer. */
-  double caution(long at) {
-    double factor = 1 + FAILURE_WEIGHT * failures * fade(at - failuresAt);
-    return isBusy(at) ? 2 * factor : factor;
+  /** Returns the cost factor of recent failures and declines. */
+  double failureFactor(long at) {
+    double factor = 1 + FAILURE_WEIGHT * failureRate * decay(at - failureRateUpdatedAt);
+    return isFull(at) ? 2 * factor : factor;
   }
 
   void succeeded(long at) {
-    outcome(at, 0);
-    strikes = 0;
-    declines = 0;
-    probed = false;
-    avoidUntil = Long.MIN_VALUE;
+    recordOutcome(at, 0);
+    hardFailures = 0;
+    consecutiveDeclines = 0;
+    probing = false;
+    ejectedUntil = Long.MIN_VALUE;
   }
 
-  /** A failure that a sound upstream may show as well. */
+  /** Records a failure that a healthy upstream may show as well. */
   void failed(long at) {
-    outcome(at, 1);
+    recordOutcome(at, 1);
   }
 
   /**
-   * A failure that a sound upstream does not show.
+   * Records a failure that a healthy upstream does not show.
    *
-   * @return how long it is avoided; 0 if not
+   * @param at now
+   * @param ejectNow whether this failure ejects the upstream even if it is the first
+   * @return the nanoseconds for which the upstream is ejected; 0 if it is not
    */
-  long struck(long at, boolean hard) {
-    outcome(at, 1);
-    strikes++;
-    if (!hard && strikes < 2) {
+  long failedHard(long at, boolean ejectNow) {
+    recordOutcome(at, 1);
+    hardFailures++;
+    if (!ejectNow && hardFailures < 2) {
       return 0;
     }
-    long time =
-        Math.min(LONGEST_AVOID_NANOS, FIRST_AVOID_NANOS << Math.min(strikes - 1, MOST_DOUBLINGS));
-    avoidUntil = at + time;
-    return time;
+    long ejectionNanos =
+        Math.min(
+            MAX_EJECTION_NANOS,
+            MIN_EJECTION_NANOS << Math.min(hardFailures - 1, MAX_EJECTION_DOUBLINGS));
+    ejectedUntil = at + ejectionNanos;
+    return ejectionNanos;
   }
 
-  boolean isStruck() {
-    return strikes > 1 || avoidUntil != Long.MIN_VALUE;
+  boolean hasBeenEjected() {
+    return hardFailures > 1 || ejectedUntil != Long.MIN_VALUE;
   }
 
-  /** Whether it is avoided, or is tried again by one request already. */
-  boolean isAvoided(long at) {
-    return avoidUntil != Long.MIN_VALUE && (at < avoidUntil || inFlight > 0);
+  /**
+   * Returns whether the upstream is ejected, or one request is already testing it after its
+   * ejection.
+   */
+  boolean isEjected(long at) {
+    return ejectedUntil != Long.MIN_VALUE && (at < ejectedUntil || inFlight > 0);
   }
 
   /**
-   * It was full, or takes no work for another reason.
+   * Records that the upstream declined a request, because it was full or for another reason.
    *
-   * @return until when it is taken for full
+   * @return the time until which the upstream is treated as full
    */
   long declined(long at) {
-    busyUntil = at + (BUSY_NANOS << Math.min(declines, MOST_BUSY_DOUBLINGS));
-    declines++;
-    return busyUntil;
+    fullUntil = at + (FULL_NANOS << Math.min(consecutiveDeclines, MAX_FULL_DOUBLINGS));
+    consecutiveDeclines++;
+    return fullUntil;
   }
 
-  /** Whether it was full just now, or is asked by one request whether it still is. */
-  boolean isBusy(long at) {
-    return at < busyUntil || probed;
+  /**
+   * Returns whether the upstream declined a request a moment ago, or one request is testing whether
+   * it still does.
+   */
+  boolean isFull(long at) {
+    return at < fullUntil || probing;
   }
 
-  /** Another incarnation answers at its address, or it does other work than was listed. */
+  /**
+   * Ejects an upstream at whose address another incarnation answers, or that does other work than
+   * listed.
+   */
   void replaced(long at) {
-    outcome(at, 1);
-    avoidUntil = at + LONGEST_AVOID_NANOS;
+    recordOutcome(at, 1);
+    ejectedUntil = at + MAX_EJECTION_NANOS;
   }
 
-  void handleLapsed(long at) {
-    lapseUntil = at + LAPSE_NANOS;
+  void handleLost(long at) {
+    handleLossUntil = at + HANDLE_LOSS_NANOS;
   }
 
-  /** Another node has found that handles lapse; it tells so again while it lasts. */
-  void handleLapsedElsewhere(long at) {
-    lapseUntilElsewhere = at + LAPSE_ELSEWHERE_NANOS;
+  /**
+   * Records that another node observed lost prefill handles; that node repeats its report while
+   * this lasts.
+   */
+  void handleLossReported(long at) {
+    reportedHandleLossUntil = at + REPORTED_HANDLE_LOSS_NANOS;
   }
 
-  boolean lapsesFirstHand(long at) {
-    return at < lapseUntil;
+  boolean hasObservedHandleLoss(long at) {
+    return at < handleLossUntil;
   }
 
-  boolean handlesLapse(long at) {
-    return at < lapseUntil || at < lapseUntilElsewhere;
+  boolean losesHandles(long at) {
+    return at < handleLossUntil || at < reportedHandleLossUntil;
   }
 
-  private void outcome(long at, double failure) {
-    failures = fade(at - failuresAt) * (1 - LEARN) * failures + LEARN * failure;
-    failuresAt = at;
+  private void recordOutcome(long at, double failure) {
+    failureRate =
+        decay(at - failureRateUpdatedAt) * (1 - LEARNING_RATE) * failureRate
+            + LEARNING_RATE * failure;
+    failureRateUpdatedAt = at;
   }
 
-  private static double fade(long age) {
+  private static double decay(long age) {
     return Math.pow(0.5, Math.max(0, age) / (double) HALF_LIFE_NANOS);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/package-info.java
@@ -4,5 +4,8 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The parts of the relay's reducer; no API. */
+/**
+ * Implementation of the relay router's reducer: admission, placement, reservations, attempts,
+ * retries, quarantine and evacuation. Internal; not part of the API.
+ */
 package org.larkkeel.relay.internal;
