--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallDemands.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallDemands.java
@@ -16,9 +16,15 @@
   /** The share of an upstream's connections that the nodes may use together. */
   private static final double MAX_CONNECTION_SHARE = 0.8;
 
+  /** The maximum fill of an upstream for calls that were not refused before, and for streams. */
   private static final double MAX_FILL_FIRST_TRY = 0.92;
+
+  /** The maximum fill of an upstream for calls that their callers retried. */
   private static final double MAX_FILL_RETRY = 0.88;
+
+  /** The maximum fill of an upstream for calls that can no longer meet their target. */
   private static final double MAX_FILL_LATE = 0.65;
+
   private static final int MIN_CONNECTIONS = 4;
 
   /**
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Flow.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Flow.java
@@ -137,9 +137,9 @@
       long at,
       HostName node,
       ImmutableMap<UpstreamLife, Long> loads,
-      ImmutableSet<UpstreamLife> lapsing) {
+      ImmutableSet<UpstreamLife> losingHandles) {
     core.upstreams.receiveLoads(at, node, loads);
-    lapsing.forEach(id -> core.upstreams.find(id).ifPresent(s -> s.handleLossReported(at)));
+    losingHandles.forEach(id -> core.upstreams.find(id).ifPresent(s -> s.handleLossReported(at)));
     dropUnresponsive(at);
     core.reservations.loadChanged(at);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Outcomes.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Outcomes.java
@@ -291,6 +291,10 @@
     }
   }
 
+  /**
+   * Handles the timeout of an attempt: cancels the attempt as lost, unless its stream has begun or
+   * the call may not run again.
+   */
   void timedOut(long at, AttemptId id) {
     AttemptState a = find(id);
     if (a == null || a.call().streamBegan) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamState.java
@@ -18,13 +18,27 @@
  */
 final class UpstreamState {
   static final long HALF_LIFE_NANOS = 4_000_000_000L;
+
+  /** The weight of a new measurement in an average. */
   private static final double LEARNING_RATE = 0.3;
+
+  /** The extra cost factor of an upstream at which every recent attempt failed. */
   private static final double FAILURE_WEIGHT = 6;
+
   private static final long MIN_EJECTION_NANOS = 1_000_000_000L;
   private static final long MAX_EJECTION_NANOS = 8_000_000_000L;
   private static final int MAX_EJECTION_DOUBLINGS = 3;
+
+  /**
+   * The time for which no prompt is prefilled at an upstream after this node observed a lost
+   * handle.
+   */
   private static final long HANDLE_LOSS_NANOS = 2_000_000_000L;
+
+  /** The time for which another node's report of a lost handle counts; the node repeats it. */
   private static final long REPORTED_HANDLE_LOSS_NANOS = 600_000_000L;
+
+  /** The time for which an upstream is treated as full after the first declined request. */
   private static final long FULL_NANOS = 250_000_000L;
 
   /**
@@ -312,6 +326,7 @@
     return ejectionNanos;
   }
 
+  /** Returns whether the upstream was ejected and has not succeeded since. */
   boolean hasBeenEjected() {
     return hardFailures > 1 || ejectedUntil != Long.MIN_VALUE;
   }
@@ -364,10 +379,12 @@
     reportedHandleLossUntil = at + REPORTED_HANDLE_LOSS_NANOS;
   }
 
+  /** Returns whether this node itself observed a lost prefill handle a moment ago. */
   boolean hasObservedHandleLoss(long at) {
     return at < handleLossUntil;
   }
 
+  /** Returns whether any node observed a lost prefill handle a moment ago. */
   boolean losesHandles(long at) {
     return at < handleLossUntil || at < reportedHandleLossUntil;
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamTable.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamTable.java
@@ -69,8 +69,12 @@
   /** The change that is reported for an upstream that restarted. */
   private static final String RESTARTED = "restarted";
 
+  /** The time without a message after which the reports of another node no longer count. */
   static final long INACTIVITY_NANOS = 1_500_000_000L;
+
+  /** The assumed time of one unit of work while nothing was measured. */
   private static final double INITIAL_UNIT_NANOS = 50e6;
+
   private static final double TYPICAL_LEARNING_RATE = 0.1;
 
   /**
