--- a/org.larkkeel.test/src/test/java/org/larkkeel/errors/ErrorsPageTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/errors/ErrorsPageTest.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Keeps the page of error kinds equal to the table in the code. */
+/**
+ * Guards against differences between the documentation page of error kinds and the table in the
+ * code.
+ */
 public class ErrorsPageTest {
   private static final Path PAGE = Path.of("..", "docs", "ERRORS.md");
 
--- a/org.larkkeel.test/src/test/java/org/larkkeel/lib/CloserTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/lib/CloserTest.java
@@ -34,7 +34,7 @@
   /** Failures of resources. */
   public static class Failures {
     @Test
-    public void failureKeepsNothingOpenAndSuppressesLaterOnes() {
+    public void failureDoesNotPreventClosingAndSuppressesLaterOnes() {
       List<String> closed = new ArrayList<>();
       Closer closer = new Closer();
       closer.add(() -> closed.add("first"));
--- a/org.larkkeel.test/src/test/java/org/larkkeel/lib/FingerprintTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/lib/FingerprintTest.java
@@ -12,7 +12,7 @@
 
 import org.testng.annotations.Test;
 
-/** Names of what was put in. */
+/** Tests of {@link Fingerprint}. */
 public class FingerprintTest {
   @Test
   public void isTheSameForTheSameParts() {
@@ -20,18 +20,18 @@
   }
 
   @Test
-  public void tellsWherePartsEnd() {
+  public void dependsOnPartBoundaries() {
     assertNotEquals(Fingerprint.of("ab", "c"), Fingerprint.of("a", "bc"));
   }
 
   @Test
-  public void isReadAsItIsWritten() {
-    Fingerprint made = Fingerprint.of("x");
-    assertEquals(Fingerprint.parse(made.toString()), made);
+  public void roundTripsThroughText() {
+    Fingerprint original = Fingerprint.of("x");
+    assertEquals(Fingerprint.parse(original.toString()), original);
   }
 
   @Test
-  public void refusesTextsThatAreNone() {
+  public void rejectsInvalidTexts() {
     assertThrows(IllegalArgumentException.class, () -> Fingerprint.parse("12"));
     assertThrows(IllegalArgumentException.class, () -> Fingerprint.parse("z".repeat(32)));
   }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/lib/NamesTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/lib/NamesTest.java
@@ -13,9 +13,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The syntax of names. */
+/** Tests of the syntax of names. */
 public class NamesTest {
-  /** Texts and whether they are names. */
+  /** Example texts, and whether they are valid names. */
   public static class Examples {
     @DataProvider
     static Object[][] texts() {
@@ -42,14 +42,14 @@
     }
   }
 
-  /** Random texts, against the expression that defines the syntax. */
+  /** Random texts, compared with the regular expression that defines the syntax. */
   public static class Random {
     private static final Pattern SYNTAX =
         Pattern.compile("[A-Za-z0-9]([A-Za-z0-9._/-]*[A-Za-z0-9])?");
     private static final String ALPHABET = "azAZ09._/-@[`{:é \n";
 
     @Test
-    public void areJudgedByTheExpression() {
+    public void matchTheExpression() {
       SplittableRandom random = new SplittableRandom(1);
       int names = 0;
       for (int i = 0; i < 100_000; i++) {
@@ -61,7 +61,7 @@
         names += expected ? 1 : 0;
         assertEquals(Names.isValid(text.toString()), expected, "\"" + text + "\"");
       }
-      assertEquals(names > 5_000, true, "names drawn: " + names);
+      assertEquals(names > 5_000, true, "valid names among the random texts: " + names);
     }
   }
 }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/time/BootClockTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/time/BootClockTest.java
@@ -12,12 +12,12 @@
 import java.util.OptionalLong;
 import org.testng.annotations.Test;
 
-/** The clock that counts suspensions. */
+/** Tests the clock that includes suspensions. */
 public class BootClockTest {
   private static final long MILLI = 1_000_000L;
   private static final long SECOND = 1_000 * MILLI;
 
-  /** A machine with a steady clock, a time of day and a boot time. */
+  /** A simulated machine with a steady clock, a time of day and a boot time. */
   private static final class Machine {
     private long steady = 5 * SECOND;
     private long wallMillis = 1_790_000_000_000L;
@@ -31,12 +31,12 @@
           () -> hasBootTime ? OptionalLong.of(boot) : OptionalLong.empty());
     }
 
-    void runs(long millis) {
+    void run(long millis) {
       steady += millis * MILLI;
-      suspended(millis);
+      suspend(millis);
     }
 
-    void suspended(long millis) {
+    void suspend(long millis) {
       wallMillis += millis;
       boot += millis * MILLI;
     }
@@ -49,18 +49,18 @@
     return (clock.nanoTime() - before) / MILLI;
   }
 
-  /** What counts. */
+  /** Durations that the clock includes. */
   public static class Counted {
     @Test
-    public void timeThatTheMachineRuns() {
+    public void timeWhileTheMachineRuns() {
       Machine m = new Machine();
-      assertEquals(elapsed(m, () -> m.runs(1_234)), 1_234);
+      assertEquals(elapsed(m, () -> m.run(1_234)), 1_234);
     }
 
     @Test
-    public void timeThatItIsSuspended() {
+    public void timeWhileItIsSuspended() {
       Machine m = new Machine();
-      assertEquals(elapsed(m, () -> m.suspended(4_000)), 4_000);
+      assertEquals(elapsed(m, () -> m.suspend(4_000)), 4_000);
     }
 
     @Test
@@ -69,8 +69,8 @@
       BootClock clock = m.clock();
       final long before = clock.nanoTime();
       for (int i = 0; i < 3; i++) {
-        m.suspended(2_000);
-        m.runs(100);
+        m.suspend(2_000);
+        m.run(100);
         clock.nanoTime();
       }
       assertEquals((clock.nanoTime() - before) / MILLI, 6_300);
@@ -78,20 +78,20 @@
     }
 
     @Test
-    public void suspensionThatStepBackHidesOnceTheBootTimeWasRead() {
+    public void suspensionHiddenByStepBackOnceTheBootTimeWasRead() {
       Machine m = new Machine();
       BootClock clock = m.clock();
       m.wallMillis += 1_000;
       clock.nanoTime();
       final long before = clock.nanoTime();
-      m.suspended(3_000);
+      m.suspend(3_000);
       m.wallMillis -= 3_000;
       clock.check();
       assertEquals((clock.nanoTime() - before) / MILLI, 3_000);
     }
   }
 
-  /** What does not count. */
+  /** Changes that the clock does not include. */
   public static class NotCounted {
     @Test
     public void stepsOfTheTimeOfDay() {
@@ -102,12 +102,12 @@
     }
 
     @Test
-    public void suspensionsBeforeItBegan() {
+    public void suspensionsBeforeTheFirstReading() {
       Machine m = new Machine();
       BootClock clock = m.clock();
-      m.suspended(4_000);
+      m.suspend(4_000);
       long before = clock.nanoTime();
-      m.runs(100);
+      m.run(100);
       assertEquals((clock.nanoTime() - before) / MILLI, 100);
     }
 
@@ -115,14 +115,14 @@
     public void anythingOnMachinesWithoutBootTime() {
       Machine m = new Machine();
       m.hasBootTime = false;
-      assertEquals(elapsed(m, () -> m.suspended(4_000)), 0);
+      assertEquals(elapsed(m, () -> m.suspend(4_000)), 0);
     }
   }
 
   /** The clock of this machine. */
-  public static class Real {
+  public static class SystemClock {
     @Test
-    public void goesOnAsTheSteadyClockDoes() throws InterruptedException {
+    public void advancesLikeTheSteadyClock() throws InterruptedException {
       BootClock clock = BootClock.SYSTEM;
       assertTrue(new BootTime().get().isPresent(), "native access is allowed in tests");
       long before = clock.nanoTime();
--- a/org.larkkeel/src/main/java/org/larkkeel/call/Call.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/call/Call.java
@@ -12,7 +12,7 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * A request of a caller, without its body, which stays with the listener.
+ * A request of a caller without its body, which the listener keeps.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -20,28 +20,28 @@
  */
 public sealed interface Call {
   /**
-   * The id that this node gave to the request.
+   * Returns the id that this node gave to the request.
    *
    * @return the id
    */
   RequestId id();
 
   /**
-   * The caller's workspace.
+   * Returns the caller's workspace.
    *
    * @return the workspace
    */
   WorkspaceName workspace();
 
   /**
-   * The key under which the request runs at most once.
+   * Returns the key under which the request runs at most once.
    *
    * @return the key; empty if the caller sent none
    */
   Optional<RunKey> runKey();
 
   /**
-   * Prompt tokens that count against the limit of the workspace.
+   * Returns the prompt tokens that count against the limit of the workspace.
    *
    * @return tokens; 0 for a plain call
    */
@@ -57,12 +57,12 @@
    *
    * @param id the id
    * @param workspace the workspace
-   * @param runKey the key, empty if none
-   * @param model the model asked for
-   * @param prompt prompt tokens, at least 1
-   * @param maxTokens the most tokens to generate, at least 1
-   * @param prefixes keys of the prompt's prefixes
-   * @param deadlineMillis the caller's own deadline from arrival, 0 to take the rule's
+   * @param runKey the key under which it runs at most once; empty if none
+   * @param model the requested model
+   * @param prompt the number of prompt tokens, at least 1
+   * @param maxTokens the maximum number of tokens to generate, at least 1
+   * @param prefixes the keys of the prompt's prefixes
+   * @param deadlineMillis the caller's own deadline, counted from arrival; 0 to use the rule's
    */
   record Completion(
       RequestId id,
@@ -80,10 +80,10 @@
    *
    * @param id the id
    * @param workspace the workspace
-   * @param runKey the key, empty if none
+   * @param runKey the key under which it runs at most once; empty if none
    * @param path the path, beginning with a slash
-   * @param idempotentMethod whether RFC 9110 defines the method as idempotent
-   * @param deadlineMillis the caller's own deadline from arrival, 0 to take the rule's
+   * @param idempotentMethod true if RFC 9110 defines the method as idempotent
+   * @param deadlineMillis the caller's own deadline, counted from arrival; 0 to use the rule's
    */
   record Plain(
       RequestId id,
--- a/org.larkkeel/src/main/java/org/larkkeel/call/PrefixKeys.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/call/PrefixKeys.java
@@ -12,26 +12,26 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The keys of the prefixes of a prompt, shortest first, one at the end of each full piece.
+ * The keys of the prefixes of a prompt, shortest first, one for each full piece.
  *
- * <p>A key is the first 8 bytes of SHA-256 over the prompt's UTF-8 bytes up to the end of the
- * piece, so it equals the key that engines publish in cache events. Immutable and safe for use by
- * several threads.
+ * <p>A key is the first 8 bytes of the SHA-256 digest of the prompt's UTF-8 bytes up to the end of
+ * the piece, so it equals the key that engines publish in cache events. Immutable and safe for use
+ * by several threads.
  *
- * @param keys one key a full piece
+ * @param keys the keys, one for each full piece
  * @since 0.1
  */
 public record PrefixKeys(ImmutableLongArray keys) {
-  /** Bytes of a piece: 2,000 tokens of four bytes. */
+  /** The bytes of a piece: 2,000 tokens of four bytes. */
   public static final int PIECE_BYTES = 8_000;
 
-  /** Tokens of a piece. */
+  /** The tokens of a piece. */
   public static final int PIECE_TOKENS = 2_000;
 
-  /** Bytes of prompt that count as one token. */
+  /** The bytes of a prompt that count as one token. */
   public static final int BYTES_PER_TOKEN = 4;
 
-  /** No full piece. */
+  /** The keys of a prompt without a full piece. */
   public static final PrefixKeys NONE = new PrefixKeys(ImmutableLongArray.of());
 
   /**
@@ -55,10 +55,10 @@
   }
 
   /**
-   * Estimates the tokens of a prompt.
+   * Returns an estimate of the number of tokens of a prompt.
    *
-   * @param utf8Bytes its length in UTF-8 bytes
-   * @return tokens, rounded up
+   * @param utf8Bytes the length of the prompt in UTF-8 bytes
+   * @return the number of tokens, rounded up
    */
   public static int tokens(int utf8Bytes) {
     return (utf8Bytes + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
--- a/org.larkkeel/src/main/java/org/larkkeel/call/RunKey.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/call/RunKey.java
@@ -9,13 +9,13 @@
 import org.larkkeel.lib.IdempotencyKey;
 
 /**
- * The key of a request that must run at most once, with the digest of what was asked.
+ * The key of a request that must run at most once, with a digest of the request.
  *
  * <p>Invariant: the same key with another digest is a different request, which is refused.
  * Immutable and safe for use by several threads.
  *
  * @param key the caller's key, unique within its workspace
- * @param bodyDigest first 8 bytes of SHA-256 over method, path and body
+ * @param bodyDigest the first 8 bytes of the SHA-256 digest of method, path and body
  * @since 0.1
  */
 public record RunKey(IdempotencyKey key, long bodyDigest) {}
--- a/org.larkkeel/src/main/java/org/larkkeel/call/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/call/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What callers ask for, as the reducer sees it. */
+/** The requests of callers, as the reducer sees them. */
 package org.larkkeel.call;
--- a/org.larkkeel/src/main/java/org/larkkeel/effect/Effect.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/effect/Effect.java
@@ -14,25 +14,25 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Something to be done outside the reducer.
+ * An action that the reducer requests from its adapters.
  *
- * <p>Each effect of {@link OfAttempt} comes back as an event of that attempt: its success or {@code
- * AttemptFailed}. Immutable and safe for use by several threads.
+ * <p>Each effect of type {@link OfAttempt} is answered by an event of the same attempt: the event
+ * of its success or {@code AttemptFailed}. Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
 public sealed interface Effect {
-  /** An effect that works on one attempt of one request. */
+  /** An effect on one attempt of one request. */
   sealed interface OfAttempt extends Effect {
     /**
-     * The attempt.
+     * Returns the attempt.
      *
      * @return its id
      */
     AttemptId attempt();
 
     /**
-     * The request.
+     * Returns the request.
      *
      * @return its id
      */
@@ -40,15 +40,15 @@
   }
 
   /**
-   * Compute the KV cache of the prompt and of the tokens already passed on. Answered by {@code
-   * PrefillDone} or {@code AttemptFailed}.
+   * Compute the KV cache of the prompt and of the tokens that were already forwarded. Answered by
+   * {@code PrefillDone} or {@code AttemptFailed}.
    *
    * @param attempt the prefill attempt
    * @param request the request
    * @param upstream the prefill engine
-   * @param priority lower runs earlier in the engine
-   * @param resumeFrom tokens of the answer that are already passed on
-   * @param timeoutNanos after this the adapter reports a timeout
+   * @param priority the priority in the engine; lower values run earlier
+   * @param resumeFrom the number of tokens of the answer that were already forwarded
+   * @param timeoutNanos the time after which the adapter reports a timeout
    */
   record StartPrefill(
       AttemptId attempt,
@@ -60,15 +60,15 @@
       implements OfAttempt {}
 
   /**
-   * Move a KV cache to a decode engine, where it takes a slot. Answered by {@code TransferDone} or
-   * {@code AttemptFailed}.
+   * Transfer a KV cache to a decode engine, where it takes a slot. Answered by {@code TransferDone}
+   * or {@code AttemptFailed}.
    *
    * @param attempt the decode attempt
    * @param request the request
    * @param prefill the prefill attempt that holds the KV cache
    * @param from the engine that holds it
    * @param to the decode engine
-   * @param timeoutNanos after this the adapter reports a timeout
+   * @param timeoutNanos the time after which the adapter reports a timeout
    */
   record StartTransfer(
       AttemptId attempt,
@@ -80,15 +80,15 @@
       implements OfAttempt {}
 
   /**
-   * Generate tokens from a transferred KV cache and pass them on, each index once. Answered by
+   * Generate tokens from a transferred KV cache and forward them, each index once. Answered by
    * {@code FirstToken} and then {@code DecodeDone} or {@code AttemptFailed}.
    *
    * @param attempt the decode attempt, the same as that of the transfer
    * @param request the request
    * @param upstream the decode engine
-   * @param priority lower runs earlier in the engine
+   * @param priority the priority in the engine; lower values run earlier
    * @param resumeFrom the index of the first token to generate
-   * @param timeoutNanos longest silence between two tokens before the adapter reports a timeout
+   * @param timeoutNanos the maximum time between two tokens before the adapter reports a timeout
    */
   record StartDecode(
       AttemptId attempt,
@@ -105,13 +105,13 @@
    * @param attempt the attempt
    * @param request the request
    * @param upstream the service
-   * @param timeoutNanos after this the adapter reports a timeout
+   * @param timeoutNanos the time after which the adapter reports a timeout
    */
   record SendPlain(AttemptId attempt, RequestId request, UpstreamName upstream, long timeoutNanos)
       implements OfAttempt {}
 
   /**
-   * Free whatever the upstream holds for an attempt, and drop its stream. Answered by {@code
+   * Free everything that the upstream holds for an attempt, and drop its stream. Answered by {@code
    * CancelSettled}.
    *
    * @param attempt the attempt
@@ -123,7 +123,7 @@
   /**
    * Claim an at-most-once run durably. Answered by {@code ClaimSettled}.
    *
-   * @param attempt the attempt that waits for it
+   * @param attempt the attempt that waits for the claim
    * @param request the request
    * @param workspace the workspace of the key
    * @param key the key and the digest of the request
@@ -132,7 +132,7 @@
       implements OfAttempt {}
 
   /**
-   * Record durably how a claimed run ended; the listener has the answer. Answered by {@code
+   * Record durably how a claimed run ended; the listener holds the answer. Answered by {@code
    * RecordSettled}.
    *
    * @param attempt the attempt that ran
@@ -146,19 +146,20 @@
       implements OfAttempt {}
 
   /**
-   * End the answer to the caller: the whole of it has been received in this attempt. The last
-   * effect of a request.
+   * End the answer to the caller: this attempt has received it completely. The last effect of a
+   * request.
    *
    * @param request the request
-   * @param attempt the attempt whose answer counts
+   * @param attempt the attempt whose answer is delivered
    */
   record Complete(RequestId request, AttemptId attempt) implements Effect {}
 
   /**
-   * Answer with what an earlier run of the same key recorded. The last effect of a request.
+   * Answer with the recorded result of an earlier run of the same key. The last effect of a
+   * request.
    *
    * @param request the request
-   * @param attempt the attempt whose claim brought the record
+   * @param attempt the attempt whose claim returned the record
    */
   record Replay(RequestId request, AttemptId attempt) implements Effect {}
 
@@ -167,36 +168,37 @@
    *
    * @param request the request
    * @param kind the kind of the error
-   * @param retryAfterMillis when to come back; 0 if it is of no use to say
+   * @param retryAfterMillis the delay after which the caller should retry; 0 if a retry makes no
+   *     sense
    * @param detail one sentence for the caller, without secrets
    */
   record Refuse(RequestId request, ErrorKind kind, long retryAfterMillis, String detail)
       implements Effect {}
 
   /**
-   * Drop everything kept for a request whose caller is gone. The last effect of a request.
+   * Drop everything kept for a request whose caller has disconnected. The last effect of a request.
    *
    * @param request the request
    */
   record Forget(RequestId request) implements Effect {}
 
   /**
-   * Ask the owner of an upstream's slots for a number of them. May be answered by {@code
+   * Request a number of an upstream's slots from the owner of the slots. May be answered by {@code
    * SlotsGranted}.
    *
    * @param upstream the upstream
-   * @param wanted slots that this node can use now, those it holds included
+   * @param wanted the number of slots that this node can use now, including those it holds
    */
   record WantSlots(UpstreamName upstream, int wanted) implements Effect {}
 
   /**
-   * Tell the owner of a workspace's limits what this node sees. May be answered by {@code
-   * LimitGranted}.
+   * Report this node's demand of a workspace to the owner of the workspace's limits. May be
+   * answered by {@code LimitGranted}.
    *
    * @param workspace the workspace
-   * @param requestsPerSecond requests that arrived a second
-   * @param promptTokensPerSecond prompt tokens that arrived a second
-   * @param concurrency requests that are or want to be in progress
+   * @param requestsPerSecond the rate of arriving requests
+   * @param promptTokensPerSecond the rate of arriving prompt tokens
+   * @param concurrency the number of requests that are or want to be in progress
    */
   record WantLimit(
       WorkspaceName workspace,
@@ -206,9 +208,10 @@
       implements Effect {}
 
   /**
-   * Deliver {@code Ticked} at a time. A later one replaces none: each is delivered.
+   * Deliver {@code Ticked} at a time. Several such effects do not replace each other: each is
+   * delivered.
    *
-   * @param at nanoseconds on the node's clock
+   * @param at the time in nanoseconds on the node's clock
    */
   record Wake(long at) implements Effect {}
 
--- a/org.larkkeel/src/main/java/org/larkkeel/effect/EffectSink.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/effect/EffectSink.java
@@ -7,7 +7,7 @@
 package org.larkkeel.effect;
 
 /**
- * Takes effects in the order in which the reducer decides them.
+ * Receives effects in the order in which the reducer emits them.
  *
  * <p>Called on the reducer's thread; must not block.
  *
@@ -16,7 +16,7 @@
 @FunctionalInterface
 public interface EffectSink {
   /**
-   * Takes one effect.
+   * Receives one effect.
    *
    * @param effect the effect, never null
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/effect/Fact.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/effect/Fact.java
@@ -16,7 +16,7 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Something worth counting or logging that changes nothing outside.
+ * Information to log or count, which requires no other action.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -24,14 +24,14 @@
  */
 public sealed interface Fact {
   /**
-   * A request was answered in full.
+   * A request was answered completely.
    *
    * @param request the request
    * @param rule its rule
-   * @param withinTargets whether it met its latency targets
-   * @param firstNanos from arrival to the first token, or to the answer of a plain call
-   * @param betweenNanos mean time between tokens; 0 if there was one
-   * @param tokens tokens of the answer
+   * @param withinTargets true if it met its latency targets
+   * @param firstNanos the time from arrival to the first token, or to the answer of a plain call
+   * @param betweenNanos the mean time between tokens; 0 if there was one token
+   * @param tokens the number of tokens of the answer
    */
   record Answered(
       RequestId request,
@@ -46,7 +46,7 @@
    * A request was refused.
    *
    * @param request the request
-   * @param kind why
+   * @param kind the kind of the error
    */
   record Refused(RequestId request, ErrorKind kind) implements Fact {}
 
@@ -55,67 +55,67 @@
    *
    * @param request the request
    * @param attempt the attempt
-   * @param upstream where
+   * @param upstream the chosen upstream
    */
   record Placed(RequestId request, AttemptId attempt, UpstreamName upstream) implements Fact {}
 
   /**
-   * An attempt failed and another will be made.
+   * An attempt failed and will be followed by another one.
    *
    * @param request the request
    * @param attempt the failed attempt
-   * @param upstream where it failed
-   * @param cause why
+   * @param upstream the upstream where it failed
+   * @param cause the cause of the failure
    */
   record Retried(RequestId request, AttemptId attempt, UpstreamName upstream, FailureCause cause)
       implements Fact {}
 
   /**
-   * Prefill work was done in vain.
+   * The result of a prefill was not used.
    *
    * @param request the request
    * @param attempt the prefill attempt
    * @param upstream the prefill engine
-   * @param tokens prompt tokens computed
+   * @param tokens the number of prompt tokens that were computed
    */
   record PrefillWasted(RequestId request, AttemptId attempt, UpstreamName upstream, int tokens)
       implements Fact {}
 
   /**
-   * Prefill work was used.
+   * The result of a prefill was used.
    *
    * @param request the request
    * @param attempt the prefill attempt
    * @param upstream the prefill engine
-   * @param tokens prompt tokens computed
+   * @param tokens the number of prompt tokens that were computed
    */
   record PrefillUsed(RequestId request, AttemptId attempt, UpstreamName upstream, int tokens)
       implements Fact {}
 
   /**
-   * An upstream gets no requests for a time because it failed repeatedly.
+   * An upstream was ejected after repeated failures and gets no requests for a time.
    *
    * @param upstream the upstream
-   * @param forNanos how long
+   * @param forNanos the duration
    */
   record Ejected(UpstreamName upstream, long forNanos) implements Fact {}
 
   /**
-   * An ejected upstream is back after a probe.
+   * An ejected upstream was restored after a successful probe.
    *
    * @param upstream the upstream
    */
   record Restored(UpstreamName upstream) implements Fact {}
 
   /**
-   * A configuration is in force on this node.
+   * A configuration came into force on this node.
    *
    * @param revision its revision
    */
   record InForce(Revision revision) implements Fact {}
 
   /**
-   * A pool has no upstream that takes requests.
+   * A pool has no upstream that accepts requests.
    *
    * @param pool the pool
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/effect/RunResult.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/effect/RunResult.java
@@ -7,15 +7,15 @@
 package org.larkkeel.effect;
 
 /**
- * How a claimed at-most-once run ended.
+ * The way in which a claimed at-most-once run ended.
  *
  * @since 0.1
  */
 public enum RunResult {
-  /** The answer is known and is recorded with it. */
+  /** The answer is known and is recorded with the result. */
   DONE,
-  /** Nothing was sent; the claim is given back and the key may be used again. */
+  /** Nothing was sent; the claim is released and the key may be used again. */
   NOT_RUN,
-  /** It may have run; the key is never run again. */
+  /** The request may have run; the key is never run again. */
   UNKNOWN
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/effect/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/effect/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** What the reducer wants done, as data for the adapters. */
+/** The actions that the reducer requests, as data for the adapters. */
 package org.larkkeel.effect;
--- a/org.larkkeel/src/main/java/org/larkkeel/errors/ErrorKind.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/errors/ErrorKind.java
@@ -7,15 +7,15 @@
 package org.larkkeel.errors;
 
 /**
- * The closed list of error kinds, with the answer to each.
+ * The closed list of error kinds and the answer to each.
  *
- * <p>This table is the only place that maps a kind to a status, to what the caller may conclude,
- * and to a remedy. Immutable and safe for use by several threads.
+ * <p>This table is the only place that maps a kind to an HTTP status, to what the caller may
+ * conclude about the execution, and to a remedy. Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
 public enum ErrorKind {
-  /** The request can not be read. */
+  /** The request can not be parsed. */
   MALFORMED_REQUEST(
       400,
       Execution.NOT_RUN,
@@ -50,21 +50,21 @@
       Repeat.NEVER,
       "There is no such resource.",
       "Correct the path or the name."),
-  /** The path does not take this method. */
+  /** The path does not support the method. */
   METHOD_NOT_ALLOWED(
       405,
       Execution.NOT_RUN,
       Repeat.NEVER,
       "The path does not take this method.",
       "Use one of the methods in Allow."),
-  /** The request was not complete in time. */
+  /** The request was not received completely before the timeout. */
   REQUEST_TIMEOUT(
       408,
       Execution.NOT_RUN,
       Repeat.LATER,
       "The request was not complete in time.",
       "Send the whole request without a pause."),
-  /** Another change was accepted first. */
+  /** Another change was accepted first, so the change was rejected. */
   CONFLICT(
       409,
       Execution.NOT_RUN,
@@ -113,28 +113,28 @@
       Repeat.LATER,
       "The request can not meet its deadline at the present load.",
       "Repeat after Retry-After."),
-  /** No live upstream fits the request. */
+  /** No live upstream is eligible for the request. */
   NO_UPSTREAM(
       503,
       Execution.NOT_RUN,
       Repeat.LATER,
       "No live upstream fits the request.",
       "Repeat after Retry-After; operators check labels and upstreams."),
-  /** Upstreams have ended that ran the request. */
+  /** Upstreams crashed while they ran the request. */
   QUARANTINED(
       503,
       Execution.NOT_RUN,
       Repeat.LATER,
       "Upstreams have ended that ran the request.",
       "Repeat after Retry-After; operators can release the request."),
-  /** This node takes no new requests. */
+  /** This node accepts no new requests. */
   NOT_READY(
       503,
       Execution.NOT_RUN,
       Repeat.LATER,
       "This node takes no new requests.",
       "Repeat at once; the balancer chooses another node."),
-  /** The run can not be recorded now. */
+  /** The claim of an at-most-once run can not be stored now. */
   STORE_UNAVAILABLE(
       503,
       Execution.NOT_RUN,
@@ -162,7 +162,7 @@
       Repeat.IF_IDEMPOTENT,
       "The deadline passed before the answer was complete.",
       "Repeat only what may run twice, with a later deadline."),
-  /** The deadline passed while the request waited. */
+  /** The deadline passed while the request was queued. */
   EXPIRED_IN_QUEUE(
       504,
       Execution.NOT_RUN,
@@ -199,7 +199,7 @@
   }
 
   /**
-   * The HTTP status of the answer.
+   * Returns the HTTP status of the answer.
    *
    * @return a status code
    */
@@ -208,16 +208,16 @@
   }
 
   /**
-   * What the caller may conclude about the run of its request.
+   * Returns what the caller may conclude about the execution of its request.
    *
-   * @return the execution state that is told to the caller
+   * @return the execution state that is reported to the caller
    */
   public Execution execution() {
     return execution;
   }
 
   /**
-   * Whether the caller may repeat the request.
+   * Returns whether the caller may retry the request.
    *
    * @return the advice
    */
@@ -226,7 +226,7 @@
   }
 
   /**
-   * One sentence that describes the kind.
+   * Returns one sentence that describes the kind.
    *
    * @return the title of the problem
    */
@@ -235,7 +235,7 @@
   }
 
   /**
-   * What the caller or operator can do.
+   * Returns what the caller or operator can do.
    *
    * @return one or two sentences
    */
@@ -244,7 +244,7 @@
   }
 
   /**
-   * The name in problem types and logs.
+   * Returns the name used in problem types, logs and metrics.
    *
    * @return the kind in lower case with hyphens, such as {@code no-rule}
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/errors/LarkkeelException.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/errors/LarkkeelException.java
@@ -7,9 +7,9 @@
 package org.larkkeel.errors;
 
 /**
- * A failure of a known kind; futures fail with it.
+ * A failure of a known kind, used also to complete futures exceptionally.
  *
- * <p>Immutable but for the stack trace, safe for use by several threads.
+ * <p>Immutable except for the stack trace; safe for use by several threads.
  *
  * @since 0.1
  */
@@ -22,7 +22,7 @@
    * Creates a failure.
    *
    * @param kind the kind, never null
-   * @param detail what exactly failed, naming field, value and remedy where there is one
+   * @param detail what failed, naming the field, the value and the remedy where there is one
    */
   public LarkkeelException(ErrorKind kind, String detail) {
     super(detail);
@@ -33,7 +33,7 @@
    * Creates a failure with a cause.
    *
    * @param kind the kind, never null
-   * @param detail what exactly failed
+   * @param detail what failed
    * @param cause the cause, may be null
    */
   public LarkkeelException(ErrorKind kind, String detail, Throwable cause) {
@@ -42,7 +42,7 @@
   }
 
   /**
-   * The kind of the failure.
+   * Returns the kind of the failure.
    *
    * @return the kind, never null
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/errors/Repeat.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/errors/Repeat.java
@@ -7,15 +7,15 @@
 package org.larkkeel.errors;
 
 /**
- * Advice on repeating a refused request.
+ * The advice to a refused caller about retrying the request.
  *
  * @since 0.1
  */
 public enum Repeat {
-  /** Repeating the same request gets the same answer. */
+  /** A retry of the same request gets the same answer. */
   NEVER,
-  /** The request may be repeated after a delay. */
+  /** The request may be retried after a delay. */
   LATER,
-  /** Only a request that may run twice may be repeated. */
+  /** The request may be retried only if it may run twice. */
   IF_IDEMPOTENT
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/errors/Slugs.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/errors/Slugs.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 
 /**
- * Names of enum constants as they appear in logs, problem types and metrics.
+ * Converts enum constants to the names used in logs, problem types and metrics.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -19,10 +19,10 @@
   private Slugs() {}
 
   /**
-   * Converts a constant's name.
+   * Returns the name of a constant as used outside the process.
    *
    * @param constant the constant, never null
-   * @return the name in lower case, with hyphens
+   * @return the constant's name in lower case, with hyphens instead of underscores
    */
   public static String of(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/org.larkkeel/src/main/java/org/larkkeel/errors/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/errors/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The closed list of error kinds and the answer to each. */
+/** The closed list of error kinds and the answer to each kind. */
 package org.larkkeel.errors;
--- a/org.larkkeel/src/main/java/org/larkkeel/event/CancelOutcome.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/CancelOutcome.java
@@ -7,13 +7,13 @@
 package org.larkkeel.event;
 
 /**
- * The result of one try to cancel an attempt.
+ * The result of one attempt to cancel work at an upstream.
  *
  * @since 0.1
  */
 public enum CancelOutcome {
-  /** The upstream holds nothing of the attempt any more. */
+  /** The upstream no longer holds anything of the attempt. */
   ACKNOWLEDGED,
-  /** The upstream could not be asked, or did not answer. */
+  /** The upstream could not be reached or did not answer. */
   FAILED
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/event/ClaimOutcome.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/ClaimOutcome.java
@@ -7,18 +7,18 @@
 package org.larkkeel.event;
 
 /**
- * The answer to a durable claim of an at-most-once run.
+ * The result of a durable claim of an at-most-once run.
  *
  * @since 0.1
  */
 public enum ClaimOutcome {
-  /** The claim is durable and this node alone may send the request, once. */
+  /** The claim is durable; only this node may send the request, and only once. */
   CLAIMED,
-  /** The request ran before; its recorded answer is at hand. */
+  /** The request ran before; its recorded answer is available. */
   ALREADY_DONE,
   /** Another node is running the request now. */
   IN_PROGRESS,
-  /** The request was claimed before and its outcome will never be known. */
+  /** The request was claimed before, and its outcome will never be known. */
   UNKNOWN,
   /** The key was used with another body. */
   KEY_REUSED,
--- a/org.larkkeel/src/main/java/org/larkkeel/event/Event.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/Event.java
@@ -18,25 +18,25 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Something that happened, with its time.
+ * An input of the reducer, with the time at which it happened.
  *
- * <p>Invariant: the times of the events given to one reducer never decrease. Immutable and safe for
- * use by several threads.
+ * <p>Invariant: the times of the events passed to one reducer never decrease. Immutable and safe
+ * for use by several threads.
  *
  * @since 0.1
  */
 public sealed interface Event {
   /**
-   * When it happened.
+   * Returns the time of the event.
    *
    * @return nanoseconds on the node's monotonic clock
    */
   long at();
 
-  /** An event about one attempt; the reducer ignores it once the attempt is no longer current. */
+  /** An event of one attempt; the reducer ignores it if the attempt is no longer current. */
   sealed interface OfAttempt extends Event {
     /**
-     * The attempt.
+     * Returns the attempt.
      *
      * @return its id
      */
@@ -60,12 +60,12 @@
   record CallerGone(long at, RequestId request) implements Event {}
 
   /**
-   * A prefill is complete and its KV cache is held by the upstream for a short time.
+   * A prefill is complete, and the upstream holds its KV cache for a short time.
    *
    * @param at the time
    * @param attempt the prefill attempt
-   * @param kvBytes size of the KV cache
-   * @param cachedTokens prompt tokens that were found in the prefix cache
+   * @param kvBytes the size of the KV cache
+   * @param cachedTokens the number of prompt tokens that were found in the prefix cache
    */
   record PrefillDone(long at, AttemptId attempt, long kvBytes, int cachedTokens)
       implements OfAttempt {}
@@ -79,7 +79,7 @@
   record TransferDone(long at, AttemptId attempt) implements OfAttempt {}
 
   /**
-   * The first token of this attempt was passed on.
+   * The first token of this attempt was forwarded.
    *
    * @param at the time
    * @param attempt the decode attempt
@@ -87,16 +87,16 @@
   record FirstToken(long at, AttemptId attempt) implements OfAttempt {}
 
   /**
-   * The last token was passed on.
+   * The last token was forwarded.
    *
    * @param at the time
    * @param attempt the decode attempt
-   * @param tokens tokens of the whole answer, those of earlier attempts included
+   * @param tokens the number of tokens of the complete answer, including those of earlier attempts
    */
   record DecodeDone(long at, AttemptId attempt, int tokens) implements OfAttempt {}
 
   /**
-   * A service answered in full; the listener keeps the answer.
+   * A service answered completely; the listener holds the answer.
    *
    * @param at the time
    * @param attempt the attempt
@@ -104,20 +104,21 @@
   record PlainDone(long at, AttemptId attempt) implements OfAttempt {}
 
   /**
-   * An attempt failed, in whatever step it was.
+   * An attempt failed in any of its steps.
    *
    * @param at the time
    * @param attempt the attempt
-   * @param cause why
-   * @param exposure how far the request got
-   * @param tokens tokens of the answer passed on so far, those of earlier attempts included
+   * @param cause the cause of the failure
+   * @param exposure how far the request got towards the upstream
+   * @param tokens the number of tokens of the answer forwarded so far, including those of earlier
+   *     attempts
    */
   record AttemptFailed(
       long at, AttemptId attempt, FailureCause cause, Exposure exposure, int tokens)
       implements OfAttempt {}
 
   /**
-   * A try to cancel an attempt ended.
+   * An attempt to cancel work at an upstream ended.
    *
    * @param at the time
    * @param attempt the attempt
@@ -130,12 +131,12 @@
    *
    * @param at the time
    * @param attempt the attempt that waits for the claim
-   * @param outcome the answer
+   * @param outcome the result
    */
   record ClaimSettled(long at, AttemptId attempt, ClaimOutcome outcome) implements OfAttempt {}
 
   /**
-   * Writing down the outcome of an at-most-once run ended.
+   * The attempt to record the outcome of an at-most-once run ended.
    *
    * @param at the time
    * @param attempt the attempt that ran
@@ -153,7 +154,7 @@
   record LoadReported(long at, UpstreamName upstream, LoadReport report) implements Event {}
 
   /**
-   * An upstream could not be asked for its load.
+   * The load of an upstream could not be queried.
    *
    * @param at the time
    * @param upstream the upstream
@@ -161,14 +162,15 @@
   record LoadUnavailable(long at, UpstreamName upstream) implements Event {}
 
   /**
-   * An upstream published a change of its prefix cache, late and perhaps after a gap.
+   * An upstream published a change of its prefix cache; it may arrive late, and changes may be
+   * missing before it.
    *
    * @param at the time of arrival
    * @param upstream the upstream
-   * @param incarnation its start
-   * @param sequence the number of the change
-   * @param stored prefix keys stored
-   * @param removed prefix keys removed
+   * @param incarnation the incarnation of the upstream
+   * @param sequence the sequence number of the change
+   * @param stored the prefix keys that were stored
+   * @param removed the prefix keys that were removed
    */
   record CacheChanged(
       long at,
@@ -180,10 +182,10 @@
       implements Event {}
 
   /**
-   * A configuration is to come into force; an older one than that in force is ignored.
+   * A configuration is to come into force; it is ignored if it is older than the one in force.
    *
    * @param at the time
-   * @param configuration the whole configuration
+   * @param configuration the complete configuration
    */
   record ConfigurationAccepted(long at, Configuration configuration) implements Event {}
 
@@ -191,34 +193,34 @@
    * The set of live nodes changed.
    *
    * @param at the time
-   * @param live names of the live nodes, this one included
+   * @param live the names of the live nodes, including this one
    */
   record PeersChanged(long at, ImmutableSortedSet<HostName> live) implements Event {}
 
   /**
-   * The owner of an upstream's slots set the number that this node may use; it replaces the number
-   * before.
+   * The owner of an upstream's slots set the number of slots that this node may use; it replaces
+   * the previous number.
    *
    * @param at the time
    * @param upstream the upstream
-   * @param slots slots that this node may use until then
-   * @param until the end of the grant, nanoseconds
+   * @param slots the number of slots that this node may use until then
+   * @param until the end of the grant, in nanoseconds on the node's clock
    */
   record SlotsGranted(long at, UpstreamName upstream, int slots, long until) implements Event {}
 
   /**
-   * The owner of a workspace's limits set the share of this node; it replaces the share before.
+   * The owner of a workspace's limits set the share of this node; it replaces the previous share.
    *
    * @param at the time
    * @param workspace the workspace
    * @param share the share until then
-   * @param until the end of the grant, nanoseconds
+   * @param until the end of the grant, in nanoseconds on the node's clock
    */
   record LimitGranted(long at, WorkspaceName workspace, LimitShare share, long until)
       implements Event {}
 
   /**
-   * The node is to stop: no new requests, those in progress are finished.
+   * The node drains: it accepts no new requests and finishes those in progress.
    *
    * @param at the time
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/event/Exposure.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/Exposure.java
@@ -7,15 +7,15 @@
 package org.larkkeel.event;
 
 /**
- * How far the request got towards the upstream in a failed attempt.
+ * The extent to which a failed attempt exposed the request to the upstream.
  *
  * @since 0.1
  */
 public enum Exposure {
   /** No byte of the request left this node. */
   NOT_SENT,
-  /** The upstream said that it did not run the request. */
+  /** The upstream answered that it did not run the request. */
   REFUSED,
-  /** At least a byte was sent and the outcome is not known, or the request ran in part. */
+  /** At least one byte was sent and the outcome is not known, or the request ran partially. */
   MAY_HAVE_RUN
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/event/FailureCause.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/FailureCause.java
@@ -7,27 +7,27 @@
 package org.larkkeel.event;
 
 /**
- * Why an attempt at an upstream failed.
+ * The reason why an attempt at an upstream failed.
  *
  * @since 0.1
  */
 public enum FailureCause {
-  /** No connection could be made. */
+  /** No connection could be established. */
   CONNECT_FAILED,
-  /** The upstream said that it has no slot. */
+  /** The upstream answered that it has no free slot. */
   NO_SLOT,
-  /** The upstream said that it is busy. */
+  /** The upstream answered that it is busy. */
   BUSY,
-  /** The upstream said that it is leaving. */
+  /** The upstream answered that it is leaving. */
   DRAINING,
-  /** The KV cache is no longer held. */
+  /** The upstream no longer holds the KV cache. */
   KV_EVICTED,
   /** The connection broke. */
   CONNECTION_LOST,
-  /** No answer in time. */
+  /** No answer was received before the timeout. */
   TIMED_OUT,
-  /** The upstream answered with a server error or with something unreadable. */
+  /** The upstream answered with a server error or with a malformed answer. */
   BAD_ANSWER,
-  /** The upstream rejected the request itself; another upstream would do the same. */
+  /** The upstream rejected the request as such; another upstream would do the same. */
   REJECTED
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/event/LimitShare.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/LimitShare.java
@@ -7,13 +7,14 @@
 package org.larkkeel.event;
 
 /**
- * This node's share of the limits of one workspace; a part that is 0 in the limits is ignored.
+ * This node's share of the limits of one workspace; a component is ignored if the corresponding
+ * limit is 0.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param requestsPerSecond requests a second
- * @param promptTokensPerSecond prompt tokens a second
- * @param concurrency requests in progress at once
+ * @param requestsPerSecond requests per second
+ * @param promptTokensPerSecond prompt tokens per second
+ * @param concurrency the maximum number of requests in progress
  * @since 0.1
  */
 public record LimitShare(double requestsPerSecond, double promptTokensPerSecond, int concurrency) {}
--- a/org.larkkeel/src/main/java/org/larkkeel/event/LoadReport.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/LoadReport.java
@@ -11,18 +11,18 @@
 import org.larkkeel.lib.ModelName;
 
 /**
- * What an engine said about its load; it was true some time before it arrived.
+ * The load that an engine reported; it describes a time before its arrival.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param incarnation the start of the engine that reported
- * @param asOf the time that the report describes, nanoseconds on this node's clock
- * @param slots requests that it can run at once
- * @param running requests that hold a slot, of all nodes
- * @param waiting requests that wait inside the engine, of all nodes
- * @param kvPieces pieces of KV memory in all
- * @param kvPiecesFree pieces of KV memory that are free
- * @param models the models loaded; empty if it did not say
+ * @param incarnation the incarnation of the engine
+ * @param asOf the time that the report describes, in nanoseconds on this node's clock
+ * @param slots the number of requests that the engine can run at once
+ * @param running the number of requests of all nodes that hold a slot
+ * @param waiting the number of requests of all nodes that are queued in the engine
+ * @param kvPieces the total number of pieces of KV memory
+ * @param kvPiecesFree the number of free pieces of KV memory
+ * @param models the loaded models; empty if the engine did not report them
  * @since 0.1
  */
 public record LoadReport(
--- a/org.larkkeel/src/main/java/org/larkkeel/event/RecordOutcome.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/RecordOutcome.java
@@ -7,13 +7,13 @@
 package org.larkkeel.event;
 
 /**
- * The result of writing down how an at-most-once run ended.
+ * The result of recording how an at-most-once run ended.
  *
  * @since 0.1
  */
 public enum RecordOutcome {
   /** The outcome is durable. */
   RECORDED,
-  /** The outcome could not be made durable; for later callers it is unknown. */
+  /** The outcome could not be made durable; later callers see it as unknown. */
   FAILED
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/event/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/event/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Everything that can happen to a node, as data for the reducer. */
+/** The inputs of the reducer: everything that can happen to a node, as data. */
 package org.larkkeel.event;
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/AttemptId.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/AttemptId.java
@@ -7,7 +7,7 @@
 package org.larkkeel.lib;
 
 /**
- * The id of one order to an upstream, unique within one incarnation of one node.
+ * The id of one attempt at an upstream, unique within one incarnation of one node.
  *
  * <p>Immutable and safe for use by several threads.
  *
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/ChangeId.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/ChangeId.java
@@ -7,17 +7,21 @@
 package org.larkkeel.lib;
 
 /**
- * Names one change of the configuration, unique over all authors and times.
+ * The id of one change of the configuration, unique over all authors and times.
  *
- * <p>A writer that lost the answer to its append recognises its own entry by this id. Immutable and
- * safe for use by several threads.
+ * <p>A writer whose append was not answered recognises its own entry by this id. Immutable and safe
+ * for use by several threads.
  *
  * @param value the text, a valid name
  * @since 0.1
  */
 public record ChangeId(String value) implements Comparable<ChangeId> {
 
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public ChangeId {
     Names.check("a change", value);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/Closer.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/Closer.java
@@ -10,10 +10,10 @@
 import java.util.Deque;
 
 /**
- * Gathers resources and closes them in the reverse order of their opening.
+ * Collects resources and closes them in the reverse order of their registration.
  *
- * <p>Invariant: each resource is closed at most once, and a failure of one does not keep the others
- * open. Safe for use by several threads.
+ * <p>Invariant: each resource is closed at most once, and a failure to close one does not prevent
+ * closing the others. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -25,9 +25,9 @@
   public Closer() {}
 
   /**
-   * Takes charge of a resource.
+   * Registers a resource to be closed with this closer.
    *
-   * @param resource the resource; closed at once if this closer is already closed
+   * @param resource the resource; closed immediately if this closer is already closed
    * @param <T> the type of the resource
    * @return the resource
    * @throws IllegalStateException if this closer is already closed
@@ -36,13 +36,14 @@
     if (push(resource)) {
       return resource;
     }
-    IllegalStateException late = new IllegalStateException("the closer is closed already");
+    IllegalStateException failure =
+        new IllegalStateException("a resource was added after the closer was closed");
     try {
       resource.close();
     } catch (Exception e) {
-      late.addSuppressed(e);
+      failure.addSuppressed(e);
     }
-    throw late;
+    throw failure;
   }
 
   private synchronized boolean push(AutoCloseable resource) {
@@ -58,9 +59,9 @@
   }
 
   /**
-   * Closes everything, the last opened first.
+   * Closes all resources, the last registered first.
    *
-   * @throws Exception the first failure, with the others suppressed in it
+   * @throws Exception the first failure; later failures are added to it as suppressed exceptions
    */
   @Override
   public void close() throws Exception {
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/DataCentreName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/DataCentreName.java
@@ -17,7 +17,11 @@
  */
 public record DataCentreName(String value) implements Comparable<DataCentreName> {
 
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public DataCentreName {
     Names.check("a data centre", value);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/FencingNumber.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/FencingNumber.java
@@ -7,7 +7,8 @@
 package org.larkkeel.lib;
 
 /**
- * A number that grows with each holder of a lease; an order that carries an older one is stale.
+ * A number that increases with each holder of a lease; an order with a smaller number is stale and
+ * refused.
  *
  * <p>Immutable and safe for use by several threads.
  *
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/Fingerprint.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/Fingerprint.java
@@ -13,12 +13,12 @@
 import java.util.HexFormat;
 
 /**
- * Names what was put in, and tells nothing of it: the first half of its SHA-256 digest.
+ * Identifies data without revealing it: the first half of its SHA-256 digest.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param high the first eight bytes
- * @param low the next eight
+ * @param low the next eight bytes
  * @since 0.1
  */
 public record Fingerprint(long high, long low) {
@@ -26,9 +26,9 @@
   private static final int HEX_DIGITS = 32;
 
   /**
-   * The fingerprint of some parts, in their order.
+   * Returns the fingerprint of a sequence of parts.
    *
-   * @param parts never null; where one ends and the next begins makes a difference
+   * @param parts the parts, never null; their boundaries are part of the digest
    */
   public static Fingerprint of(byte[]... parts) {
     MessageDigest digest = digest();
@@ -36,11 +36,11 @@
       digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(part.length).flip());
       digest.update(part);
     }
-    ByteBuffer made = ByteBuffer.wrap(digest.digest());
-    return new Fingerprint(made.getLong(), made.getLong());
+    ByteBuffer hash = ByteBuffer.wrap(digest.digest());
+    return new Fingerprint(hash.getLong(), hash.getLong());
   }
 
-  /** The fingerprint of some texts, as that of their UTF-8. */
+  /** Returns the fingerprint of the UTF-8 bytes of a sequence of texts. */
   public static Fingerprint of(String... texts) {
     byte[][] parts = new byte[texts.length][];
     for (int i = 0; i < texts.length; i++) {
@@ -50,9 +50,9 @@
   }
 
   /**
-   * Reads what {@link #toString} writes.
+   * Parses the form that {@link #toString} produces.
    *
-   * @throws IllegalArgumentException if the text is no fingerprint
+   * @throws IllegalArgumentException if the text is not a fingerprint
    */
   public static Fingerprint parse(String text) {
     if (text.length() != HEX_DIGITS) {
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/HostName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/HostName.java
@@ -17,7 +17,11 @@
  */
 public record HostName(String value) implements Comparable<HostName> {
 
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public HostName {
     Names.check("a host", value);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/IdempotencyKey.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/IdempotencyKey.java
@@ -9,17 +9,21 @@
 /**
  * A caller's key for a request that must run at most once.
  *
- * <p>Invariant: 1 to 255 printable ASCII characters. Keys of different workspaces are unrelated.
+ * <p>Invariant: 1 to 255 printable ASCII characters. Keys of different workspaces are independent.
  * Immutable and safe for use by several threads.
  *
  * @param value the text, never null
  * @since 0.1
  */
 public record IdempotencyKey(String value) {
-  /** The longest key accepted, in characters. */
+  /** The maximum length of a key, in characters. */
   public static final int MAX_LENGTH = 255;
 
-  /** Checks the key. */
+  /**
+   * Validates the key.
+   *
+   * @throws IllegalArgumentException if the key is malformed
+   */
   public IdempotencyKey {
     if (value.isEmpty()
         || value.length() > MAX_LENGTH
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/Incarnation.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/Incarnation.java
@@ -7,7 +7,8 @@
 package org.larkkeel.lib;
 
 /**
- * The number of one start of a process; a later start has a greater one.
+ * The number of one incarnation of a process, that is one run from start to end; a restart normally
+ * gets a greater number.
  *
  * <p>Immutable and safe for use by several threads.
  *
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/Labels.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/Labels.java
@@ -23,13 +23,17 @@
   /** No labels. */
   public static final Labels NONE = new Labels(ImmutableSortedMap.of());
 
-  /** Checks keys and values. */
+  /**
+   * Validates keys and values.
+   *
+   * @throws IllegalArgumentException if a key or a value is malformed
+   */
   public Labels {
     entries.forEach(Labels::check);
   }
 
   /**
-   * Copies a map.
+   * Returns labels with the entries of a map.
    *
    * @param entries values by key
    * @return the labels
@@ -40,7 +44,7 @@
   }
 
   /**
-   * Reads one label.
+   * Returns the value of a label.
    *
    * @param key the key
    * @return the value, empty if there is no such label
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/ModelName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/ModelName.java
@@ -17,7 +17,11 @@
  */
 public record ModelName(String value) implements Comparable<ModelName> {
 
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public ModelName {
     Names.check("a model", value);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/Names.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/Names.java
@@ -9,27 +9,27 @@
 /**
  * The syntax of names and label parts.
  *
- * <p>Names are checked by a loop and not by a regular expression, as each message between nodes
- * carries one for each upstream.
+ * <p>Names are checked by a loop instead of a regular expression, as each message between nodes
+ * carries a name for each upstream.
  *
  * <p>Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Names {
-  /** The longest name accepted, in characters. */
+  /** The maximum length of a name, in characters. */
   public static final int MAX_LENGTH = 128;
 
-  /** What may stand between letters and digits, beside these. */
-  private static final String INNER = "._/-";
+  /** The characters allowed between letters and digits, but not at the beginning or the end. */
+  private static final String INNER_CHARACTERS = "._/-";
 
   private Names() {}
 
   /**
-   * Tells whether a text is a valid name.
+   * Returns whether a text is a valid name.
    *
    * @param value the text, never null
-   * @return true if the text may be used as a name
+   * @return true if the text can be used as a name
    */
   public static boolean isValid(String value) {
     int length = value.length();
@@ -38,7 +38,7 @@
     }
     for (int i = 1; i < length - 1; i++) {
       char c = value.charAt(i);
-      if (!isLetterOrDigit(c) && INNER.indexOf(c) < 0) {
+      if (!isLetterOrDigit(c) && INNER_CHARACTERS.indexOf(c) < 0) {
         return false;
       }
     }
@@ -50,9 +50,9 @@
   }
 
   /**
-   * Checks a name.
+   * Validates a name.
    *
-   * @param what what the text names, for the message
+   * @param what the kind of the named object, used in the message
    * @param value the text
    * @return the text
    * @throws IllegalArgumentException if the text is not a valid name
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/PoolName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/PoolName.java
@@ -17,7 +17,11 @@
  */
 public record PoolName(String value) implements Comparable<PoolName> {
 
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public PoolName {
     Names.check("a pool", value);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/RequestId.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/RequestId.java
@@ -7,7 +7,7 @@
 package org.larkkeel.lib;
 
 /**
- * The id of a request within one incarnation of one node.
+ * The id of a request, unique within one incarnation of one node.
  *
  * <p>Immutable and safe for use by several threads.
  *
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/Revision.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/Revision.java
@@ -7,7 +7,7 @@
 package org.larkkeel.lib;
 
 /**
- * The number of a configuration: the number of its last entry in the configuration log.
+ * The revision of a configuration: the number of its last entry in the configuration log.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -20,7 +20,7 @@
   public static final Revision NONE = new Revision(0);
 
   /**
-   * Tells whether this revision is newer than another.
+   * Returns whether this revision is newer than another.
    *
    * @param other the other revision
    * @return true if this one is newer
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/RuleName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/RuleName.java
@@ -17,7 +17,11 @@
  */
 public record RuleName(String value) implements Comparable<RuleName> {
 
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public RuleName {
     Names.check("a routing rule", value);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/TokenBucket.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/TokenBucket.java
@@ -7,18 +7,19 @@
 package org.larkkeel.lib;
 
 /**
- * A level that rises at a constant rate up to a capacity, and from which is taken.
+ * A token bucket: a level that rises at a constant rate up to a capacity and is lowered by taking
+ * units.
  *
- * <p>It only counts: whoever takes decides how much, and may take more than there is, which leaves
- * a debt. Invariant: the level is at most the capacity. Times are nanoseconds and come from
- * outside; one that is earlier than a time before counts as that. Not safe for use by several
+ * <p>The bucket only counts: its user decides how much to take and may take more than the level,
+ * which leaves a debt. Invariant: the level is at most the capacity. Callers pass the times in
+ * nanoseconds; a time before the latest one counts as the latest. Not safe for use by several
  * threads.
  *
  * @since 0.1
  */
 public final class TokenBucket {
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final double LEAST_RATE = 1e-9;
+  private static final double MIN_RATE = 1e-9;
 
   private double rate;
   private double capacity;
@@ -28,9 +29,9 @@
   /**
    * Creates a full bucket.
    *
-   * @param perSecond units gained a second, at least 0
-   * @param capacity the most units saved, at least 0
-   * @param now nanoseconds
+   * @param perSecond units gained per second, at least 0
+   * @param capacity the maximum number of units, at least 0
+   * @param now the current time, in nanoseconds
    * @throws IllegalArgumentException if a value is less than 0
    */
   public TokenBucket(double perSecond, double capacity, long now) {
@@ -49,11 +50,11 @@
   }
 
   /**
-   * Changes rate and capacity; what is above the capacity is lost.
+   * Changes the rate and the capacity; units above the new capacity are lost.
    *
-   * @param perSecond units gained a second, at least 0
-   * @param units the most units saved, at least 0
-   * @param now nanoseconds
+   * @param perSecond units gained per second, at least 0
+   * @param units the new capacity, at least 0
+   * @param now the current time, in nanoseconds
    * @throws IllegalArgumentException if a value is less than 0
    */
   public void setRate(double perSecond, double units, long now) {
@@ -66,10 +67,10 @@
   }
 
   /**
-   * The units that are there.
+   * Returns the current level.
    *
-   * @param now nanoseconds
-   * @return the level, less than 0 for a debt
+   * @param now the current time, in nanoseconds
+   * @return the level in units; negative for a debt
    */
   public double level(long now) {
     refill(now);
@@ -77,19 +78,19 @@
   }
 
   /**
-   * Takes units, on credit if need be.
+   * Takes units, leaving a debt if there are fewer.
    *
-   * @param units how many
+   * @param units the number of units
    */
   public void take(double units) {
     level -= units;
   }
 
   /**
-   * Gives units back, as many as there is room for.
+   * Returns units to the bucket, up to its capacity.
    *
-   * @param units how many
-   * @param now nanoseconds
+   * @param units the number of units
+   * @param now the current time, in nanoseconds
    */
   public void giveBack(double units, long now) {
     refill(now);
@@ -97,18 +98,18 @@
   }
 
   /**
-   * Tells how long it takes until a number of units is there, or the bucket is full.
+   * Returns the time until a number of units is available or the bucket is full.
    *
-   * @param units how many
-   * @param now nanoseconds
-   * @return nanoseconds, rounded up; 0 if they are there
+   * @param units the number of units
+   * @param now the current time, in nanoseconds
+   * @return nanoseconds, rounded up; 0 if they are available
    */
   public long timeUntil(double units, long now) {
     refill(now);
     double missing = Math.min(units, capacity) - level;
     return missing <= 0
         ? 0
-        : (long) Math.ceil(missing / Math.max(rate, LEAST_RATE) * NANOS_PER_SECOND);
+        : (long) Math.ceil(missing / Math.max(rate, MIN_RATE) * NANOS_PER_SECOND);
   }
 
   private void refill(long now) {
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/UpstreamLife.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/UpstreamLife.java
@@ -7,30 +7,35 @@
 package org.larkkeel.lib;
 
 /**
- * One life of an upstream: its name, and the start since which it has it.
+ * One incarnation of an upstream: its name and the number of the incarnation.
  *
- * <p>An upstream that starts again under its name holds and knows nothing of before, so what is
- * believed of one life says nothing of another. Immutable and safe for use by several threads.
+ * <p>An upstream that was restarted under its name holds and knows nothing of its previous
+ * incarnation, so the known state of one incarnation does not apply to another.
+ *
+ * <p>Immutable and safe for use by several threads.
  *
  * @param name the name, never null
- * @param start the start, never null; a clock that was set back can make a later start the smaller
- *     one, so only equality tells lives apart
+ * @param start the incarnation, never null; after a clock was set back, a later incarnation can
+ *     have the smaller number, so incarnations are compared only for equality
  * @since 0.1
  */
 public record UpstreamLife(UpstreamName name, Incarnation start) {
   private static final long UNKNOWN = 0;
 
-  /** The life of an upstream that has not told its start. */
+  /** Returns the incarnation of an upstream that has not announced its number. */
   public static UpstreamLife unknownStart(UpstreamName name) {
     return new UpstreamLife(name, new Incarnation(UNKNOWN));
   }
 
-  /** Whether the start is known. */
+  /** Returns whether the number of the incarnation is known. */
   public boolean hasStart() {
     return start.value() != UNKNOWN;
   }
 
-  /** Written out, as what a record brings is slow until it has been compiled. */
+  /**
+   * Implemented explicitly because the generated {@code equals} of a record is slow until it is
+   * compiled.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof UpstreamLife o && name.equals(o.name) && start.equals(o.start);
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/UpstreamName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/UpstreamName.java
@@ -17,7 +17,11 @@
  */
 public record UpstreamName(String value) implements Comparable<UpstreamName> {
 
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public UpstreamName {
     Names.check("an upstream", value);
   }
@@ -27,7 +31,10 @@
     return value.compareTo(other.value);
   }
 
-  /** Written out, as what a record brings is slow until it has been compiled. */
+  /**
+   * Implemented explicitly because the generated {@code equals} of a record is slow until it is
+   * compiled.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof UpstreamName o && value.equals(o.value);
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/WorkspaceName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/WorkspaceName.java
@@ -17,7 +17,11 @@
  */
 public record WorkspaceName(String value) implements Comparable<WorkspaceName> {
 
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public WorkspaceName {
     Names.check("a workspace", value);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Ids, small immutable values, and the few tools that every other package shares. */
+/** Ids, small immutable values and the utilities that all other packages share. */
 package org.larkkeel.lib;
--- a/org.larkkeel/src/main/java/org/larkkeel/time/BootClock.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/time/BootClock.java
@@ -12,17 +12,18 @@
 import java.util.function.Supplier;
 
 /**
- * A clock that never goes back and counts the time for which its machine was suspended.
+ * A monotonic clock that includes the time for which the machine was suspended.
  *
- * <p>{@link System#nanoTime} stands still meanwhile, so that a lease, a deadline or a belief would
- * seem younger than it is to all others. The kernel's boot time counts it, but takes native code
- * that is slow to link; it is read only once the time of day has moved against the steady clock.
- * That happens in a suspension as well as when the time of day is set, which is not counted.
+ * <p>{@link System#nanoTime} stops during a suspension, so that a lease, a deadline or a known
+ * state would appear younger on this node than on all others. The kernel's boot time includes
+ * suspensions, but reading it takes native code that is slow to link. It is therefore read only
+ * after the time of day has moved relative to the steady clock, which happens in a suspension and
+ * also when the time of day is set; only suspensions are counted.
  *
- * <p>Limits: on a machine that was suspended before this process began to look, the first step
- * forward of the time of day is taken for a suspension, as nothing tells them apart; a suspension
- * that a step back hides in the same moment is seen only if the boot time was read before. Safe for
- * use by several threads.
+ * <p>Limits: if the machine was suspended before this process started, the first forward step of
+ * the time of day is taken for a suspension, as the two can not be distinguished. A suspension that
+ * is hidden by a simultaneous backward step is detected only if the boot time was read before. Safe
+ * for use by several threads.
  *
  * @since 0.1
  */
@@ -33,7 +34,10 @@
 
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
-  /** Less than this is an adjustment of the time of day, and no suspension that matters. */
+  /**
+   * The maximum difference that is treated as an adjustment of the time of day; shorter suspensions
+   * are ignored.
+   */
   private static final long TOLERANCE_NANOS = 250 * MILLI;
 
   private final LongSupplier steady;
@@ -41,17 +45,20 @@
   private final Supplier<OptionalLong> bootNanos;
   private volatile long drift;
   private volatile long suspended;
-  private boolean known;
+  private boolean offsetKnown;
 
-  /** What the boot time was ahead of the steady clock before the suspensions that count. */
+  /**
+   * The amount by which the boot time was ahead of the steady clock before the first suspension
+   * that counts.
+   */
   private long offset;
 
   /**
-   * Begins to count.
+   * Creates a clock that counts suspensions from now on.
    *
-   * @param steady nanoseconds that do not count suspension
-   * @param wallMillis the time of day
-   * @param bootNanos nanoseconds that count suspension; empty if there is no such clock
+   * @param steady nanoseconds, not including suspensions
+   * @param wallMillis the time of day, in milliseconds
+   * @param bootNanos nanoseconds, including suspensions; empty if there is no such clock
    */
   public BootClock(LongSupplier steady, LongSupplier wallMillis, Supplier<OptionalLong> bootNanos) {
     this.steady = steady;
@@ -60,13 +67,13 @@
     this.drift = driftFrom(steady.getAsLong());
   }
 
-  /** Nanoseconds from an arbitrary origin, those of suspensions included. */
+  /** Returns nanoseconds from an arbitrary origin, including suspensions. */
   public long nanoTime() {
     long now = steady.getAsLong();
     long moved = driftFrom(now) - drift;
     if (Math.abs(moved) > TOLERANCE_NANOS) {
       drift += moved;
-      look(moved);
+      updateSuspended(moved);
     }
     return now + suspended;
   }
@@ -75,31 +82,33 @@
     return wallMillis.getAsLong() * MILLI - now;
   }
 
-  /** For how long the machine was suspended, in nanoseconds. */
+  /** Returns the total time for which the machine was suspended, in nanoseconds. */
   public long suspendedNanos() {
     return suspended;
   }
 
-  /** Looks for a suspension that a step of the time of day hid; to be called now and then. */
+  /**
+   * Detects a suspension that was hidden by a step of the time of day; to be called periodically.
+   */
   public synchronized void check() {
-    if (known) {
-      look(0);
+    if (offsetKnown) {
+      updateSuspended(0);
     }
   }
 
-  private synchronized void look(long moved) {
+  private synchronized void updateSuspended(long moved) {
     OptionalLong boot = bootNanos.get();
     if (boot.isEmpty()) {
       return;
     }
     long ahead = boot.getAsLong() - steady.getAsLong();
-    if (!known) {
-      known = true;
+    if (!offsetKnown) {
+      offsetKnown = true;
       offset = ahead - Math.max(0, Math.min(moved, ahead));
     }
-    long grown = ahead - offset;
-    if (grown - suspended > TOLERANCE_NANOS) {
-      suspended = grown;
+    long total = ahead - offset;
+    if (total - suspended > TOLERANCE_NANOS) {
+      suspended = total;
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/time/BootTime.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/time/BootTime.java
@@ -17,24 +17,24 @@
 import java.util.function.Supplier;
 
 /**
- * The kernel's {@code CLOCK_BOOTTIME}, which the JDK does not offer.
+ * Reads the kernel's {@code CLOCK_BOOTTIME}, which the JDK does not provide.
  *
- * <p>Empty where the C library has no {@code clock_gettime} or native access is not allowed. Safe
- * for use by several threads.
+ * <p>The result is empty if the C library has no {@code clock_gettime} or if native access is not
+ * allowed. Safe for use by several threads.
  */
 final class BootTime implements Supplier<OptionalLong> {
   private static final int CLOCK_BOOTTIME = 7;
   private static final int TIMESPEC_BYTES = 16;
 
-  /** Made when it is first used, as the linker is slow to start. */
+  /** Created on first use because the linker is slow to start. */
   private MethodHandle clockGettime;
 
   private MemorySegment timespec;
-  private boolean missing;
+  private boolean unavailable;
 
   @Override
   public synchronized OptionalLong get() {
-    if (missing) {
+    if (unavailable) {
       return OptionalLong.empty();
     }
     try {
@@ -42,8 +42,8 @@
       int status = (int) clockGettime.invokeExact(CLOCK_BOOTTIME, timespec);
       return status == 0 ? OptionalLong.of(nanos()) : OptionalLong.empty();
     } catch (Throwable e) {
-      // A platform without it goes on with the steady clock, as before.
-      missing = true;
+      // Without the boot time, the clock continues with the steady clock alone.
+      unavailable = true;
       return OptionalLong.empty();
     }
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/time/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/time/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The clock by which a process compares itself with what is outside its machine. */
+/** The clock used for times that are compared with other machines. */
 package org.larkkeel.time;
