--- a/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaFleet.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaCluster.java
@@ -15,21 +15,21 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Nodes that share one quota in virtual time, each of which may be a coordinator. Messages take a
- * step. Used by one test each.
+ * Test fixture: a cluster of nodes that share one quota in simulated time. Each node may be a
+ * coordinator, and a message takes one step. Each test uses its own instance.
  */
-final class QuotaFleet {
+final class QuotaCluster {
   static final QuotaKey WORKSPACE = new QuotaKey.OfWorkspace(new WorkspaceName("weavers"));
   private static final long MILLI = 1_000_000L;
   private static final long STEP = 5 * MILLI;
   private static final long HEARTBEAT = 400 * MILLI;
-  private static final long PATIENCE = 120 * MILLI;
-  private static final long AVOIDED = 1_000 * MILLI;
+  private static final long MAX_WAIT = 120 * MILLI;
+  private static final long FALLBACK = 1_000 * MILLI;
 
   final List<Node> nodes = new ArrayList<>();
   final SplittableRandom random;
   private final QuotaTolerance tolerance;
-  private final List<Runnable> due = new ArrayList<>();
+  private final List<Runnable> messages = new ArrayList<>();
   private final List<Sent> sent = new ArrayList<>();
   TokenLimit limit;
   double loss;
@@ -40,7 +40,7 @@
 
   private record Sent(long at, long tokens) {}
 
-  QuotaFleet(int count, TokenLimit limit, QuotaTolerance tolerance, long seed) {
+  QuotaCluster(int count, TokenLimit limit, QuotaTolerance tolerance, long seed) {
     this.limit = limit;
     this.tolerance = tolerance;
     this.random = new SplittableRandom(seed);
@@ -54,17 +54,20 @@
     final int index;
     final HostName name;
     QuotaHolder holder;
-    QuotaPool pool;
+    QuotaPool quotaCoordinator;
 
-    /** Which of the first two nodes it asks, the other if that does not answer; -1 for none. */
+    /**
+     * The index of the node whose coordinator it uses, 0 or 1; the other one if that does not
+     * answer; -1 for none.
+     */
     int coordinator;
 
     long suspendedUntil;
-    private long otherUntil;
+    private long fallbackUntil;
     private final List<Waiting> waiting = new ArrayList<>();
     private long heartbeatAt;
     private long sequence;
-    private int sends;
+    private int attempts;
 
     private record Waiting(RequestId call, long tokens, long until) {}
 
@@ -75,11 +78,11 @@
       heartbeatAt = now + random.nextLong(HEARTBEAT);
     }
 
-    /** Begins a new process, which has forgotten everything. */
+    /** Starts a new process without state. */
     void start() {
       holder = new QuotaHolder(tolerance, now, now);
       holder.nodes(now, Math.max(1, nodes.size()));
-      pool = new QuotaPool(tolerance);
+      quotaCoordinator = new QuotaPool(tolerance);
       waiting.clear();
     }
 
@@ -96,7 +99,7 @@
         return;
       }
       RequestId id = new RequestId(++calls);
-      decided(id, tokens, holder.take(now, id, WORKSPACE, limit, tokens, PATIENCE));
+      decided(id, tokens, holder.take(now, id, WORKSPACE, limit, tokens, MAX_WAIT));
     }
 
     private void decided(RequestId id, long tokens, QuotaHolder.Decision decision) {
@@ -118,7 +121,7 @@
       if (suspendedUntil > 0) {
         suspendedUntil = 0;
         holder.resumed(now);
-        pool.clear();
+        quotaCoordinator.clear();
       }
       for (Waiting w : List.copyOf(waiting)) {
         if (w.until() <= now) {
@@ -131,48 +134,52 @@
       boolean heartbeat = now >= heartbeatAt;
       if (heartbeat) {
         heartbeatAt = now + HEARTBEAT;
-        tellLevels();
+        reportLevels();
       }
       holder.ask(now, heartbeat).ifPresent(this::send);
     }
 
-    private void tellLevels() {
-      if (index == 0 && !pool.levels().left().isEmpty() && !isLost()) {
-        QuotaLevels levels = pool.levels();
-        due.add(() -> nodes.get(1).pool.heard(now, levels));
+    private void reportLevels() {
+      if (index == 0 && !quotaCoordinator.levels().left().isEmpty() && !isLost()) {
+        QuotaLevels levels = quotaCoordinator.levels();
+        messages.add(() -> nodes.get(1).quotaCoordinator.heard(now, levels));
       }
     }
 
-    private void send(QuotaAsk ask) {
-      sends = ask.sequence() == sequence ? sends + 1 : 1;
-      sequence = ask.sequence();
-      if (sends > 3) {
+    private void send(QuotaAsk request) {
+      attempts = request.sequence() == sequence ? attempts + 1 : 1;
+      sequence = request.sequence();
+      if (attempts > 3) {
         holder.coordinatorChanged();
-        otherUntil = now + AVOIDED;
+        fallbackUntil = now + FALLBACK;
         return;
       }
       if (coordinator >= 0 && !isLost()) {
-        Node to = asks();
-        due.add(() -> to.asked(this, ask));
+        Node to = target();
+        messages.add(() -> to.receive(this, request));
       }
     }
 
-    /** One that did not answer is asked again after a while, once it was heard. */
-    private Node asks() {
+    /**
+     * Returns the node to send requests to. An unresponsive coordinator is tried again after a
+     * while, once it is no longer suspended.
+     */
+    private Node target() {
       Node first = nodes.get(coordinator);
-      if (now >= otherUntil && !first.isSuspended()) {
-        otherUntil = 0;
+      if (now >= fallbackUntil && !first.isSuspended()) {
+        fallbackUntil = 0;
       }
-      return otherUntil > 0 ? nodes.get(1 - coordinator) : first;
+      return fallbackUntil > 0 ? nodes.get(1 - coordinator) : first;
     }
 
-    private void asked(Node from, QuotaAsk ask) {
+    private void receive(Node from, QuotaAsk request) {
       if (isSuspended()) {
         return;
       }
-      QuotaGrant grant = pool.ask(now, from.name, ask, nodes.size(), w -> Optional.of(limit));
+      QuotaGrant grant =
+          quotaCoordinator.ask(now, from.name, request, nodes.size(), w -> Optional.of(limit));
       if (!isLost()) {
-        due.add(() -> from.granted(grant));
+        messages.add(() -> from.granted(grant));
       }
     }
 
@@ -197,18 +204,21 @@
     return random.nextDouble() < loss;
   }
 
-  /** Sets the number of nodes as each knows it. */
-  void count() {
+  /** Sets the number of nodes on all nodes. */
+  void setNodeCounts() {
     nodes.forEach(n -> n.holder.nodes(now, nodes.size()));
   }
 
-  /** Lets time pass while calls of some sizes come to some of the nodes, at a rate of tokens. */
+  /**
+   * Advances the time while calls of random sizes arrive at some of the nodes, at a total rate of
+   * tokens.
+   */
   void pass(long millis, double tokensPerSecond, int someNodes) {
     double owed = 0;
     for (long t = 0; t < millis * MILLI; t += STEP) {
       now += STEP;
-      List<Runnable> arrived = List.copyOf(due);
-      due.clear();
+      List<Runnable> arrived = List.copyOf(messages);
+      messages.clear();
       arrived.forEach(Runnable::run);
       owed += tokensPerSecond * STEP / 1e9;
       while (owed > 0) {
@@ -224,24 +234,24 @@
     pass(millis, tokensPerSecond, nodes.size());
   }
 
-  /** All tokens that were sent. */
+  /** Returns the total of all tokens that were sent. */
   long sentTokens() {
     return sent.stream().mapToLong(Sent::tokens).sum();
   }
 
-  /** The most tokens that were sent within a window of some seconds. */
+  /** Returns the maximum number of tokens that were sent within any window of some seconds. */
   long mostInWindow(double seconds) {
     long window = (long) (seconds * 1e9);
     long sum = 0;
-    long most = 0;
+    long max = 0;
     int first = 0;
     for (Sent s : sent) {
       sum += s.tokens();
       while (sent.get(first).at() <= s.at() - window) {
         sum -= sent.get(first++).tokens();
       }
-      most = Math.max(most, sum);
+      max = Math.max(max, sum);
     }
-    return most;
+    return max;
   }
 }
--- /dev/null
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaClusterTest.java
@@ -0,0 +1,265 @@
+/*
+ * Copyright (C) 2026 The larkkeel authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+
+package org.larkkeel.quota;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import com.google.common.collect.ImmutableList;
+import java.util.Optional;
+import org.larkkeel.lib.HostName;
+import org.larkkeel.lib.RequestId;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/**
+ * Tests one quota over many nodes: a workspace gets its limit, and never more than limit and
+ * tolerance allow, also under faults.
+ */
+public class QuotaClusterTest {
+  private static final TokenLimit SMALL = new TokenLimit(29_000, 29_000);
+  private static final TokenLimit LARGE = new TokenLimit(150_000, 150_000);
+  private static final double WINDOW = 8;
+  private static final QuotaTolerance TOLERANCE = new QuotaTolerance(WINDOW, 0.1, 120_000);
+
+  /** Returns the maximum number of tokens that may be sent in a window. */
+  private static double allowed(TokenLimit limit) {
+    return (limit.perSecond() * WINDOW + limit.burst()) * (1 + TOLERANCE.share())
+        + TOLERANCE.slack();
+  }
+
+  /** Asserts that at most a given fraction of all tokens was refused. */
+  private static void assertRefused(QuotaCluster cluster, double max) {
+    double refused =
+        cluster.refusedTokens / (double) (cluster.refusedTokens + cluster.sentTokens());
+    assertTrue(refused <= max, "refused " + refused);
+  }
+
+  @DataProvider
+  static Object[][] sizes() {
+    return new Object[][] {{8, SMALL}, {60, SMALL}, {60, LARGE}, {330, LARGE}};
+  }
+
+  private static QuotaCluster cluster(int nodes, TokenLimit limit, long seed) {
+    QuotaCluster cluster = new QuotaCluster(nodes, limit, TOLERANCE, seed);
+    cluster.setNodeCounts();
+    cluster.pass(3_000, 0);
+    return cluster;
+  }
+
+  /** A workspace that stays below its limit. */
+  public static class BelowLimit extends QuotaClusterTest {
+    @Test(dataProvider = "sizes")
+    public void isNotRefused(int nodes, TokenLimit limit) {
+      QuotaCluster cluster = cluster(nodes, limit, 1);
+      cluster.pass(10_000, 0.8 * limit.perSecond());
+      assertEquals(cluster.refused, 0);
+    }
+
+    @Test(dataProvider = "sizes")
+    public void isNotRefusedWhereAllCallsComeToThreeNodes(int nodes, TokenLimit limit) {
+      QuotaCluster cluster = cluster(nodes, limit, 2);
+      cluster.pass(10_000, 0.8 * limit.perSecond(), 3);
+      assertEquals(cluster.refused, 0);
+    }
+
+    /**
+     * Sends bursts of four calls, each of half a second's tokens, at half of the limit on average.
+     */
+    @Test
+    public void isNotRefusedWhereLargeCallsComeTogether() {
+      QuotaCluster cluster = cluster(60, SMALL, 10);
+      for (int i = 0; i < 10; i++) {
+        for (int call = 0; call < 4; call++) {
+          cluster.nodes.get(cluster.random.nextInt(60)).call(SMALL.perSecond() / 2);
+        }
+        cluster.pass(4_000, 0);
+      }
+      assertEquals(cluster.refused, 0);
+    }
+
+    @Test
+    public void isRarelyRefusedWhenMessagesAreLost() {
+      QuotaCluster cluster = cluster(60, LARGE, 3);
+      cluster.loss = 0.025;
+      cluster.pass(10_000, 0.6 * LARGE.perSecond());
+      assertRefused(cluster, 0.01);
+    }
+
+    @Test
+    public void isRarelyRefusedWhenTheCoordinatorStops() {
+      QuotaCluster cluster = cluster(60, LARGE, 4);
+      cluster.pass(2_000, 0.6 * LARGE.perSecond());
+      cluster.nodes.getFirst().suspend(60_000);
+      cluster.pass(30_000, 0.6 * LARGE.perSecond());
+      assertRefused(cluster, 0.01);
+    }
+  }
+
+  /** A workspace whose demand is many times its limit. */
+  public static class AboveLimit extends QuotaClusterTest {
+    @Test(dataProvider = "sizes")
+    public void getsItsLimitAndNotMore(int nodes, TokenLimit limit) {
+      QuotaCluster cluster = cluster(nodes, limit, 5);
+      cluster.pass(12_000, 4.2 * limit.perSecond());
+      long max = cluster.mostInWindow(WINDOW);
+      assertTrue(max <= allowed(limit), max + " of " + allowed(limit));
+      double min = 0.9 * limit.perSecond() * 12;
+      assertTrue(cluster.sentTokens() >= min, cluster.sentTokens() + " of " + min);
+    }
+
+    @Test
+    public void doesNotGetMoreByThousandsOfRequests() {
+      QuotaCluster cluster = cluster(60, SMALL, 6);
+      cluster.pass(10_000, 40 * SMALL.perSecond());
+      long max = cluster.mostInWindow(WINDOW);
+      assertTrue(max <= allowed(SMALL), max + " of " + allowed(SMALL));
+    }
+
+    @Test
+    public void isLimitedWhenTheLimitIsLowered() {
+      QuotaCluster cluster = cluster(60, LARGE, 7);
+      cluster.pass(4_000, 1.2 * LARGE.perSecond());
+      cluster.limit = SMALL;
+      cluster.pass(1_000, 1.2 * LARGE.perSecond());
+      long before = cluster.sentTokens();
+      cluster.pass(8_000, 1.2 * LARGE.perSecond());
+      long since = cluster.sentTokens() - before;
+      assertTrue(since <= allowed(SMALL), since + " of " + allowed(SMALL));
+    }
+  }
+
+  /** Faults while the demand of a workspace is many times its limit. */
+  public static class UnderFaults extends QuotaClusterTest {
+    private static final int NODES = 60;
+
+    @DataProvider
+    static Object[][] seeds() {
+      Object[][] seeds = new Object[40][];
+      for (int i = 0; i < seeds.length; i++) {
+        seeds[i] = new Object[] {100L + i, i % 2 == 0 ? SMALL : LARGE};
+      }
+      return seeds;
+    }
+
+    /**
+     * Partitions up to a third of the nodes at a time, suspends nodes, restarts nodes, lets half of
+     * the nodes use another coordinator, and loses messages.
+     */
+    @Test(dataProvider = "seeds")
+    public void totalStaysWithinTheLimit(long seed, TokenLimit limit) {
+      QuotaCluster cluster = cluster(NODES, limit, seed);
+      cluster.loss = cluster.random.nextInt(2) * 0.025;
+      for (int i = 0; i < 12; i++) {
+        injectFault(cluster);
+        cluster.pass(300 + cluster.random.nextInt(1_500), 5 * limit.perSecond());
+      }
+      long max = cluster.mostInWindow(WINDOW);
+      assertTrue(max <= allowed(limit), max + " of " + allowed(limit));
+    }
+
+    private static void injectFault(QuotaCluster cluster) {
+      int one = cluster.random.nextInt(NODES);
+      switch (cluster.random.nextInt(6)) {
+        case 0 -> partition(cluster, cluster.random.nextInt(NODES / 3 + 1));
+        case 1 -> partition(cluster, 0);
+        case 2 -> cluster.nodes.get(one).suspend(500 + cluster.random.nextInt(5_000));
+        case 3 -> cluster.nodes.getFirst().suspend(1_000);
+        case 4 -> splitCoordinators(cluster);
+        default -> {
+          cluster.nodes.get(one).start();
+          cluster.setNodeCounts();
+        }
+      }
+    }
+
+    private static void partition(QuotaCluster cluster, int count) {
+      for (QuotaCluster.Node n : cluster.nodes) {
+        n.coordinator = n.index < NODES - count ? 0 : -1;
+      }
+    }
+
+    private static void splitCoordinators(QuotaCluster cluster) {
+      for (QuotaCluster.Node n : cluster.nodes) {
+        n.coordinator = n.index % 2;
+      }
+    }
+  }
+
+  /** Nodes without a coordinator. */
+  public static class WithoutCoordinator extends QuotaClusterTest {
+    @Test
+    public void useTheirShares() {
+      QuotaCluster cluster = cluster(60, LARGE, 8);
+      cluster.nodes.stream().filter(n -> n.index % 3 == 0).forEach(n -> n.coordinator = -1);
+      cluster.nodes.stream().filter(n -> n.index % 3 > 0).forEach(n -> n.coordinator = 1);
+      cluster.pass(8_000, 0.55 * LARGE.perSecond());
+      assertRefused(cluster, 0.05);
+    }
+
+    @Test
+    public void keepNoTokensOverSuspension() {
+      QuotaCluster cluster = cluster(1, new TokenLimit(1_000, 8_000), 9);
+      QuotaCluster.Node node = cluster.nodes.getFirst();
+      node.coordinator = -1;
+      node.suspend(60_000);
+      cluster.pass(60_100, 0);
+      assertTrue(node.holder.held(QuotaCluster.WORKSPACE) <= 200);
+    }
+  }
+
+  /** Requests and grants that are received twice or late. */
+  public static class Repeated {
+    private static final HostName NODE = new HostName("node-1");
+
+    @Test
+    public void requestGetsTheSameGrant() {
+      QuotaPool coordinator = new QuotaPool(QuotaTolerance.NONE);
+      QuotaAsk request = request(1, 1_000_000_000L);
+      QuotaGrant first = grant(coordinator, request);
+      assertEquals(first.shares().getFirst().tokens(), 500);
+      assertEquals(grant(coordinator, request), first);
+      assertEquals(coordinator.left(QuotaCluster.WORKSPACE, SMALL), 28_500);
+    }
+
+    @Test
+    public void requestThatComesMuchLaterCountsOnce() {
+      QuotaPool coordinator = new QuotaPool(QuotaTolerance.NONE);
+      QuotaAsk request = request(1, 100_000_000L);
+      QuotaGrant first = grant(coordinator, request);
+      long later = 5_000_000_000L;
+      HostName other = new HostName("node-2");
+      coordinator.ask(later, other, request(1, 0), 1, w -> Optional.of(SMALL));
+      assertEquals(coordinator.ask(later, NODE, request, 1, w -> Optional.of(SMALL)), first);
+    }
+
+    @Test
+    public void grantCountsOnce() {
+      QuotaHolder holder = new QuotaHolder(QuotaTolerance.NONE, 1, 0);
+      holder.take(0, new RequestId(1), QuotaCluster.WORKSPACE, SMALL, 500, 0);
+      QuotaGrant grant =
+          grant(
+              new QuotaPool(QuotaTolerance.NONE), holder.ask(1_000_000_000L, false).orElseThrow());
+      assertEquals(holder.granted(1_000_000_000L, grant).size(), 1);
+      assertEquals(holder.granted(1_000_000_000L, grant).size(), 0);
+      assertEquals(holder.held(QuotaCluster.WORKSPACE), 0);
+    }
+
+    private static QuotaAsk request(long sequence, long lent) {
+      return new QuotaAsk(
+          1,
+          sequence,
+          lent,
+          1,
+          ImmutableList.of(new QuotaAsk.Want(QuotaCluster.WORKSPACE, 500, 500, 0, 0)));
+    }
+
+    private static QuotaGrant grant(QuotaPool coordinator, QuotaAsk request) {
+      return coordinator.ask(0, NODE, request, 1, w -> Optional.of(SMALL));
+    }
+  }
+}
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaAccount.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaAccount.java
@@ -11,35 +11,44 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * What a node holds of one quota, and who waits for some of it.
+ * The tokens that a node holds of one quota, and the calls that wait for some of them.
  *
  * <p>Not safe for use by several threads.
  */
 final class QuotaAccount {
-  /** How long tokens are kept of a quota that has no calls here. */
+  /** The time for which the tokens of an unused quota are kept. */
   static final long IDLE_NANOS = 2_000_000_000L;
 
-  /** How long after a request found no tokens some are asked for; after that they go back. */
-  static final long WANTED_NANOS = 250_000_000L;
+  /**
+   * The time after a failed reservation for which tokens are requested from the coordinator and
+   * held; later they are returned.
+   */
+  static final long DEMAND_NANOS = 250_000_000L;
 
   final QuotaKey key;
   TokenLimit limit;
   double held;
   double refilledAt;
   long usedAt;
-  long askedAt = Long.MIN_VALUE / 2;
+  long requestedAt = Long.MIN_VALUE / 2;
 
-  /** When what waits will have refilled; it is not asked for before. */
-  long askFrom = Long.MIN_VALUE;
+  /**
+   * The time at which the tokens for the waiting calls will have refilled; none are requested
+   * earlier.
+   */
+  long requestFrom = Long.MIN_VALUE;
 
   final List<Waiting> waiting = new ArrayList<>();
 
-  /** What a request wanted to reserve last, and when; of no use once that is too long ago. */
-  long wanted;
+  /**
+   * The tokens of the last reservation that failed; ignored once {@code demandedAt} is too long
+   * ago.
+   */
+  long demanded;
 
-  long wantedAt = Long.MIN_VALUE / 2;
-  long left;
-  long leftAt = Long.MIN_VALUE / 2;
+  long demandedAt = Long.MIN_VALUE / 2;
+  long coordinatorLeft;
+  long coordinatorLeftAt = Long.MIN_VALUE / 2;
   long waitNanos;
 
   QuotaAccount(QuotaKey key, double refilledAt) {
@@ -47,30 +56,33 @@
     this.refilledAt = refilledAt;
   }
 
-  boolean isWanted(long at) {
-    return at - wantedAt <= WANTED_NANOS && held < wanted;
+  boolean hasUnmetDemand(long at) {
+    return at - demandedAt <= DEMAND_NANOS && held < demanded;
   }
 
   boolean isIdle(long at) {
     return waiting.isEmpty() && at - usedAt > IDLE_NANOS;
   }
 
-  /** Whether an ask is in haste: calls wait, or the next ones would find no tokens. */
+  /**
+   * Returns whether a request to the coordinator is urgent: calls wait, or the next ones would find
+   * no tokens.
+   */
   boolean isUrgent(long at) {
-    return !waiting.isEmpty() || isWanted(at);
+    return !waiting.isEmpty() || hasUnmetDemand(at);
   }
 
   long needed(long at) {
     long debt = (long) Math.ceil(Math.max(0, -held));
-    long reserved = isWanted(at) ? wanted : 0;
-    return debt + reserved + waiting.stream().mapToLong(Waiting::tokens).sum();
+    long unmet = hasUnmetDemand(at) ? demanded : 0;
+    return debt + unmet + waiting.stream().mapToLong(Waiting::tokens).sum();
   }
 
-  long least(long at) {
-    long least = waiting.stream().mapToLong(Waiting::tokens).min().orElse(0);
-    return isWanted(at) ? wanted : least;
+  long minUseful(long at) {
+    long min = waiting.stream().mapToLong(Waiting::tokens).min().orElse(0);
+    return hasUnmetDemand(at) ? demanded : min;
   }
 
   /** A call that waits for tokens. */
-  record Waiting(RequestId call, long tokens, long until) {}
+  record Waiting(RequestId call, long tokens, long deadline) {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaGrant.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaGrant.java
@@ -13,20 +13,21 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param epoch of the ask
- * @param sequence of the ask
- * @param shares by quota; those whose limit the coordinator does not know are missing
+ * @param epoch the epoch of the request
+ * @param sequence the sequence number of the request
+ * @param shares the grants by quota; quotas whose limit the coordinator does not know are missing
  * @since 0.1
  */
 public record QuotaGrant(long epoch, long sequence, ImmutableList<Share> shares)
     implements QuotaMessage {
   /**
-   * What is granted of one quota.
+   * The tokens granted of one quota.
    *
-   * @param key which
-   * @param tokens granted
-   * @param left what the coordinator has left
-   * @param waitNanos when what is missing of the need will have refilled; 0 if nothing is missing
+   * @param key the quota
+   * @param tokens the granted tokens
+   * @param left the tokens that the coordinator has left
+   * @param waitNanos the time until the tokens that are missing will have refilled; 0 if none are
+   *     missing
    */
   public record Share(QuotaKey key, long tokens, long left, long waitNanos) {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaHolder.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaHolder.java
@@ -15,40 +15,49 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * The tokens that this node holds of each quota, and the calls that wait for some.
+ * The tokens that this node holds of each quota, and the calls that wait for some of them.
  *
- * <p>Invariants: this node's time is either lent with one ask, or spent here, or lost; a call gets
- * its tokens once and gives them back at most once; what is reserved and not spent soon is given
- * back or lapses, so that it can not be saved up. Not safe for use by several threads.
+ * <p>Invariants: each moment of this node's time is either lent with one request, or spent here, or
+ * lost; a call takes its tokens once and returns them at most once; tokens that are reserved and
+ * not spent soon are returned or expire, so that they can not accumulate. Not safe for use by
+ * several threads.
  *
  * @since 0.1
  */
 public final class QuotaHolder {
-  /** How long a call waits for the coordinator; after that, this node decides by itself. */
+  /** The maximum time for which a call waits for the coordinator; then this node decides alone. */
   public static final long WAIT_NANOS = 250_000_000L;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** How long after the last grant this node counts as without coordinator. */
+  /** The time after the last grant from which this node counts as having no coordinator. */
   private static final long ALONE_NANOS = 700_000_000L;
 
-  /** The time after which an ask without an answer is sent again. */
+  /** The time after which an unanswered request is sent again. */
   public static final long RESEND_NANOS = 40_000_000L;
 
-  /** How long what the coordinator has said to have left is used to refuse calls at once. */
-  private static final long FRESH_NANOS = 50_000_000L;
+  /**
+   * The age up to which the tokens left at the coordinator are used to refuse calls immediately.
+   */
+  private static final long MAX_LEFT_AGE_NANOS = 50_000_000L;
 
-  /** The time after which the coordinator counts as silent for calls that wait. */
-  private static final long SILENT_NANOS = 120_000_000L;
+  /**
+   * The time without an answer after which the coordinator counts as unresponsive for waiting
+   * calls.
+   */
+  private static final long INACTIVITY_NANOS = 120_000_000L;
 
-  /** The least time between two asks that no call waits for. */
-  private static final long UNHURRIED_NANOS = 100_000_000L;
+  /** The minimum interval between two requests for tokens that no call waits for. */
+  private static final long MIN_INTERVAL_NANOS = 100_000_000L;
 
-  /** After this time at most a caller comes back, as other nodes may reach the coordinator. */
-  private static final long LONGEST_ALONE_NANOS = 1_000_000_000L;
+  /**
+   * The maximum Retry-After of calls that this node refuses alone: by then their callers may use a
+   * node that reaches the coordinator.
+   */
+  private static final long MAX_RETRY_AFTER_ALONE_NANOS = 1_000_000_000L;
 
-  /** How long reserved tokens are of use. */
-  private static final long RESERVED_NANOS = 1_000_000_000L;
+  /** The time after which unused reserved tokens expire. */
+  private static final long RESERVED_EXPIRY_NANOS = 1_000_000_000L;
 
   private final QuotaTolerance tolerance;
   private final long epoch;
@@ -56,38 +65,46 @@
   private final Map<QuotaKey, QuotaAccount> accounts = new HashMap<>();
   private int nodes = 1;
   private long sequence;
-  private Optional<QuotaAsk> open = Optional.empty();
+  private Optional<QuotaAsk> openRequest = Optional.empty();
   private long sentAt;
   private long openedAt;
   private long grantedAt;
 
-  /** Up to when this node's time has been lent or spent. */
+  /** The time up to which this node's time has been lent or spent. */
   private long accountedAt;
 
-  /** The time that was spent here since the beginning, divided by the nodes. */
+  /** The total time that was spent here, divided by the number of nodes at that time. */
   private double ownSeconds;
 
-  /** What becomes of a call. */
+  /** The decision about a call. */
   public sealed interface Decision {
-    /** It has its tokens, of which so many were left here. */
+    /**
+     * The call has its tokens.
+     *
+     * @param left the tokens of the quota that this node still holds
+     */
     record Granted(long left) implements Decision {}
 
-    /** It waits for the coordinator. */
+    /** The call waits for the coordinator. */
     record Waits() implements Decision {}
 
-    /** It is beyond the quota; 0 if it always will be. */
+    /**
+     * The call exceeds the quota.
+     *
+     * @param waitNanos the delay after which it may be retried; 0 if it always exceeds the quota
+     */
     record Refused(long waitNanos) implements Decision {}
   }
 
-  /** The end of a call's wait. */
+  /** The decision that ends a call's wait. */
   public record Outcome(RequestId call, Decision decision) {}
 
   /**
-   * Begins without tokens.
+   * Creates a holder without tokens.
    *
-   * @param tolerance by how much quotas of workspaces may be exceeded
-   * @param epoch differs from that of earlier processes of this node
-   * @param at now
+   * @param tolerance the tolerance by which quotas of workspaces may be exceeded
+   * @param epoch the process epoch, which differs from those of earlier processes of this node
+   * @param at the current time
    */
   public QuotaHolder(QuotaTolerance tolerance, long epoch, long at) {
     this.tolerance = tolerance;
@@ -97,18 +114,18 @@
     this.accountedAt = at;
   }
 
-  /** Sets how many nodes there are, this one included. */
+  /** Sets the number of nodes, including this one. */
   public void nodes(long at, int count) {
     spendOwnTime(at);
     nodes = Math.max(1, count);
   }
 
-  /** Whether this node has not reached the coordinator for some time. */
+  /** Returns whether this node has not reached the coordinator for some time. */
   public boolean isAlone(long at) {
     return at - grantedAt > ALONE_NANOS;
   }
 
-  /** How old what the coordinator has said is, in nanoseconds. */
+  /** Returns the time since the last answer of the coordinator, in nanoseconds. */
   public long age(long at) {
     return at - grantedAt;
   }
@@ -116,18 +133,18 @@
   /**
    * Takes tokens for a call.
    *
-   * @param at now
-   * @param call names the call in outcomes
-   * @param key which quota
-   * @param limit the limit, which must be one
-   * @param tokens how many
-   * @param longestNanos how long the call can wait for tokens to refill
+   * @param at the current time
+   * @param call identifies the call in outcomes
+   * @param key the quota
+   * @param limit the limit of the quota; it must be limited
+   * @param tokens the number of tokens
+   * @param maxWaitNanos the maximum time for which the call can wait for tokens to refill
    */
   public Decision take(
-      long at, RequestId call, QuotaKey key, TokenLimit limit, long tokens, long longestNanos) {
+      long at, RequestId call, QuotaKey key, TokenLimit limit, long tokens, long maxWaitNanos) {
     QuotaAccount a = account(at, key, limit);
     a.usedAt = at;
-    if (tokens > tolerance(a).saved(limit)) {
+    if (tokens > tolerance(a).maxLevel(limit)) {
       return new Decision.Refused(0);
     }
     if (a.waiting.isEmpty() && a.held >= tokens) {
@@ -136,17 +153,20 @@
     if (isAlone(at)) {
       return decideAlone(a, tokens);
     }
-    long sinceLeft = at - a.leftAt;
-    if (sinceLeft < FRESH_NANOS && tokens > a.left && a.waitNanos - sinceLeft > longestNanos) {
-      return new Decision.Refused(a.waitNanos - sinceLeft);
+    long leftAge = at - a.coordinatorLeftAt;
+    if (leftAge < MAX_LEFT_AGE_NANOS
+        && tokens > a.coordinatorLeft
+        && a.waitNanos - leftAge > maxWaitNanos) {
+      return new Decision.Refused(a.waitNanos - leftAge);
     }
-    a.waiting.add(new QuotaAccount.Waiting(call, tokens, at + longestNanos));
+    a.waiting.add(new QuotaAccount.Waiting(call, tokens, at + maxWaitNanos));
     return new Decision.Waits();
   }
 
   /**
-   * Whether tokens are held for a request that is to be sent now. If not, they are asked for, and
-   * the request goes elsewhere or waits.
+   * Returns whether enough tokens are held for a request that is to be sent now. If not, they are
+   * requested from the coordinator; meanwhile the caller of this method uses another upstream or
+   * waits.
    */
   public boolean reserve(long at, QuotaKey key, TokenLimit limit, long tokens) {
     QuotaAccount a = account(at, key, limit);
@@ -154,12 +174,12 @@
     if (a.held >= tokens) {
       return true;
     }
-    a.wanted = tokens;
-    a.wantedAt = at;
+    a.demanded = tokens;
+    a.demandedAt = at;
     return false;
   }
 
-  /** Takes tokens that were found to be held by {@link #reserve}. */
+  /** Takes tokens that {@link #reserve} has found to be held. */
   public void spend(QuotaKey key, long tokens) {
     QuotaAccount a = accounts.get(key);
     if (a != null) {
@@ -167,13 +187,16 @@
     }
   }
 
-  /** When tokens will have refilled, by what the coordinator has said last; past if unknown. */
+  /**
+   * Returns the time at which the missing tokens will have refilled, according to the coordinator's
+   * last answer; a time in the past if unknown.
+   */
   public long refillsAt(QuotaKey key) {
     QuotaAccount a = accounts.get(key);
-    return a == null ? Long.MIN_VALUE : a.askFrom;
+    return a == null ? Long.MIN_VALUE : a.requestFrom;
   }
 
-  /** Forgets a quota that is none any more. */
+  /** Removes a quota that no longer exists. */
   public void forget(QuotaKey key) {
     accounts.remove(key);
   }
@@ -184,20 +207,20 @@
   }
 
   private Decision decideAlone(QuotaAccount a, long tokens) {
-    double there = a.held + tolerance(a).overdraft(a.limit, nodes);
-    double missing = tokens - there;
-    // A call that is larger is admitted as seldom as makes the same on the whole.
-    if (missing <= 0 || (a.held >= 0 && random.nextDouble() * tokens < there)) {
+    double available = a.held + tolerance(a).overdraft(a.limit, nodes);
+    double missing = tokens - available;
+    // Admits a larger call with a probability that keeps the mean rate of tokens the same.
+    if (missing <= 0 || (a.held >= 0 && random.nextDouble() * tokens < available)) {
       return grant(a, tokens);
     }
     double rate = (double) a.limit.perSecond() / nodes;
     long refill = (long) (missing / rate * NANOS_PER_SECOND);
-    return new Decision.Refused(Math.min(refill, LONGEST_ALONE_NANOS));
+    return new Decision.Refused(Math.min(refill, MAX_RETRY_AFTER_ALONE_NANOS));
   }
 
   /**
-   * Decides about a call that has waited for long enough, by itself if the coordinator is silent;
-   * empty if it waits no more.
+   * Decides about a call whose wait has reached its maximum, alone if the coordinator is
+   * unresponsive; empty if the call no longer waits.
    */
   public Optional<Decision> decideNow(long at, RequestId call, QuotaKey key) {
     QuotaAccount a = accounts.get(key);
@@ -215,17 +238,17 @@
         });
   }
 
-  /** Whether the coordinator has not answered for some time. */
+  /** Returns whether the coordinator is unresponsive. */
   public boolean isSilent(long at) {
-    return isAlone(at) || (open.isPresent() && at - openedAt >= SILENT_NANOS);
+    return isAlone(at) || (openRequest.isPresent() && at - openedAt >= INACTIVITY_NANOS);
   }
 
-  /** Whether calls wait for tokens. */
+  /** Returns whether calls wait for tokens. */
   public boolean hasWaiting() {
     return accounts.values().stream().anyMatch(a -> !a.waiting.isEmpty());
   }
 
-  /** A call that waits has ended. */
+  /** Removes a waiting call that has ended. */
   public void abandon(RequestId call, QuotaKey key) {
     QuotaAccount a = accounts.get(key);
     if (a != null) {
@@ -233,7 +256,7 @@
     }
   }
 
-  /** Takes back the tokens of a call that no upstream has run. */
+  /** Adds back the tokens of a call that no upstream has run. */
   public void giveBack(QuotaKey key, long tokens) {
     QuotaAccount a = accounts.get(key);
     if (a != null) {
@@ -244,40 +267,41 @@
   private QuotaAccount account(long at, QuotaKey key, TokenLimit limit) {
     QuotaAccount a = accounts.computeIfAbsent(key, k -> new QuotaAccount(k, ownSeconds));
     a.limit = limit;
-    if (isReserved(a) && at - a.usedAt > RESERVED_NANOS) {
+    if (isUpstreamQuota(a) && at - a.usedAt > RESERVED_EXPIRY_NANOS) {
       a.held = Math.min(a.held, 0);
     }
     refill(at, a);
     return a;
   }
 
-  /** Turns this node's own time, once it is without coordinator, into tokens. */
+  /** Converts this node's own time since it lost the coordinator into tokens. */
   private void refill(long at, QuotaAccount a) {
     spendOwnTime(at);
-    double gained = whole(a, (ownSeconds - a.refilledAt) * a.limit.perSecond());
+    double gained = roundToUnits(a, (ownSeconds - a.refilledAt) * a.limit.perSecond());
     a.refilledAt = ownSeconds;
     if (gained > 0) {
-      double most = Math.max((double) ahead(a), (double) a.limit.burst() / nodes);
-      most = Math.max(most, a.key.unit());
-      a.held = Math.max(a.held, Math.min(most, a.held + gained));
+      double max = Math.max((double) ahead(a), (double) a.limit.burst() / nodes);
+      max = Math.max(max, a.key.unit());
+      a.held = Math.max(a.held, Math.min(max, a.held + gained));
     }
   }
 
   /**
-   * What was gained, in whole units: the part of one becomes one by chance, so that the mean is
-   * kept however many nodes there are. A share of more than a second is of no use any more.
+   * Rounds gained tokens to complete units. The fraction of a unit is rounded up with a probability
+   * equal to it, so that the mean is right for any number of nodes. Gains beyond the share of one
+   * second are dropped because they would be out of date.
    */
-  private double whole(QuotaAccount a, double gained) {
+  private double roundToUnits(QuotaAccount a, double gained) {
     long unit = a.key.unit();
     if (unit == 1) {
       return gained;
     }
     double units = Math.min(gained, (double) a.limit.perSecond() / nodes) / unit;
-    double rest = units - Math.floor(units);
-    return unit * (Math.floor(units) + (random.nextDouble() < rest ? 1 : 0));
+    double fraction = units - Math.floor(units);
+    return unit * (Math.floor(units) + (random.nextDouble() < fraction ? 1 : 0));
   }
 
-  private static boolean isReserved(QuotaAccount a) {
+  private static boolean isUpstreamQuota(QuotaAccount a) {
     return a.key instanceof QuotaKey.OfUpstream;
   }
 
@@ -298,21 +322,22 @@
   }
 
   /**
-   * The ask to send now, if one is due: a new one, or the last again if it was not answered.
+   * Returns the request to send now, if one is due: a new one, or the last one again if it was not
+   * answered.
    *
-   * @param at now
-   * @param heartbeat whether one is due in any case
+   * @param at the current time
+   * @param heartbeat true if a request is due in any case
    */
   public Optional<QuotaAsk> ask(long at, boolean heartbeat) {
-    if (open.isPresent()) {
+    if (openRequest.isPresent()) {
       if (at - sentAt < RESEND_NANOS) {
         return Optional.empty();
       }
       sentAt = at;
-      return open;
+      return openRequest;
     }
-    ImmutableList<QuotaAsk.Want> wants = wants(at);
-    if (wants.isEmpty() && !heartbeat) {
+    ImmutableList<QuotaAsk.Want> demands = demands(at);
+    if (demands.isEmpty() && !heartbeat) {
       return Optional.empty();
     }
     spendOwnTime(at);
@@ -320,12 +345,12 @@
     accountedAt = at;
     sentAt = at;
     openedAt = at;
-    open = Optional.of(new QuotaAsk(epoch, ++sequence, lent, nodes, wants));
-    return open;
+    openRequest = Optional.of(new QuotaAsk(epoch, ++sequence, lent, nodes, demands));
+    return openRequest;
   }
 
-  private ImmutableList<QuotaAsk.Want> wants(long at) {
-    ImmutableList.Builder<QuotaAsk.Want> wants = ImmutableList.builder();
+  private ImmutableList<QuotaAsk.Want> demands(long at) {
+    ImmutableList.Builder<QuotaAsk.Want> demands = ImmutableList.builder();
     for (Iterator<Map.Entry<QuotaKey, QuotaAccount>> i = accounts.entrySet().iterator();
         i.hasNext(); ) {
       Map.Entry<QuotaKey, QuotaAccount> entry = i.next();
@@ -334,19 +359,19 @@
       if (idle && a.held == 0) {
         i.remove();
       } else {
-        want(at, entry.getKey(), a, idle).ifPresent(wants::add);
+        demand(at, entry.getKey(), a, idle).ifPresent(demands::add);
       }
     }
-    return wants.build();
+    return demands.build();
   }
 
-  private Optional<QuotaAsk.Want> want(long at, QuotaKey key, QuotaAccount a, boolean idle) {
+  private Optional<QuotaAsk.Want> demand(long at, QuotaKey key, QuotaAccount a, boolean idle) {
     long keep = idle ? 0 : ahead(a);
     boolean inUse =
-        !a.waiting.isEmpty() || (isReserved(a) && at - a.usedAt <= QuotaAccount.WANTED_NANOS);
+        !a.waiting.isEmpty() || (isUpstreamQuota(a) && at - a.usedAt <= QuotaAccount.DEMAND_NANOS);
     long returned = !inUse && a.held > keep ? (long) a.held - keep : 0;
     long needed = a.needed(at);
-    if (at < a.askFrom) {
+    if (at < a.requestFrom) {
       return Optional.empty();
     }
     boolean low = keep > 0 && a.held < keep / 2.0;
@@ -356,72 +381,82 @@
     if (returned == 0 && needed == 0 && !low) {
       return Optional.empty();
     }
-    if (!a.isUrgent(at) && at - a.askedAt < UNHURRIED_NANOS) {
+    if (!a.isUrgent(at) && at - a.requestedAt < MIN_INTERVAL_NANOS) {
       return Optional.empty();
     }
-    a.askedAt = at;
+    a.requestedAt = at;
     a.held -= returned;
-    long more = low ? (long) (keep - Math.max(0, a.held)) : 0;
-    return Optional.of(new QuotaAsk.Want(key, needed, a.least(at), more, returned));
+    long missingAhead = low ? (long) (keep - Math.max(0, a.held)) : 0;
+    return Optional.of(new QuotaAsk.Want(key, needed, a.minUseful(at), missingAhead, returned));
   }
 
   /**
-   * Takes a grant in.
+   * Applies a grant.
    *
-   * @return what becomes of the calls that waited for it
+   * @return the decisions about the calls that waited for it
    */
   public ImmutableList<Outcome> granted(long at, QuotaGrant grant) {
-    if (grant.epoch() != epoch || grant.sequence() != openSequence()) {
+    if (grant.epoch() != epoch || grant.sequence() != openRequestSequence()) {
       return ImmutableList.of();
     }
-    open = Optional.empty();
+    openRequest = Optional.empty();
     grantedAt = at;
     ImmutableList.Builder<Outcome> outcomes = ImmutableList.builder();
     for (QuotaGrant.Share share : grant.shares()) {
       QuotaAccount a = accounts.get(share.key());
       if (a != null) {
         a.held += share.tokens();
-        a.left = share.left();
-        a.leftAt = at;
+        a.coordinatorLeft = share.left();
+        a.coordinatorLeftAt = at;
         a.waitNanos = share.waitNanos();
-        a.askFrom = at + share.waitNanos();
-        settle(at, a, outcomes);
+        a.requestFrom = at + share.waitNanos();
+        decideWaitingCalls(at, a, outcomes);
       }
     }
     return outcomes.build();
   }
 
-  private long openSequence() {
-    return open.map(QuotaAsk::sequence).orElse(0L);
+  private long openRequestSequence() {
+    return openRequest.map(QuotaAsk::sequence).orElse(0L);
   }
 
-  /** Lets those go that have enough, and refuses those that can not wait for the refill. */
-  private static void settle(long at, QuotaAccount a, ImmutableList.Builder<Outcome> outcomes) {
+  /**
+   * Grants the calls for which there are enough tokens, and refuses those that can not wait for the
+   * refill.
+   */
+  private static void decideWaitingCalls(
+      long at, QuotaAccount a, ImmutableList.Builder<Outcome> outcomes) {
     for (Iterator<QuotaAccount.Waiting> i = a.waiting.iterator(); i.hasNext(); ) {
       QuotaAccount.Waiting w = i.next();
       if (a.held >= w.tokens()) {
         outcomes.add(new Outcome(w.call(), grant(a, w.tokens())));
         i.remove();
-      } else if (a.waitNanos > 0 && at + a.waitNanos > w.until()) {
+      } else if (a.waitNanos > 0 && at + a.waitNanos > w.deadline()) {
         outcomes.add(new Outcome(w.call(), new Decision.Refused(a.waitNanos)));
         i.remove();
       }
     }
   }
 
-  /** Another node is to be asked: what was lent with the open ask is lost. */
+  /**
+   * Drops the open request because another node is the coordinator now; the time lent with it is
+   * lost.
+   */
   public void coordinatorChanged() {
-    open = Optional.empty();
+    openRequest = Optional.empty();
   }
 
-  /** The machine was suspended: what it held and its time since are of no use any more. */
+  /**
+   * Drops the held tokens and the elapsed time after a suspension of the machine, as both are out
+   * of date.
+   */
   public void resumed(long at) {
-    open = Optional.empty();
+    openRequest = Optional.empty();
     accountedAt = at;
     accounts.values().forEach(a -> a.held = Math.min(0, a.held));
   }
 
-  /** The tokens that are held of a quota; less than 0 for a debt. */
+  /** Returns the tokens held of a quota; negative for a debt. */
   public long held(QuotaKey key) {
     QuotaAccount a = accounts.get(key);
     return a == null ? 0 : (long) a.held;
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaKey.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaKey.java
@@ -10,7 +10,7 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Whose quota it is.
+ * Identifies a quota by what it applies to.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -18,9 +18,9 @@
  */
 public sealed interface QuotaKey {
   /**
-   * Tokens of a workspace, as configured.
+   * The quota of a workspace, as configured, in calls or tokens.
    *
-   * @param workspace which, never null
+   * @param workspace the workspace, never null
    */
   record OfWorkspace(WorkspaceName workspace) implements QuotaKey {
     @Override
@@ -30,16 +30,17 @@
   }
 
   /**
-   * Requests to one life of an upstream, in thousandths, as it says itself.
+   * The request rate limit that an incarnation of an upstream announces, in thousandths of a
+   * request.
    *
-   * @param life which, never null
+   * @param life the incarnation, never null
    */
   record OfUpstream(UpstreamLife life) implements QuotaKey {
-    /** What one request takes. */
+    /** The amount that one request takes. */
     public static final long REQUEST = 1_000;
   }
 
-  /** The least amount that is of use. */
+  /** Returns the smallest useful amount. */
   default long unit() {
     return switch (this) {
       case OfWorkspace w -> 1;
@@ -48,9 +49,9 @@
   }
 
   /**
-   * By how much it may be exceeded.
+   * Returns the tolerance by which this quota may be exceeded.
    *
-   * @param workspaces by how much quotas of workspaces may be
+   * @param workspaces the tolerance of workspaces
    */
   default QuotaTolerance tolerance(QuotaTolerance workspaces) {
     return switch (this) {
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaLevels.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaLevels.java
@@ -9,11 +9,11 @@
 import com.google.common.collect.ImmutableMap;
 
 /**
- * What a coordinator has left of the quotas that were asked for lately.
+ * The tokens that a coordinator has left of the recently requested quotas.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param left tokens by quota
+ * @param left the tokens left, by quota
  * @since 0.1
  */
 public record QuotaLevels(ImmutableMap<QuotaKey, Long> left) implements QuotaMessage {}
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaMessage.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaMessage.java
@@ -7,7 +7,7 @@
 package org.larkkeel.quota;
 
 /**
- * What nodes and the coordinator of quotas tell each other.
+ * A message between nodes and the quota coordinator.
  *
  * <p>Immutable and safe for use by several threads.
  *
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaPool.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaPool.java
@@ -15,66 +15,71 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * All quotas at the coordinator, which refill with the time that nodes lend.
+ * The state of all quotas at the coordinator. Quotas refill with the time that nodes lend.
  *
- * <p>Invariants: a quota gains its rate times the lent time, divided by the number of nodes, and
- * never holds more than the part of what can be saved up that the nodes which lend are of all, so
- * that two coordinators do not save up twice; an ask that comes twice counts once. Not safe for use
- * by several threads.
+ * <p>Invariants: a quota gains its rate times the lent time, divided by the number of nodes. Its
+ * level never exceeds its maximum times the fraction of nodes that lend to this coordinator, so
+ * that two coordinators do not both accumulate the full burst. A request that is received twice
+ * counts once. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class QuotaPool {
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** The longest time that one ask can lend: what a node did before is of no use any more. */
-  private static final long MOST_LENT_NANOS = 1_000_000_000L;
+  /** The maximum time that one request can lend; a node's earlier time is out of date. */
+  private static final long MAX_LENT_NANOS = 1_000_000_000L;
 
-  /** A node lends as long as its last ask is not older. */
+  /** The maximum age of a node's last request for the node to count as lending. */
   private static final long LENDING_NANOS = 1_000_000_000L;
 
-  /** How long an ask is remembered, in case that it comes again. */
-  private static final long FORGET_NANOS = 60_000_000_000L;
+  /** The time for which an answered request is remembered, in case it is received again. */
+  private static final long REMEMBERED_NANOS = 60_000_000_000L;
 
-  /** How long a coordinator is new, and takes over what the one before had left. */
+  /**
+   * The time for which a coordinator counts as new and takes over the levels of its predecessor.
+   */
   private static final long NEW_NANOS = 1_000_000_000L;
 
-  /** How long it counts what the coordinator before has told of its levels. */
-  private static final long TOLD_NANOS = 2_000_000_000L;
+  /** The maximum age of the predecessor's report of its levels for it to be used. */
+  private static final long MAX_REPORT_AGE_NANOS = 2_000_000_000L;
 
-  /** While fewer than this part of all nodes lend, a coordinator counts as new. */
-  private static final double FEW = 0.25;
+  /** A coordinator counts as new while less than this fraction of all nodes lend to it. */
+  private static final double MIN_LENDER_FRACTION = 0.25;
 
-  /** The longest time that a refused call is told to wait. */
-  private static final long LONGEST_WAIT_NANOS = 3_000_000_000L;
+  /** The maximum wait that a refused call is given. */
+  private static final long MAX_WAIT_NANOS = 3_000_000_000L;
 
-  /** Tokens are granted ahead of need while there is more than this part of the burst. */
-  private static final double PLENTY = 0.25;
+  /**
+   * Tokens are granted in advance of demand while the level is above this fraction of its maximum;
+   * one such grant takes at most this fraction of the level.
+   */
+  private static final double AHEAD_FRACTION = 0.25;
 
-  private static final QuotaGrant NOTHING = new QuotaGrant(0, 0, ImmutableList.of());
+  private static final QuotaGrant EMPTY_GRANT = new QuotaGrant(0, 0, ImmutableList.of());
 
   private final QuotaTolerance tolerance;
   private final Map<QuotaKey, Level> levels = new HashMap<>();
   private final Map<HostName, Answered> answered = new HashMap<>();
-  private Map<QuotaKey, Long> told = Map.of();
-  private long toldAt = Long.MIN_VALUE / 2;
+  private Map<QuotaKey, Long> reportedLevels = Map.of();
+  private long reportedAt = Long.MIN_VALUE / 2;
   private double lentSeconds;
   private int nodes = 1;
   private int lenders;
-  private long countedAt = Long.MIN_VALUE / 2;
+  private long lendersCountedAt = Long.MIN_VALUE / 2;
   private long newUntil = Long.MIN_VALUE;
 
   private record Answered(long at, long epoch, long sequence, QuotaGrant grant) {}
 
-  /** The tokens of one quota. */
+  /** The level of one quota. */
   private final class Level {
     private final QuotaKey key;
-    private long askedAt;
+    private long requestedAt;
     private double tokens;
     private double refilledAt;
     private double takenOver;
 
-    /** Up to when the refill is spoken for by calls that were told to come back. */
+    /** The time up to which the refill is assigned to calls that were told to retry. */
     private long promisedUntil = Long.MIN_VALUE;
 
     Level(QuotaKey key) {
@@ -83,145 +88,150 @@
 
     void refill(TokenLimit limit) {
       double gained = (lentSeconds - refilledAt) * limit.perSecond();
-      tokens = Math.min(most(key, limit), tokens + gained);
+      tokens = Math.min(maxLevel(key, limit), tokens + gained);
       refilledAt = lentSeconds;
     }
 
-    /** Takes over what another coordinator had left, as far as its lenders are here by now. */
+    /**
+     * Adds the tokens that another coordinator had left, limited by the fraction of nodes that
+     * already lend to this one.
+     */
     void takeOver(long at, TokenLimit limit) {
-      if (at >= newUntil || at - toldAt > TOLD_NANOS) {
+      if (at >= newUntil || at - reportedAt > MAX_REPORT_AGE_NANOS) {
         takenOver = 0;
         return;
       }
-      double there = Math.min(told.getOrDefault(key, 0L), most(key, limit));
-      if (there > takenOver) {
-        tokens = Math.min(most(key, limit), tokens + there - takenOver);
-        takenOver = there;
+      double reported = Math.min(reportedLevels.getOrDefault(key, 0L), maxLevel(key, limit));
+      if (reported > takenOver) {
+        tokens = Math.min(maxLevel(key, limit), tokens + reported - takenOver);
+        takenOver = reported;
       }
     }
 
-    long whole() {
+    long wholeTokens() {
       return (long) Math.max(0, Math.floor(tokens));
     }
 
-    /** When some more tokens will have refilled, after those that were promised before. */
+    /** Returns the time until some more tokens will have refilled, after those promised earlier. */
     long waitFor(long at, double missing, TokenLimit limit) {
       long nanos = (long) (missing / limit.perSecond() * NANOS_PER_SECOND);
       promisedUntil = Math.max(promisedUntil, at) + nanos;
-      promisedUntil = Math.min(promisedUntil, at + LONGEST_WAIT_NANOS);
+      promisedUntil = Math.min(promisedUntil, at + MAX_WAIT_NANOS);
       return promisedUntil - at;
     }
   }
 
   /**
-   * Begins without tokens.
+   * Creates a coordinator without tokens.
    *
-   * @param tolerance by how much quotas of workspaces may be exceeded
+   * @param tolerance the tolerance by which quotas of workspaces may be exceeded
    */
   public QuotaPool(QuotaTolerance tolerance) {
     this.tolerance = tolerance;
   }
 
   /**
-   * Grants what an ask may have.
+   * Grants tokens for a request.
    *
-   * @param at now
-   * @param node who asks
-   * @param ask the ask
-   * @param nodes how many nodes there are, by what the coordinator knows
-   * @param limits the limit of a quota; empty if it is not known
-   * @return the grant; that of before if the ask has come before
+   * @param at the current time
+   * @param node the requesting node
+   * @param request the request
+   * @param nodes the number of nodes as known to the coordinator
+   * @param limits returns the limit of a quota; empty if it is not known
+   * @return the grant; the previous one if the request was received before
    */
   public QuotaGrant ask(
       long at,
       HostName node,
-      QuotaAsk ask,
+      QuotaAsk request,
       int nodes,
       Function<QuotaKey, Optional<TokenLimit>> limits) {
     this.nodes = Math.max(1, nodes);
     Answered last = answered.get(node);
-    if (last != null && last.epoch() == ask.epoch() && ask.sequence() <= last.sequence()) {
+    if (last != null && last.epoch() == request.epoch() && request.sequence() <= last.sequence()) {
       return last.grant();
     }
-    long lent = Math.clamp(ask.lentNanos(), 0, MOST_LENT_NANOS);
-    lentSeconds += lent / NANOS_PER_SECOND / Math.max(this.nodes, ask.nodes());
-    answered.put(node, new Answered(at, ask.epoch(), ask.sequence(), NOTHING));
-    count(at, last == null);
+    long lent = Math.clamp(request.lentNanos(), 0, MAX_LENT_NANOS);
+    lentSeconds += lent / NANOS_PER_SECOND / Math.max(this.nodes, request.nodes());
+    answered.put(node, new Answered(at, request.epoch(), request.sequence(), EMPTY_GRANT));
+    countLenders(at, last == null);
     ImmutableList.Builder<QuotaGrant.Share> shares = ImmutableList.builder();
-    for (QuotaAsk.Want want : ask.wants()) {
+    for (QuotaAsk.Want want : request.wants()) {
       limits.apply(want.key()).ifPresent(limit -> shares.add(share(at, want, limit)));
     }
-    QuotaGrant grant = new QuotaGrant(ask.epoch(), ask.sequence(), shares.build());
-    answered.put(node, new Answered(at, ask.epoch(), ask.sequence(), grant));
+    QuotaGrant grant = new QuotaGrant(request.epoch(), request.sequence(), shares.build());
+    answered.put(node, new Answered(at, request.epoch(), request.sequence(), grant));
     return grant;
   }
 
-  private QuotaGrant.Share share(long at, QuotaAsk.Want want, TokenLimit limit) {
+  private QuotaGrant.Share share(long at, QuotaAsk.Want demand, TokenLimit limit) {
     if (!limit.isLimited()) {
-      return new QuotaGrant.Share(want.key(), want.needed(), 0, 0);
+      return new QuotaGrant.Share(demand.key(), demand.needed(), 0, 0);
     }
-    Level level = levels.computeIfAbsent(want.key(), Level::new);
-    level.askedAt = at;
-    level.tokens += want.returned();
+    Level level = levels.computeIfAbsent(demand.key(), Level::new);
+    level.requestedAt = at;
+    level.tokens += demand.returned();
     level.refill(limit);
     level.takeOver(at, limit);
-    long granted = granted(level, want);
+    long granted = granted(level, demand);
     level.tokens -= granted;
-    long missing = want.needed() - granted;
-    long wait = missing > 0 ? level.waitFor(at, (double) (missing - level.whole()), limit) : 0;
-    long ahead = missing > 0 ? 0 : ahead(level, want, limit);
+    long missing = demand.needed() - granted;
+    long wait =
+        missing > 0 ? level.waitFor(at, (double) (missing - level.wholeTokens()), limit) : 0;
+    long ahead = missing > 0 ? 0 : ahead(level, demand, limit);
     level.tokens -= ahead;
-    return new QuotaGrant.Share(want.key(), granted + ahead, level.whole(), wait);
+    return new QuotaGrant.Share(demand.key(), granted + ahead, level.wholeTokens(), wait);
   }
 
-  /** Counts the nodes that lend, at times and when one is new. */
-  private void count(long at, boolean isNew) {
+  /** Counts the nodes that lend, periodically and when a new one appears. */
+  private void countLenders(long at, boolean isNew) {
     if (isNew) {
       lenders++;
     }
-    if (at - countedAt > LENDING_NANOS / 10) {
-      countedAt = at;
-      answered.values().removeIf(a -> at - a.at() > FORGET_NANOS);
+    if (at - lendersCountedAt > LENDING_NANOS / 10) {
+      lendersCountedAt = at;
+      answered.values().removeIf(a -> at - a.at() > REMEMBERED_NANOS);
       levels
           .values()
-          .removeIf(l -> l.key instanceof QuotaKey.OfUpstream && at - l.askedAt > FORGET_NANOS);
+          .removeIf(
+              l -> l.key instanceof QuotaKey.OfUpstream && at - l.requestedAt > REMEMBERED_NANOS);
       lenders = (int) answered.values().stream().filter(a -> at - a.at() <= LENDING_NANOS).count();
     }
-    if (lenders < FEW * nodes) {
+    if (lenders < MIN_LENDER_FRACTION * nodes) {
       newUntil = at + NEW_NANOS;
     }
   }
 
-  private double most(QuotaKey key, TokenLimit limit) {
-    double saved = key.tolerance(tolerance).saved(limit);
+  private double maxLevel(QuotaKey key, TokenLimit limit) {
+    double saved = key.tolerance(tolerance).maxLevel(limit);
     return Math.max(key.unit(), saved * Math.min(1.0, (double) lenders / nodes));
   }
 
-  private static long granted(Level level, QuotaAsk.Want want) {
-    long there = level.whole();
-    return there < want.least() ? 0 : Math.min(there, want.needed());
+  private static long granted(Level level, QuotaAsk.Want demand) {
+    long available = level.wholeTokens();
+    return available < demand.least() ? 0 : Math.min(available, demand.needed());
   }
 
-  private long ahead(Level level, QuotaAsk.Want want, TokenLimit limit) {
-    long unit = want.key().unit();
-    long most = Math.min(want.ahead(), (long) (PLENTY * level.tokens));
-    return level.tokens > PLENTY * most(want.key(), limit) ? most - most % unit : 0;
+  private long ahead(Level level, QuotaAsk.Want demand, TokenLimit limit) {
+    long unit = demand.key().unit();
+    long max = Math.min(demand.ahead(), (long) (AHEAD_FRACTION * level.tokens));
+    return level.tokens > AHEAD_FRACTION * maxLevel(demand.key(), limit) ? max - max % unit : 0;
   }
 
-  /** What is left of each quota, for the node that would take over. */
+  /** Returns the tokens left of each quota, for the standby. */
   public QuotaLevels levels() {
     ImmutableMap.Builder<QuotaKey, Long> left = ImmutableMap.builder();
-    levels.forEach((key, level) -> left.put(key, level.whole()));
+    levels.forEach((key, level) -> left.put(key, level.wholeTokens()));
     return new QuotaLevels(left.buildOrThrow());
   }
 
-  /** Notes what a coordinator has left, in case that it ends. */
+  /** Stores the levels that a coordinator reported, in case this node takes over from it. */
   public void heard(long at, QuotaLevels levels) {
-    told = levels.left();
-    toldAt = at;
+    reportedLevels = levels.left();
+    reportedAt = at;
   }
 
-  /** Forgets everything: another node is the coordinator now. */
+  /** Drops all state because another node is the coordinator now. */
   public void clear() {
     levels.clear();
     answered.clear();
@@ -229,13 +239,13 @@
     lenders = 0;
   }
 
-  /** The tokens that are left of a quota. */
+  /** Returns the tokens left of a quota. */
   public long left(QuotaKey key, TokenLimit limit) {
     Level level = levels.get(key);
     if (level == null) {
-      return (long) Math.min(most(key, limit), lentSeconds * limit.perSecond());
+      return (long) Math.min(maxLevel(key, limit), lentSeconds * limit.perSecond());
     }
     level.refill(limit);
-    return level.whole();
+    return level.wholeTokens();
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaTolerance.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaTolerance.java
@@ -7,15 +7,15 @@
 package org.larkkeel.quota;
 
 /**
- * By how much a quota may be exceeded within a window of time.
+ * The amount by which a quota may be exceeded within a time window.
  *
- * <p>Nodes use it to keep some tokens ahead of need, and to admit calls while they reach no
- * coordinator. Without any, each call is decided by the coordinator. Immutable and safe for use by
- * several threads.
+ * <p>Nodes use it to hold some tokens in advance of demand, and to admit calls while they reach no
+ * coordinator. Without tolerance, the coordinator decides about each call. Immutable and safe for
+ * use by several threads.
  *
  * @param windowSeconds the length of the window
- * @param share the part of what a quota allows in a window that may be used beyond it
- * @param slack tokens that may be used beyond that
+ * @param share the fraction of the amount allowed in a window by which the quota may be exceeded
+ * @param slack tokens that may be used in addition
  * @since 0.1
  */
 public record QuotaTolerance(double windowSeconds, double share, double slack) {
@@ -23,39 +23,44 @@
   public static final QuotaTolerance NONE = new QuotaTolerance(1, 0, 0);
 
   /**
-   * Of requests to upstreams, in thousandths: half of what they may get beyond their limit in 4 s,
-   * as a request may take up to a second from its permit to its upstream.
+   * The tolerance for request rate limits of upstreams, in thousandths of a request: half of the
+   * excess that upstreams accept in 4 s, because a request can take up to a second from its permit
+   * to its upstream.
    */
   static final QuotaTolerance UPSTREAMS = new QuotaTolerance(4, 0.25, 2_500);
 
-  /** The part of the tolerance that is added to what can be saved up. */
-  private static final double SAVED = 0.4;
+  /** The fraction of the tolerance that is added to the burst. */
+  private static final double BURST_FRACTION = 0.4;
 
-  /** The part that nodes keep ahead of need; the rest is for nodes without coordinator. */
-  private static final double AHEAD = 0.2;
+  /**
+   * The fraction that nodes hold in advance of demand; the remainder is for nodes without a
+   * coordinator.
+   */
+  private static final double AHEAD_FRACTION = 0.2;
 
-  /** The part of all nodes that may be without coordinator at the same time. */
-  private static final double ALONE = 1 / 3.0;
+  /** The fraction of all nodes that is assumed to be without a coordinator at the same time. */
+  private static final double ALONE_FRACTION = 1 / 3.0;
 
   private double tokens(TokenLimit limit) {
     return slack + share * (limit.perSecond() * windowSeconds + limit.burst());
   }
 
   /**
-   * The most that can be saved up: the burst, and beyond it a part of what may be exceeded, so that
-   * large calls that come together are not refused while the window allows them.
+   * Returns the maximum level of a quota: the burst plus a part of the tolerance, so that large
+   * calls that arrive together are not refused while the window allows them.
    */
-  double saved(TokenLimit limit) {
-    return limit.burst() + SAVED * tokens(limit);
+  double maxLevel(TokenLimit limit) {
+    return limit.burst() + BURST_FRACTION * tokens(limit);
   }
 
-  /** The tokens that each of some nodes may keep ahead of need. */
+  /** Returns the tokens that each of a number of nodes may hold in advance of demand. */
   long ahead(TokenLimit limit, int nodes) {
-    return (long) (AHEAD * tokens(limit) / nodes);
+    return (long) (AHEAD_FRACTION * tokens(limit) / nodes);
   }
 
-  /** The tokens that each of some nodes may be in debt while it reaches no coordinator. */
+  /** Returns the debt that each of a number of nodes may have while it reaches no coordinator. */
   long overdraft(TokenLimit limit, int nodes) {
-    return (long) ((1 - SAVED - AHEAD) * tokens(limit) / (ALONE * nodes));
+    return (long)
+        ((1 - BURST_FRACTION - AHEAD_FRACTION) * tokens(limit) / (ALONE_FRACTION * nodes));
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/TokenLimit.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/TokenLimit.java
@@ -7,19 +7,24 @@
 package org.larkkeel.quota;
 
 /**
- * How many tokens a workspace may use over all nodes.
+ * A rate limit over all nodes: on the calls or tokens of a workspace, or on the requests to an
+ * upstream in thousandths.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param perSecond the rate; 0 for no limit
- * @param burst the most that can be saved up; at least 0
+ * @param perSecond tokens per second; 0 for no limit
+ * @param burst the maximum number of tokens that can accumulate; at least 0
  * @since 0.1
  */
 public record TokenLimit(long perSecond, long burst) {
   /** No limit. */
   public static final TokenLimit NONE = new TokenLimit(0, 0);
 
-  /** Checks the numbers. */
+  /**
+   * Validates the numbers.
+   *
+   * @throws IllegalArgumentException if a number is negative
+   */
   public TokenLimit {
     if (perSecond < 0 || burst < 0) {
       throw new IllegalArgumentException(
@@ -27,7 +32,7 @@
     }
   }
 
-  /** Whether there is a limit. */
+  /** Returns whether there is a limit. */
   public boolean isLimited() {
     return perSecond > 0;
   }
