--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/BrokenStreamsTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/BrokenStreamsTest.java
@@ -20,11 +20,11 @@
 import org.testng.annotations.Test;
 
 /**
- * Many streams that break at once and go on: all nodes lose power and their callers come back to
- * other nodes, or an engine crashes while all others are nearly full.
+ * Guards against overload when many streams break at once and are resumed: all nodes lose power and
+ * their callers retry at other nodes, or an engine crashes while all others are nearly full.
  *
- * <p>The sizes are those of the load it answers: prompts of some thousand tokens on engines that
- * hold about ten of them.
+ * <p>The sizes correspond to such loads: prompts of several thousand tokens on engines that hold
+ * about ten of them.
  */
 public class BrokenStreamsTest {
   private static final CallSize SIZE = new CallSize(3_000, 1_500, 600);
@@ -36,93 +36,96 @@
     return new PromptKey("part-" + i);
   }
 
-  /** Callers that come back to a node that knows nothing of them. */
+  /** Callers that retry at a node that has no state about them. */
   public static class AfterNodesRestart {
     @Test
-    public void goBackToTheEngineThatMayKeepTheirPrompts() {
+    public void returnToTheEngineThatMayHoldTheirPrompts() {
       for (int i = 0; i < PROMPTS; i++) {
-        RelayWorld before = RelayWorld.usual();
+        RelayWorld before = RelayWorld.withDefaults();
         before.arrive("/resume/a", 14_000, SIZE, prompt(i), false);
         before.promptRead();
-        RelayWorld after = RelayWorld.usual();
+        RelayWorld after = RelayWorld.withDefaults();
         after.arrive("/resume/a", 10_000, SIZE, prompt(i), true);
         assertEquals(after.sent().upstream(), before.sent().upstream(), "prompt " + i);
-        assertEquals(after.sent().purpose(), new Purpose.Run(), "no engine reads it for another");
+        assertEquals(
+            after.sent().purpose(), new Purpose.Run(), "no other engine prefills the prompt");
       }
     }
 
     @Test
     public void areNotAllSentToOneEngine() {
-      ImmutableSet.Builder<UpstreamLife> homes = ImmutableSet.builder();
+      ImmutableSet.Builder<UpstreamLife> engines = ImmutableSet.builder();
       for (int i = 0; i < PROMPTS; i++) {
-        RelayWorld w = RelayWorld.usual();
+        RelayWorld w = RelayWorld.withDefaults();
         w.arrive("/resume/a", 10_000, SIZE, prompt(i), true);
-        homes.add(w.sent().upstream().life());
+        engines.add(w.sent().upstream().life());
       }
-      assertEquals(homes.build().size(), 2);
+      assertEquals(engines.build().size(), 2);
     }
 
     @Test
     public void fetchTheirPromptsIfThatEngineIsFull() {
-      RelayWorld w = RelayWorld.usual();
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/resume/a", 10_000, SIZE, prompt(1), true);
       final RelayUpstream first = w.sent().upstream();
-      fill(w, first.life());
+      reportFull(w, first.life());
       w.arrive("/resume/a", 10_000, SIZE, prompt(1), true);
       assertNotEquals(w.sent().upstream(), first);
       assertEquals(w.sent().purpose(), new Purpose.Fetch(first));
     }
 
     @Test
-    public void haveTheirPromptsReadIfTheyNameNone() {
-      RelayWorld w = RelayWorld.usual();
+    public void useThePrefillUpstreamIfTheyNameNoPrompt() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/resume/a", 10_000, SIZE, PromptKey.NONE, true);
       assertEquals(w.sent().purpose(), new Purpose.ReadPrompt());
     }
   }
 
-  /** Streams whose engine is lost while the others are full. */
+  /** Streams whose engine crashes while the other engines are full. */
   public static class AfterAnEngineCrashes {
     @Test
-    public void goBeforeCallsThatHaveNotBegun() {
-      RelayWorld w = RelayWorld.usual();
-      final RequestId begun = w.arrive("/resume/a", 14_000, SIZE);
+    public void precedeFirstTries() {
+      RelayWorld w = RelayWorld.withDefaults();
+      final RequestId streaming = w.arrive("/resume/a", 14_000, SIZE);
       w.promptRead();
       w.began();
       UpstreamLife lost = w.sent().upstream().life();
       UpstreamLife other = other(lost);
-      fill(w, other);
+      reportFull(w, other);
       w.lost();
-      final int before = w.sends();
-      final RequestId fresh = w.arrive("/resume/b", 14_000, HALF);
-      assertEquals(w.sends(), before, "both wait");
+      final int before = w.sendCount();
+      final RequestId firstTry = w.arrive("/resume/b", 14_000, HALF);
+      assertEquals(w.sendCount(), before, "both reservations are pending");
       w.pass(100);
-      free(w);
+      reportEmpty(w);
       w.pass(100);
       assertEquals(
-          w.of(RelayEffect.Send.class).get(before).call(), begun, "not " + fresh + ", the fresh");
+          w.of(RelayEffect.Send.class).get(before).call(),
+          streaming,
+          "not " + firstTry + ", a first try");
     }
 
     @Test
-    public void areNotForcedOnFullEnginesWhileTheirCallersWait() {
-      RelayWorld w = RelayWorld.usual();
+    public void areNotPlacedOnFullEnginesWhileTheirCallersWait() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/resume/a", 14_000, SIZE);
       w.promptRead();
       w.began();
-      fill(w, other(w.sent().upstream().life()));
+      reportFull(w, other(w.sent().upstream().life()));
       w.lost();
-      final int before = w.sends();
+      final int before = w.sendCount();
       for (int i = 0; i < 3; i++) {
         w.pass(500);
-        fill(w, RelayWorld.life("run-1"), RelayWorld.life("run-2"));
+        reportFull(w, RelayWorld.incarnation("run-1"), RelayWorld.incarnation("run-2"));
       }
-      assertEquals(w.sends(), before, "it would push other streams out");
+      assertEquals(w.sendCount(), before, "it would evict other streams");
       assertFalse(w.isRefused());
     }
 
     @Test
-    public void fetchThePromptFromItsReader() {
-      RelayWorld w = RelayWorld.usual();
+    public void fetchThePromptFromItsPrefillUpstream() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/resume/a", 14_000, SIZE, prompt(1), false);
       w.promptRead();
       w.began();
@@ -133,11 +136,11 @@
   }
 
   private static UpstreamLife other(UpstreamLife one) {
-    return RelayWorld.life(one.name().value().equals("run-1") ? "run-2" : "run-1");
+    return RelayWorld.incarnation(one.name().value().equals("run-1") ? "run-2" : "run-1");
   }
 
-  /** Another node tells that it has filled engines. */
-  private static void fill(RelayWorld w, UpstreamLife... engines) {
+  /** Receives a report of another node that its load fills the engines. */
+  private static void reportFull(RelayWorld w, UpstreamLife... engines) {
     ImmutableMap.Builder<UpstreamLife, Long> loads = ImmutableMap.builder();
     for (UpstreamLife engine : engines) {
       loads.put(engine, RelayWorld.MEMORY);
@@ -145,7 +148,7 @@
     w.apply(new RelayEvent.LoadHeard(w.now(), OTHER, loads.buildOrThrow(), ImmutableSet.of()));
   }
 
-  private static void free(RelayWorld w) {
+  private static void reportEmpty(RelayWorld w) {
     w.apply(new RelayEvent.LoadHeard(w.now(), OTHER, ImmutableMap.of(), ImmutableSet.of()));
   }
 }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/CrashingRequestsTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/CrashingRequestsTest.java
@@ -19,42 +19,45 @@
 import org.larkkeel.lib.UpstreamLife;
 import org.testng.annotations.Test;
 
-/** What one node does with a request under which upstreams end. */
+/**
+ * Guards against a request that crashes one upstream after the other: tests how one node detects
+ * it, quarantines it and clears it.
+ */
 public class CrashingRequestsTest {
   private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
   private static final String BODY = "crash";
 
   private static RelayWorld world() {
-    RelayWorld w = RelayWorld.usual();
+    RelayWorld w = RelayWorld.withDefaults();
     w.add("run-3", RelayWorld.MODEL, Stage.DECODE);
     w.add("run-4", RelayWorld.MODEL, Stage.DECODE);
-    w.tellUpstreams();
+    w.applyDiscoveryList();
     return w;
   }
 
-  /** The request is sent, and the upstream that runs it ends and starts again. */
-  private static void crash(RelayWorld w, String path, long start) {
+  /** Sends the request, and lets the upstream that runs it crash and restart. */
+  private static void crash(RelayWorld w, String path, long incarnation) {
     w.arriveWithBody(path, SMALL, BODY);
     w.promptRead();
-    String ended = w.sent().upstream().id().value();
+    String crashed = w.sent().upstream().id().value();
     w.lost();
-    w.restart(ended, start);
+    w.restart(crashed, incarnation);
     w.pass(1_000);
   }
 
-  /** After three ends. */
-  public static class AfterThree {
+  /** After three crashes. */
+  public static class AfterThreeCrashes {
     @Test
     public void isNotSentAgain() {
       RelayWorld w = world();
       for (int i = 1; i <= 3; i++) {
         crash(w, "/stream/a", i);
       }
-      int sends = w.sends();
+      int sends = w.sendCount();
       w.arriveWithBody("/stream/a", SMALL, BODY);
-      assertEquals(w.sends(), sends);
+      assertEquals(w.sendCount(), sends);
       assertEquals(w.refusal().status(), 503, "it has not run");
-      assertTrue(w.refused().retryAfterMillis() > 0, "callers are told when to come back");
+      assertTrue(w.refused().retryAfterMillis() > 0, "Retry-After is set");
     }
 
     @Test
@@ -63,22 +66,22 @@
       for (int i = 1; i <= 3; i++) {
         crash(w, "/stream/a", i);
       }
-      int sends = w.sends();
+      int sends = w.sendCount();
       w.arriveWithBody("/stream/a", SMALL, "other");
-      assertEquals(w.sends(), sends + 1);
+      assertEquals(w.sendCount(), sends + 1);
     }
   }
 
-  /** After two ends. */
-  public static class AfterTwo {
+  /** After two crashes. */
+  public static class AfterTwoCrashes {
     @Test
     public void isStillSent() {
       RelayWorld w = world();
       crash(w, "/stream/a", 1);
       crash(w, "/stream/a", 2);
-      int sends = w.sends();
+      int sends = w.sendCount();
       w.arriveWithBody("/stream/a", SMALL, BODY);
-      assertEquals(w.sends(), sends + 1);
+      assertEquals(w.sendCount(), sends + 1);
     }
   }
 
@@ -87,59 +90,59 @@
         .fingerprint();
   }
 
-  /** The address of the upstream that was sent to last answers a probe. */
-  private static void probed(RelayWorld w, ProbeResult result) {
+  /** Answers the last probe. */
+  private static void answerProbe(RelayWorld w, ProbeResult result) {
     RelayEffect.Probe probe = w.of(RelayEffect.Probe.class).getLast();
     w.apply(new RelayEvent.Probed(w.now(), probe.upstream().life(), result));
   }
 
-  /** The connection of the request breaks at some upstream, which answers a probe. */
-  private static void broken(RelayWorld w, ProbeResult result) {
+  /** Breaks the connection of the request at an upstream and answers the probe of that upstream. */
+  private static void breakConnection(RelayWorld w, ProbeResult result) {
     w.arriveWithBody("/stream/a", SMALL, BODY);
     w.promptRead();
     w.lost();
-    probed(w, result);
+    answerProbe(w, result);
     w.pass(9_000);
   }
 
   private static boolean isSent(RelayWorld w) {
-    int sends = w.sends();
+    int sends = w.sendCount();
     w.arriveWithBody("/stream/a", SMALL, BODY);
-    return w.sends() > sends;
+    return w.sendCount() > sends;
   }
 
-  /** What another node tells of ends some time ago. */
-  private static void heard(RelayWorld w, int epoch, long ageMillis, String... ended) {
+  /** Receives another node's report of crashes some time ago. */
+  private static void receiveReport(RelayWorld w, int epoch, long ageMillis, String... crashed) {
     ImmutableMap.Builder<UpstreamLife, Long> ends = ImmutableMap.builder();
-    for (String name : ended) {
-      ends.put(RelayWorld.life(name), ageMillis * RelayWorld.MILLI);
+    for (String name : crashed) {
+      ends.put(RelayWorld.incarnation(name), ageMillis * RelayWorld.MILLI);
     }
-    Suspect told = new Suspect(fingerprint(), epoch, ends.buildOrThrow());
-    w.apply(new RelayEvent.SuspectsHeard(w.now(), ImmutableList.of(told)));
+    Suspect report = new Suspect(fingerprint(), epoch, ends.buildOrThrow());
+    w.apply(new RelayEvent.SuspectsHeard(w.now(), ImmutableList.of(report)));
   }
 
-  /** What proves that an upstream has ended, and under what. */
+  /** The evidence that counts as a crash of an upstream, and the requests that become suspect. */
   public static class Proof {
     @Test
-    public void refusedConnectionsAreOne() {
+    public void refusedProbeIsProof() {
       RelayWorld w = world();
       for (int i = 0; i < 3; i++) {
-        broken(w, ProbeResult.REFUSES);
+        breakConnection(w, ProbeResult.REFUSES);
       }
       assertFalse(isSent(w));
     }
 
     @Test
-    public void brokenConnectionsAreNone() {
+    public void brokenConnectionIsNoProof() {
       RelayWorld w = world();
       for (int i = 0; i < 6; i++) {
-        broken(w, i % 2 == 0 ? ProbeResult.LISTENS : ProbeResult.SILENT);
+        breakConnection(w, i % 2 == 0 ? ProbeResult.LISTENS : ProbeResult.SILENT);
       }
       assertTrue(isSent(w));
     }
 
     @Test
-    public void silenceIsNone() {
+    public void timeoutIsNoProof() {
       RelayWorld w = world();
       for (int i = 0; i < 6; i++) {
         w.arriveWithBody("/stream/a", SMALL, BODY);
@@ -153,7 +156,7 @@
     }
 
     @Test
-    public void streamsThatHaveRunForAwhileAreNotSuspected() {
+    public void streamsThatHaveRunForSomeTimeAreNotSuspected() {
       RelayWorld w = world();
       for (int i = 1; i <= 4; i++) {
         w.arriveWithBody("/stream/a", SMALL, BODY);
@@ -169,7 +172,7 @@
     }
 
     @Test
-    public void streamsThatHadJustBegunAreSuspected() {
+    public void streamsThatHaveJustStartedAreSuspected() {
       RelayWorld w = world();
       for (int i = 1; i <= 3; i++) {
         w.arriveWithBody("/stream/a", SMALL, BODY);
@@ -185,7 +188,7 @@
     }
 
     @Test
-    public void announcedEndsAreNone() {
+    public void announcedStopIsNoProof() {
       RelayWorld w = world();
       for (int i = 1; i <= 4; i++) {
         w.add("new-" + i, RelayWorld.MODEL, Stage.DECODE);
@@ -201,8 +204,8 @@
     }
 
     @Test
-    public void oneProbeIsSentForAllThatBreaksAtOnce() {
-      RelayWorld w = RelayWorld.usual();
+    public void oneProbeIsSentForConnectionsThatBreakTogether() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.remove("app-2");
       w.arrive("/once/a");
       RelayEffect.Send first = w.sent();
@@ -213,72 +216,76 @@
     }
   }
 
-  /** What nodes tell each other. */
-  public static class Told {
+  /** The exchange of suspect requests between nodes. */
+  public static class Exchange {
     @Test
-    public void countsWithWhatIsKnownHere() {
+    public void addsReportedCrashesToLocalOnes() {
       RelayWorld w = world();
       crash(w, "/stream/a", 1);
-      heard(w, 0, 500, "elsewhere-1", "elsewhere-2");
+      receiveReport(w, 0, 500, "elsewhere-1", "elsewhere-2");
       assertFalse(isSent(w));
     }
 
     @Test
-    public void countsEachEndOnce() {
+    public void countsEachCrashOnce() {
       RelayWorld w = world();
       crash(w, "/stream/a", 1);
       for (int i = 0; i < 5; i++) {
-        heard(w, 0, 500 + i, "elsewhere-1");
+        receiveReport(w, 0, 500 + i, "elsewhere-1");
       }
       assertTrue(isSent(w));
     }
 
     @Test
-    public void endsCallsThatWaitAtOnce() {
+    public void refusesWaitingCallsImmediately() {
       RelayWorld w = world();
       w.remove("run-1", "run-2", "run-3", "run-4");
       w.pass(1_600);
       w.arriveWithBody("/stream/a", SMALL, BODY);
       assertFalse(w.isRefused());
-      heard(w, 0, 500, "a", "b", "c");
+      receiveReport(w, 0, 500, "a", "b", "c");
       assertEquals(w.refusal(), ErrorKind.QUARANTINED);
     }
 
     @Test
-    public void keepsThePromptThatIsBeingReadFromBeingRun() {
+    public void preventsTheRunOfPromptsThatAreBeingPrefilled() {
       RelayWorld w = world();
       w.arriveWithBody("/stream/a", SMALL, BODY);
-      heard(w, 0, 500, "a", "b", "c");
-      int sends = w.sends();
+      receiveReport(w, 0, 500, "a", "b", "c");
+      int sends = w.sendCount();
       w.promptRead();
-      assertEquals(w.sends(), sends);
+      assertEquals(w.sendCount(), sends);
       assertEquals(w.refusal(), ErrorKind.QUARANTINED);
       assertEquals(w.of(RelayEffect.Free.class).size(), 1);
     }
 
     @Test
-    public void isToldWithTheAgeOfEachEnd() {
+    public void reportsTheAgeOfEachCrash() {
       RelayWorld w = world();
-      heard(w, 0, 500, "a", "b", "c");
+      receiveReport(w, 0, 500, "a", "b", "c");
       w.pass(1_000);
-      Suspect told = w.router.suspects(w.now()).getFirst();
-      assertEquals(told.ends().get(RelayWorld.life("a")), Long.valueOf(1_500 * RelayWorld.MILLI));
+      Suspect report = w.router.suspects(w.now()).getFirst();
+      assertEquals(
+          report.ends().get(RelayWorld.incarnation("a")), Long.valueOf(1_500 * RelayWorld.MILLI));
     }
 
     @Test
-    public void newsIsToldOnce() {
+    public void reportsOwnObservationsOnce() {
       RelayWorld w = world();
       crash(w, "/stream/a", 1);
       assertEquals(w.of(RelayEffect.TellSuspect.class).size(), 1);
-      heard(w, 0, 500, "a");
-      assertEquals(w.of(RelayEffect.TellSuspect.class).size(), 1, "news of others is theirs");
+      receiveReport(w, 0, 500, "a");
+      assertEquals(
+          w.of(RelayEffect.TellSuspect.class).size(),
+          1,
+          "the report of another node is not forwarded");
     }
   }
 
-  /** How a request is let go again. */
-  public static class LetGo {
+  /** The ways in which a request is cleared or released. */
+  public static class Clearance {
     @Test
-    public void byWholeAnswerAnywhere() {
+    public void byCompleteAnswer() {
       RelayWorld w = world();
       crash(w, "/stream/a", 1);
       crash(w, "/stream/a", 2);
@@ -291,35 +298,38 @@
     }
 
     @Test
-    public void byAnOperatorOnAllNodes() {
+    public void byOperatorOnAllNodes() {
       RelayWorld w = world();
-      heard(w, 0, 500, "a", "b", "c");
+      receiveReport(w, 0, 500, "a", "b", "c");
       w.apply(new RelayEvent.Released(w.now(), fingerprint()));
       assertTrue(isSent(w));
-      Suspect told = w.of(RelayEffect.TellSuspect.class).getLast().suspect();
-      assertEquals(told, new Suspect(fingerprint(), 1, ImmutableMap.of()));
+      Suspect report = w.of(RelayEffect.TellSuspect.class).getLast().suspect();
+      assertEquals(report, new Suspect(fingerprint(), 1, ImmutableMap.of()));
     }
 
     @Test
-    public void staysSoWhateverOlderWordComes() {
+    public void isNotUndoneByOlderReports() {
       RelayWorld w = world();
-      heard(w, 1, 0);
-      heard(w, 0, 500, "a", "b", "c");
+      receiveReport(w, 1, 0);
+      receiveReport(w, 0, 500, "a", "b", "c");
       assertTrue(isSent(w));
     }
 
     @Test
-    public void withTimeAndThenForOneMoreEnd() {
+    public void byTimeUntilOneMoreCrash() {
       RelayWorld w = world();
-      heard(w, 0, 0, "a", "b", "c");
+      receiveReport(w, 0, 0, "a", "b", "c");
       long first = untilSent(w);
       assertTrue(first >= 600_000 && first <= 660_000, first + " ms");
-      heard(w, 0, 0, "d");
+      receiveReport(w, 0, 0, "d");
       long second = untilSent(w);
       assertTrue(second >= 1_200_000 && second <= 1_260_000, second + " ms");
     }
 
-    /** Retry-After is true: the milliseconds after which the request is sent. */
+    /**
+     * Asserts that the request is sent after the Retry-After and not before; returns that delay in
+     * milliseconds.
+     */
     private static long untilSent(RelayWorld w) {
       assertFalse(isSent(w));
       long millis = w.refused().retryAfterMillis();
@@ -331,16 +341,18 @@
     }
   }
 
-  /** Callers that make up requests. */
-  public static class Many {
+  /** Callers that invent many different requests. */
+  public static class ManyRequests {
     @Test
-    public void areKnownUpToBoundAndThoseInQuarantineStay() {
+    public void areBoundedAndQuarantinedOnesAreKept() {
       RelayWorld w = world();
-      heard(w, 0, 0, "a", "b", "c");
+      receiveReport(w, 0, 0, "a", "b", "c");
       for (int i = 0; i < 2_000; i++) {
         Suspect other =
             new Suspect(
-                Fingerprint.of("made up " + i), 0, ImmutableMap.of(RelayWorld.life("a"), 0L));
+                Fingerprint.of("made up " + i),
+                0,
+                ImmutableMap.of(RelayWorld.incarnation("a"), 0L));
         w.apply(new RelayEvent.SuspectsHeard(w.now(), ImmutableList.of(other)));
       }
       assertTrue(w.router.suspects(w.now()).size() <= 512);
--- /dev/null
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/LeavingAndBackoffTest.java
@@ -0,0 +1,286 @@
+/*
+ * Copyright (C) 2026 The larkkeel authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+
+package org.larkkeel.relay;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertNotEquals;
+import static org.testng.Assert.assertTrue;
+
+import com.google.common.collect.ImmutableMap;
+import com.google.common.collect.ImmutableSet;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import org.larkkeel.errors.ErrorKind;
+import org.larkkeel.lib.HostName;
+import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.relay.RelayEffect.Purpose;
+import org.testng.annotations.Test;
+
+/**
+ * Tests how the router reacts to the notices of upstreams that they are leaving or want a backoff.
+ */
+public class LeavingAndBackoffTest {
+  private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
+  private static final long SECOND = 1_000 * RelayWorld.MILLI;
+
+  private static void receiveLeaving(RelayWorld w, UpstreamLife upstream) {
+    w.apply(new RelayEvent.Noticed(w.now(), upstream, w.now(), new UpstreamNotice(true, 0)));
+  }
+
+  private static void receiveBackoff(RelayWorld w, UpstreamLife upstream, long seconds) {
+    w.apply(
+        new RelayEvent.Noticed(
+            w.now(), upstream, w.now(), new UpstreamNotice(false, seconds * SECOND)));
+  }
+
+  /** Returns the upstreams to which calls of a plain service are sent. */
+  private static Set<String> used(RelayWorld w) {
+    Set<String> used = new HashSet<>();
+    for (int i = 0; i < 20; i++) {
+      w.arrive("/once/a");
+      used.add(w.sent().upstream().id().value());
+    }
+    return used;
+  }
+
+  /** Upstreams whose answer says that they are leaving. */
+  public static class Leaving {
+    @Test
+    public void getNoNewWork() {
+      RelayWorld w = RelayWorld.withDefaults();
+      receiveLeaving(w, RelayWorld.incarnation("app-1"));
+      assertEquals(used(w), Set.of("app-2"));
+    }
+
+    @Test
+    public void areNotRestoredByTheDiscoveryList() {
+      RelayWorld w = RelayWorld.withDefaults();
+      receiveLeaving(w, RelayWorld.incarnation("app-1"));
+      w.applyDiscoveryList();
+      w.remove("app-1");
+      w.add("app-1", RelayWorld.APP, Stage.WHOLE);
+      w.applyDiscoveryList();
+      assertEquals(used(w), Set.of("app-2"));
+    }
+
+    @Test
+    public void areUsedAgainAfterRestart() {
+      RelayWorld w = RelayWorld.withDefaults();
+      receiveLeaving(w, RelayWorld.incarnation("app-1"));
+      w.restart("app-1", 5);
+      assertEquals(used(w), Set.of("app-1", "app-2"));
+    }
+
+    @Test
+    public void ignoreTheNoticeOfThePreviousIncarnation() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.restart("app-1", 5);
+      receiveLeaving(w, RelayWorld.incarnation("app-1"));
+      assertEquals(used(w), Set.of("app-1", "app-2"));
+    }
+
+    @Test
+    public void doNotRunThePromptThatIsPrefilledForThem() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.arrive("/stream/a", 14_000, SMALL);
+      receiveLeaving(w, RelayWorld.incarnation("run-1"));
+      w.promptRead();
+      assertEquals(w.sent().upstream().life(), RelayWorld.incarnation("run-2"));
+    }
+
+    @Test
+    public void areNotUsedEvenIfTheCoordinatorGrantsThem() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.ASK));
+      receiveLeaving(w, RelayWorld.incarnation("run-1"));
+      var call = w.arrive("/stream/a", 14_000, SMALL);
+      assertEquals(
+          w.router.asks(w.now()).getFirst().without(),
+          ImmutableSet.of(RelayWorld.incarnation("run-1")));
+      w.apply(
+          new RelayEvent.RoomGranted(
+              w.now(), call, RelayWorld.incarnation("run-1"), Optional.empty()));
+      assertEquals(w.sendCount(), 0);
+    }
+
+    @Test
+    public void areEvacuated() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.arrive("/resume/a", 14_000, SMALL);
+      w.promptRead();
+      w.began();
+      receiveLeaving(w, w.sent().upstream().life());
+      w.pass(1_300);
+      assertEquals(w.of(RelayEffect.Move.class).size(), 1);
+    }
+
+    @Test
+    public void doNotContinueRunsThatWereMovedToThem() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.arrive("/resume/a", 14_000, SMALL);
+      w.promptRead();
+      w.began();
+      w.leave(w.sent().upstream().id().value());
+      w.pass(1_300);
+      w.moved(new MoveResult.Copied("first"));
+      receiveLeaving(w, w.of(RelayEffect.Move.class).getLast().destination().life());
+      w.moved(new MoveResult.Copied("last"));
+      final int sends = w.sendCount();
+      w.lost();
+      for (int i = sends; i < w.sendCount(); i++) {
+        Purpose purpose = w.of(RelayEffect.Send.class).get(i).purpose();
+        assertFalse(purpose instanceof Purpose.Continue, "sent to an upstream that is leaving");
+      }
+    }
+
+    @Test
+    public void acceptNoRequestsThatWaitForConnections() {
+      RelayWorld w = RelayWorld.withDefaults();
+      assertTrue(w.router.mayReach(w.now(), RelayWorld.incarnation("app-1")));
+      receiveLeaving(w, RelayWorld.incarnation("app-1"));
+      assertFalse(w.router.mayReach(w.now(), RelayWorld.incarnation("app-1")));
+    }
+  }
+
+  /** Upstreams that asked for a backoff. */
+  public static class Backoff {
+    @Test
+    public void getNoRequestsDuringTheBackoff() {
+      RelayWorld w = RelayWorld.withDefaults();
+      receiveBackoff(w, RelayWorld.incarnation("app-1"), 3);
+      w.pass(2_990);
+      assertEquals(used(w), Set.of("app-2"));
+      w.pass(20);
+      assertTrue(used(w).contains("app-1"));
+    }
+
+    @Test
+    public void keepTheLongerOfTwoBackoffs() {
+      RelayWorld w = RelayWorld.withDefaults();
+      receiveBackoff(w, RelayWorld.incarnation("app-1"), 3);
+      receiveBackoff(w, RelayWorld.incarnation("app-1"), 1);
+      w.pass(2_000);
+      assertEquals(used(w), Set.of("app-2"));
+    }
+
+    @Test
+    public void stayInBackoffAfterListingsAndAnswers() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.remove("app-2");
+      w.pass(1_600);
+      w.arrive("/once/a");
+      receiveBackoff(w, RelayWorld.incarnation("app-1"), 3);
+      w.answered(AnswerGrade.GOOD);
+      w.applyDiscoveryList();
+      int sends = w.sendCount();
+      w.arrive("/once/b");
+      assertEquals(w.sendCount(), sends);
+    }
+
+    @Test
+    public void areUsedAgainAfterRestart() {
+      RelayWorld w = RelayWorld.withDefaults();
+      receiveBackoff(w, RelayWorld.incarnation("app-1"), 300);
+      w.restart("app-1", 5);
+      assertEquals(used(w), Set.of("app-1", "app-2"));
+    }
+
+    @Test
+    public void doNotPrefillThePromptThatTheyDeclined() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.remove("run-2");
+      w.pass(1_600);
+      w.arrive("/stream/a", 14_000, SMALL);
+      w.promptRead();
+      receiveBackoff(w, RelayWorld.incarnation("run-1"), 3);
+      int sends = w.sendCount();
+      w.declined();
+      assertEquals(w.sendCount(), sends);
+    }
+  }
+
+  /** Services all of whose upstreams are in backoff. */
+  public static class AllInBackoff {
+    private static RelayWorld world(String... upstreams) {
+      RelayWorld w = RelayWorld.withDefaults();
+      for (String name : upstreams) {
+        receiveBackoff(w, RelayWorld.incarnation(name), 3);
+      }
+      return w;
+    }
+
+    @Test
+    public void refuseImmediatelyWithTheEndOfTheFirstBackoff() {
+      RelayWorld w = world("app-1", "app-2");
+      w.pass(1_000);
+      w.arrive("/once/a");
+      assertEquals(w.refusal(), ErrorKind.OVERLOADED);
+      long millis = w.refused().retryAfterMillis();
+      assertTrue(millis > 2_000 && millis < 3_000, millis + " ms");
+    }
+
+    @Test
+    public void spreadRetries() {
+      RelayWorld w = world("app-1", "app-2");
+      w.arrive("/once/a");
+      long first = w.refused().retryAfterMillis();
+      w.arrive("/once/b");
+      assertNotEquals(w.refused().retryAfterMillis(), first);
+    }
+
+    @Test
+    public void refuseStreamsThatCanNotGetReservationsInTime() {
+      RelayWorld w = world("run-1", "run-2");
+      w.arrive("/stream/a", 14_000, SMALL);
+      assertEquals(w.refusal(), ErrorKind.OVERLOADED);
+      long millis = w.refused().retryAfterMillis();
+      assertTrue(millis > 3_000 && millis < 4_500, millis + " ms");
+    }
+
+    @Test
+    public void letStreamsWaitForBackoffsThatEndSoon() {
+      RelayWorld w = world("run-1", "run-2");
+      w.pass(2_950);
+      w.arrive("/stream/a", 14_000, SMALL);
+      assertFalse(w.isRefused());
+      w.pass(60);
+      assertEquals(w.sendCount(), 1);
+    }
+
+    @Test
+    public void doNotCountLeavingUpstreams() {
+      RelayWorld w = RelayWorld.withDefaults();
+      receiveLeaving(w, RelayWorld.incarnation("app-1"));
+      receiveLeaving(w, RelayWorld.incarnation("app-2"));
+      w.arrive("/once/a");
+      assertEquals(w.refusal(), ErrorKind.NO_UPSTREAM);
+    }
+
+    @Test
+    public void areExcludedFromReservationRequests() {
+      RelayWorld w = world("run-1");
+      w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.ASK));
+      w.arrive("/stream/a", 14_000, SMALL);
+      RoomAsk ask = w.router.asks(w.now()).getFirst();
+      assertEquals(ask.without(), ImmutableSet.of(RelayWorld.incarnation("run-1")));
+    }
+
+    @Test
+    public void keepTheBackoffWhenAnotherNodeReportsLoad() {
+      RelayWorld w = world("app-1");
+      w.apply(
+          new RelayEvent.LoadHeard(
+              w.now(),
+              new HostName("node-2"),
+              ImmutableMap.of(RelayWorld.incarnation("app-1"), 1L),
+              ImmutableSet.of()));
+      assertEquals(used(w), Set.of("app-2"));
+    }
+  }
+}
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayRoomTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/MemoryReservationTest.java
@@ -21,21 +21,21 @@
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
-/** Room that one node gives to the calls of others. */
-public class RelayRoomTest {
+/** Tests memory reservations that a coordinator makes for the calls of other nodes. */
+public class MemoryReservationTest {
   private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
   private static final HostName OTHER = new HostName("node-2");
-  private static final UpstreamLife RUN_1 = RelayWorld.life("run-1");
-  private static final UpstreamLife READ_1 = RelayWorld.life("read-1");
+  private static final UpstreamLife RUN_1 = RelayWorld.incarnation("run-1");
+  private static final UpstreamLife READ_1 = RelayWorld.incarnation("read-1");
   private static final long PROMPT = 5_000;
 
-  private static RelayWorld world(RoomKeeping keeping) {
-    RelayWorld w = RelayWorld.usual();
-    w.apply(new RelayEvent.KeepingChanged(w.now(), keeping));
+  private static RelayWorld world(RoomKeeping mode) {
+    RelayWorld w = RelayWorld.withDefaults();
+    w.apply(new RelayEvent.KeepingChanged(w.now(), mode));
     return w;
   }
 
-  private static RoomAsk ask(long call, long units, UpstreamLife... without) {
+  private static RoomAsk request(long call, long units, UpstreamLife... without) {
     return new RoomAsk(
         new RequestId(call),
         "wire-" + call,
@@ -50,36 +50,37 @@
         ImmutableSet.copyOf(without));
   }
 
-  private static void asked(RelayWorld w, RoomAsk... asks) {
-    w.apply(new RelayEvent.RoomAsked(w.now(), OTHER, RelayWorld.HERE, ImmutableList.copyOf(asks)));
+  private static void receiveRequests(RelayWorld w, RoomAsk... requests) {
+    w.apply(
+        new RelayEvent.RoomAsked(w.now(), OTHER, RelayWorld.HERE, ImmutableList.copyOf(requests)));
   }
 
   private static List<RelayEffect.GrantRoom> grants(RelayWorld w) {
     return w.of(RelayEffect.GrantRoom.class);
   }
 
-  private static RelayEvent.RoomGranted granted(RelayWorld w, RequestId call) {
+  private static RelayEvent.RoomGranted grant(RelayWorld w, RequestId call) {
     return new RelayEvent.RoomGranted(w.now(), call, RUN_1, Optional.of(READ_1));
   }
 
-  /** The node that asks. */
-  public static class Asking {
+  /** The node that requests reservations. */
+  public static class RequestingNode {
     @Test
-    public void sendsNothingBeforeItIsGivenRoom() {
+    public void sendsNothingBeforeTheGrant() {
       RelayWorld w = world(RoomKeeping.ASK);
       RequestId call = w.arrive("/stream/a", 0, SMALL);
-      assertEquals(w.sends(), 0);
-      RoomAsk ask = w.router.asks(w.now()).getFirst();
-      assertEquals(ask.call(), call);
-      assertEquals(ask.prompt(), SMALL.prompt());
-      assertTrue(ask.units() >= SMALL.prompt());
+      assertEquals(w.sendCount(), 0);
+      RoomAsk request = w.router.asks(w.now()).getFirst();
+      assertEquals(request.call(), call);
+      assertEquals(request.prompt(), SMALL.prompt());
+      assertTrue(request.units() >= SMALL.prompt());
     }
 
     @Test
-    public void readsThePromptWhereItIsTold() {
+    public void prefillsAtTheGrantedUpstream() {
       RelayWorld w = world(RoomKeeping.ASK);
       RequestId call = w.arrive("/stream/a", 0, SMALL);
-      w.apply(granted(w, call));
+      w.apply(grant(w, call));
       assertEquals(w.sent().upstream().life(), READ_1);
       assertTrue(w.sent().purpose() instanceof Purpose.ReadPrompt);
       w.promptRead();
@@ -88,26 +89,26 @@
     }
 
     @Test
-    public void takesEachGrantOnce() {
+    public void appliesEachGrantOnce() {
       RelayWorld w = world(RoomKeeping.ASK);
       RequestId call = w.arrive("/stream/a", 0, SMALL);
-      w.apply(granted(w, call));
-      w.apply(granted(w, call));
-      assertEquals(w.sends(), 1);
+      w.apply(grant(w, call));
+      w.apply(grant(w, call));
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void takesNoGrantOfAnUpstreamThatLeaves() {
+    public void ignoresGrantsOfLeavingUpstreams() {
       RelayWorld w = world(RoomKeeping.ASK);
       RequestId call = w.arrive("/stream/a", 0, SMALL);
       w.leave(RUN_1.name().value());
-      w.apply(granted(w, call));
-      assertEquals(w.sends(), 0);
+      w.apply(grant(w, call));
+      assertEquals(w.sendCount(), 0);
       assertFalse(w.router.asks(w.now()).isEmpty());
     }
 
     @Test
-    public void isRefusedInTimeWhenNoRoomIsGiven() {
+    public void refusesInTimeWithoutGrant() {
       RelayWorld w = world(RoomKeeping.ASK);
       w.arrive("/stream/a", 0, SMALL);
       w.pass(300);
@@ -117,15 +118,15 @@
     }
 
     @Test
-    public void takesRoomByItselfOnceNoOneIsAsked() {
+    public void reservesLocallyWithoutCoordinator() {
       RelayWorld w = world(RoomKeeping.ASK);
       w.arrive("/stream/a", 0, SMALL);
       w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.EACH));
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void tellsWhichUpstreamsItWouldNotTake() {
+    public void reportsExcludedUpstreams() {
       RelayWorld w = world(RoomKeeping.EACH);
       w.arrive("/stream/a", 0, SMALL);
       w.promptRead();
@@ -137,12 +138,12 @@
     }
   }
 
-  /** The node that gives. */
-  public static class Giving {
+  /** The coordinator. */
+  public static class CoordinatingNode {
     @Test
-    public void givesRoomAndReaderAtOnce() {
+    public void grantsReservationAndPrefillUpstreamTogether() {
       RelayWorld w = world(RoomKeeping.KEEP);
-      asked(w, ask(5, PROMPT));
+      receiveRequests(w, request(5, PROMPT));
       RelayEffect.GrantRoom grant = grants(w).getFirst();
       assertEquals(grant.node(), OTHER);
       assertEquals(grant.call(), new RequestId(5));
@@ -150,83 +151,83 @@
     }
 
     @Test
-    public void givesNoMoreThanThereIs() {
+    public void grantsNoMoreThanTheCapacity() {
       RelayWorld w = world(RoomKeeping.KEEP);
       long half = RelayWorld.MEMORY / 2;
-      asked(w, ask(1, half), ask(2, half), ask(3, half));
+      receiveRequests(w, request(1, half), request(2, half), request(3, half));
       assertEquals(grants(w).size(), 2);
     }
 
     @Test
-    public void tellsGrantsAgainThatTheNodeDoesNotKnowOf() {
+    public void repeatsGrantsThatTheNodeHasNotReceived() {
       RelayWorld w = world(RoomKeeping.KEEP);
-      asked(w, ask(5, PROMPT));
-      asked(w, ask(5, PROMPT));
+      receiveRequests(w, request(5, PROMPT));
+      receiveRequests(w, request(5, PROMPT));
       assertEquals(grants(w).size(), 2);
       assertEquals(grants(w).get(0), grants(w).get(1));
     }
 
     @Test
-    public void givesTheRoomToAnotherOnceItIsNotAskedForAnyMore() {
+    public void reusesMemoryThatIsNoLongerRequested() {
       RelayWorld w = world(RoomKeeping.KEEP);
-      long most = (long) (0.9 * RelayWorld.MEMORY);
-      asked(w, ask(1, most), ask(2, most), ask(3, most));
+      long large = (long) (0.9 * RelayWorld.MEMORY);
+      receiveRequests(w, request(1, large), request(2, large), request(3, large));
       assertEquals(grants(w).size(), 2);
-      asked(w, ask(2, most), ask(3, most));
+      receiveRequests(w, request(2, large), request(3, large));
       assertEquals(grants(w).getLast().call(), new RequestId(3));
     }
 
     @Test
-    public void countsWhatWasTakenByWhatTheNodeTells() {
+    public void countsGrantedMemoryByTheLoadReportsOfTheNode() {
       RelayWorld w = world(RoomKeeping.KEEP);
-      long most = (long) (0.9 * RelayWorld.MEMORY);
-      asked(w, ask(1, most), ask(2, most));
+      long large = (long) (0.9 * RelayWorld.MEMORY);
+      receiveRequests(w, request(1, large), request(2, large));
       ImmutableMap<UpstreamLife, Long> both =
-          ImmutableMap.of(grants(w).get(0).home(), most, grants(w).get(1).home(), most);
+          ImmutableMap.of(grants(w).get(0).home(), large, grants(w).get(1).home(), large);
       w.apply(new RelayEvent.LoadHeard(w.now(), OTHER, both, ImmutableSet.of()));
-      asked(w, ask(3, most));
+      receiveRequests(w, request(3, large));
       assertEquals(grants(w).size(), 2);
       w.apply(new RelayEvent.LoadHeard(w.now(), OTHER, ImmutableMap.of(), ImmutableSet.of()));
       assertEquals(grants(w).size(), 3);
     }
 
     @Test
-    public void givesAnotherUpstreamThanTheNodeWouldNotTake() {
+    public void grantsAnotherUpstreamThanTheExcludedOne() {
       RelayWorld w = world(RoomKeeping.KEEP);
-      asked(w, ask(5, PROMPT));
+      receiveRequests(w, request(5, PROMPT));
       UpstreamLife first = grants(w).getFirst().home();
-      asked(w, ask(5, PROMPT, first));
+      receiveRequests(w, request(5, PROMPT, first));
       assertEquals(grants(w).size(), 2);
       assertFalse(grants(w).getLast().home().equals(first));
     }
 
     @Test
-    public void forgetsNodesThatAreSilent() {
+    public void dropsUnresponsiveNodes() {
       RelayWorld w = world(RoomKeeping.KEEP);
-      long most = (long) (0.9 * RelayWorld.MEMORY);
-      asked(w, ask(1, most), ask(2, most));
+      long large = (long) (0.9 * RelayWorld.MEMORY);
+      receiveRequests(w, request(1, large), request(2, large));
       w.pass(1_600);
       w.arrive("/stream/a", 0, SMALL);
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void servesItsOwnAndOthersInOneOrder() {
+    public void servesLocalAndRemoteCallsInOneOrder() {
       RelayWorld w = world(RoomKeeping.KEEP);
-      long most = (long) (0.9 * RelayWorld.MEMORY);
-      asked(w, ask(1, most), ask(2, most), ask(3, most));
-      w.arrive("/stream/a", 0, new CallSize((int) most, 10, 10));
-      assertEquals(w.sends(), 0);
-      asked(w, ask(2, most), ask(3, most));
+      long large = (long) (0.9 * RelayWorld.MEMORY);
+      receiveRequests(w, request(1, large), request(2, large), request(3, large));
+      w.arrive("/stream/a", 0, new CallSize((int) large, 10, 10));
+      assertEquals(w.sendCount(), 0);
+      receiveRequests(w, request(2, large), request(3, large));
       assertEquals(grants(w).getLast().call(), new RequestId(3));
-      asked(w, ask(3, most));
-      assertEquals(w.sends(), 1);
+      receiveRequests(w, request(3, large));
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void givesNothingForServicesThatItDoesNotKnow() {
+    public void ignoresRequestsForUnknownServices() {
       RelayWorld w = world(RoomKeeping.KEEP);
-      RoomAsk strange =
+      RoomAsk unknown =
           new RoomAsk(
               new RequestId(1),
               "wire-1",
@@ -239,7 +240,7 @@
               900,
               PromptKey.NONE,
               ImmutableSet.of());
-      asked(w, strange, ask(2, PROMPT));
+      receiveRequests(w, unknown, request(2, PROMPT));
       assertEquals(grants(w).size(), 1);
     }
   }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/PromptKeyTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/PromptKeyTest.java
@@ -17,7 +17,7 @@
 import org.larkkeel.lib.UpstreamName;
 import org.testng.annotations.Test;
 
-/** The order of upstreams that a prompt's name gives. */
+/** Tests the order of upstreams for a prompt key. */
 public class PromptKeyTest {
   private static final int KEYS = 4_000;
   private static final List<UpstreamName> ENGINES =
@@ -28,25 +28,25 @@
     return among.stream().min(Comparator.comparingDouble(prompt::rank)).orElseThrow();
   }
 
-  /** One order. */
+  /** The order by rank. */
   public static class Order {
     @Test
     public void isEvenlySpread() {
       Map<UpstreamName, Integer> firsts = new HashMap<>();
       IntStream.range(0, KEYS).forEach(i -> firsts.merge(first(i, ENGINES), 1, Integer::sum));
       for (UpstreamName engine : ENGINES) {
-        // A thousand each; five standard deviations of a binomial count are 137.
+        // The mean is a thousand each; 137 is five standard deviations of the binomial count.
         assertEquals(firsts.get(engine), KEYS / 4.0, 137.0, engine.value());
       }
     }
 
     @Test
-    public void changesOnlyForThePromptsOfAnEngineThatIsGone() {
-      List<UpstreamName> left = ENGINES.subList(1, 4);
+    public void changesOnlyForThePromptsOfRemovedEngines() {
+      List<UpstreamName> remaining = ENGINES.subList(1, 4);
       for (int i = 0; i < KEYS; i++) {
         UpstreamName before = first(i, ENGINES);
-        if (left.contains(before)) {
-          assertEquals(first(i, left), before);
+        if (remaining.contains(before)) {
+          assertEquals(first(i, remaining), before);
         }
       }
     }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayEvacuationTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayEvacuationTest.java
@@ -15,20 +15,24 @@
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
-/** Runs at upstreams that leave. */
+/**
+ * Tests the evacuation of runs from upstreams that are leaving: a run is moved at most once at a
+ * time, is never taken for complete when it was stopped, and is cut when it can neither continue
+ * nor run again.
+ */
 public class RelayEvacuationTest {
   private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
 
   private static final MoveResult COPIED = new MoveResult.Copied("copy");
 
-  /** A stream that runs at an upstream which leaves, and was asked to be copied. */
+  /** Returns a fixture with a stream whose upstream is leaving and whose copy was requested. */
   private static RelayWorld leaving(String path) {
-    RelayWorld w = RelayWorld.usual();
+    RelayWorld w = RelayWorld.withDefaults();
     w.arrive(path, 14_000, SMALL);
     w.promptRead();
     w.began();
     w.leave(w.sent().upstream().id().value());
-    assertEquals(moves(w), 0, "short ones end by themselves");
+    assertEquals(moves(w), 0, "short runs end before they need to be moved");
     w.pass(1_250);
     assertEquals(moves(w), 1);
     return w;
@@ -43,16 +47,16 @@
   }
 
   @Test
-  public void goesOnElsewhereWithItsMemory() {
+  public void continuesAtAnotherUpstreamWithItsMemory() {
     RelayWorld w = leaving("/stream/a");
     final UpstreamName source = w.sent().upstream().id();
     assertEquals(step(w), MoveStep.COPY);
     w.moved(COPIED);
     assertEquals(step(w), MoveStep.STOP);
     w.lost();
-    assertEquals(w.sends(), 2, "the copy is not complete yet");
+    assertEquals(w.sendCount(), 2, "the copy is not complete yet");
     w.moved(new MoveResult.Copied("last"));
-    assertEquals(w.sends(), 3);
+    assertEquals(w.sendCount(), 3);
     assertTrue(w.sent().purpose() instanceof Purpose.Continue c && c.handle().equals("last"));
     assertNotEquals(w.sent().upstream().id(), source);
     w.began();
@@ -69,7 +73,7 @@
   }
 
   @Test
-  public void staysWhereThereIsNoRoomElsewhere() {
+  public void staysWhenNoOtherUpstreamHasCapacity() {
     RelayWorld w = leaving("/stream/a");
     w.moved(new MoveResult.Failed());
     w.answered(AnswerGrade.GOOD);
@@ -78,7 +82,7 @@
   }
 
   @Test
-  public void isTriedAgainAfterFailure() {
+  public void isRetriedAfterFailure() {
     RelayWorld w = leaving("/stream/a");
     w.moved(new MoveResult.Failed());
     w.pass(300);
@@ -86,7 +90,7 @@
   }
 
   @Test
-  public void doesNotTakeTheEndOfStoppedStreamForComplete() {
+  public void doesNotTreatTheEndOfStoppedStreamAsComplete() {
     RelayWorld w = leaving("/stream/a");
     w.moved(COPIED);
     w.answered(AnswerGrade.GOOD);
@@ -96,7 +100,7 @@
   }
 
   @Test
-  public void doesNotTakeTheEndForCompleteWhenItMayHaveBeenStopped() {
+  public void doesNotTreatTheEndAsCompleteWhenItMayHaveBeenStopped() {
     RelayWorld w = leaving("/stream/a");
     w.moved(COPIED);
     w.moved(new MoveResult.Failed());
@@ -126,7 +130,7 @@
   }
 
   @Test
-  public void runsAnewWhenItsCopyIsLostAndItMay() {
+  public void runsAgainWhenItsCopyIsLostAndItIsResumable() {
     RelayWorld w = leaving("/resume/a");
     w.moved(COPIED);
     w.lost();
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayRouterTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayRouterTest.java
@@ -24,36 +24,36 @@
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
-/** The decisions of the relay's router. */
+/** Tests the decisions of the relay's router. */
 public class RelayRouterTest {
   private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
   private static final CallSize LARGE = new CallSize(9_000, 8_000, 8_000);
 
-  /** Calls that may run once. */
+  /** Calls that may run at most once. */
   public static class Once {
     @Test
     public void isNotSentAgainOnceItMayHaveRun() {
-      RelayWorld w = RelayWorld.usual();
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
       w.lost();
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
       assertEquals(w.refusal(), ErrorKind.UPSTREAM_FAILED);
       assertEquals(w.refused().retryAfterMillis(), 0);
     }
 
     @Test
-    public void isSentElsewhereWhenItHasNotRun() {
-      RelayWorld w = RelayWorld.usual();
+    public void isSentToAnotherUpstreamWhenItHasNotRun() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
       UpstreamLife first = w.sent().upstream().life();
       w.declined();
-      assertEquals(w.sends(), 2);
+      assertEquals(w.sendCount(), 2);
       assertNotEquals(w.sent().upstream().life(), first);
     }
 
     @Test
-    public void isToldToComeBackWhenNoneRanIt() {
-      RelayWorld w = RelayWorld.usual();
+    public void isRefusedWithRetryAfterWhenNoUpstreamRanIt() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
       w.declined();
       w.declined();
@@ -62,42 +62,42 @@
     }
 
     @Test
-    public void isNeverPromisedNotToHaveRunAfterItsDeadline() {
-      RelayWorld w = RelayWorld.usual();
+    public void isNotReportedAsNotRunAfterItsDeadline() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
       w.pass(1_600);
       assertEquals(w.refusal(), ErrorKind.DEADLINE_EXCEEDED);
       assertEquals(w.of(RelayEffect.Cancel.class).size(), 1);
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void passesTheFailureOfItsUpstreamOn() {
-      RelayWorld w = RelayWorld.usual();
+    public void deliversTheFailureOfItsUpstream() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
       w.answered(AnswerGrade.FAILED);
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
       assertEquals(w.of(RelayEffect.Deliver.class).size(), 1);
     }
   }
 
-  /** Calls that may be repeated. */
+  /** Calls that may run more than once. */
   public static class Idempotent {
     @Test
-    public void isRepeatedWithinItsRuns() {
-      RelayWorld w = RelayWorld.usual();
+    public void isRetriedWithinItsMaximumRuns() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/safe/a");
       UpstreamLife first = w.sent().upstream().life();
       w.answered(AnswerGrade.FAILED);
       assertNotEquals(w.sent().upstream().life(), first);
       w.answered(AnswerGrade.FAILED);
-      assertEquals(w.sends(), 2);
+      assertEquals(w.sendCount(), 2);
       assertEquals(w.of(RelayEffect.Deliver.class).size(), 1);
     }
 
     @Test
-    public void isSentElsewhereAfterSilence() {
-      RelayWorld w = RelayWorld.usual();
+    public void isSentToAnotherUpstreamAfterTimeout() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/safe/a");
       UpstreamLife first = w.sent().upstream().life();
       w.pass(600);
@@ -106,28 +106,28 @@
     }
 
     @Test
-    public void isNotRepeatedBeyondTheBudget() {
+    public void isNotRetriedBeyondTheBudget() {
       RelayWorld w = new RelayWorld(2);
       w.configure(1, RelayWorld.rules());
       w.add("app-1", RelayWorld.APP, Stage.WHOLE);
       w.add("app-2", RelayWorld.APP, Stage.WHOLE);
-      w.tellUpstreams();
+      w.applyDiscoveryList();
       int before = 0;
       for (int i = 0; i < 10; i++) {
         w.arrive("/safe/a");
         before++;
         w.answered(AnswerGrade.FAILED);
-        if (w.sends() > before) {
-          before = w.sends();
+        if (w.sendCount() > before) {
+          before = w.sendCount();
           w.answered(AnswerGrade.GOOD);
         }
       }
-      // 0.85 of (0.2 of ten calls and a slack of two).
-      assertEquals(w.sends() - 10, 3);
+      // Retries stop at 0.85 of the budget, which is 0.2 of ten calls plus a slack of two.
+      assertEquals(w.sendCount() - 10, 3);
     }
   }
 
-  /** Bounds that hold for every call. */
+  /** Invariants of every call. */
   public static class Always {
     @Test
     public void answersNotReadyWithoutConfiguration() {
@@ -138,14 +138,14 @@
 
     @Test
     public void answersNoRuleOnceConfigured() {
-      RelayWorld w = RelayWorld.usual();
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/none/a");
       assertEquals(w.refusal(), ErrorKind.NO_RULE);
     }
 
     @Test
     public void neverGoesBackToAnOlderRevision() {
-      RelayWorld w = RelayWorld.usual();
+      RelayWorld w = RelayWorld.withDefaults();
       w.configure(5, ImmutableList.of());
       w.configure(4, RelayWorld.rules());
       w.arrive("/safe/a");
@@ -153,8 +153,8 @@
     }
 
     @Test
-    public void placesNothingOnUpstreamsThatLeave() {
-      RelayWorld w = RelayWorld.usual();
+    public void placesNothingOnLeavingUpstreams() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.leave("app-1");
       for (int i = 0; i < 20; i++) {
         w.arrive("/safe/a");
@@ -164,49 +164,50 @@
     }
 
     @Test
-    public void usesMissingOnesForSomeTimeOnlyIfThereIsNoOther() {
-      RelayWorld w = RelayWorld.usual();
+    public void usesMissingUpstreamsForSomeTimeIfThereIsNoOther() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.remove("app-1", "app-2");
       w.arrive("/safe/a");
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
       w.answered(AnswerGrade.GOOD);
       w.pass(1_600);
       w.arrive("/safe/a");
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
       assertEquals(w.refusal(), ErrorKind.NO_UPSTREAM);
     }
 
     @Test
-    public void avoidsOneThatCanNotBeReached() {
-      RelayWorld w = RelayWorld.usual();
+    public void ejectsUnreachableUpstreams() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/safe/a");
-      UpstreamLife bad = w.sent().upstream().life();
+      UpstreamLife unreachable = w.sent().upstream().life();
       w.notSent();
       w.answered(AnswerGrade.GOOD);
       for (int i = 0; i < 10; i++) {
         w.arrive("/safe/a");
-        assertNotEquals(w.sent().upstream().life(), bad);
+        assertNotEquals(w.sent().upstream().life(), unreachable);
         w.answered(AnswerGrade.GOOD);
       }
     }
 
     @Test
-    public void avoidsOneWhoseAddressAnotherIncarnationHas() {
-      RelayWorld w = RelayWorld.usual();
+    public void ejectsUpstreamsWhoseAddressAnotherIncarnationHas() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
-      final UpstreamLife gone = w.sent().upstream().life();
+      final UpstreamLife replaced = w.sent().upstream().life();
       w.apply(new RelayEvent.Refused(w.now(), w.sent().attempt(), RefusalCause.WRONG_UPSTREAM));
       w.answered(AnswerGrade.GOOD);
       w.pass(4_000);
       for (int i = 0; i < 40; i++) {
         w.arrive("/once/a");
-        assertNotEquals(w.sent().upstream().life(), gone, "however busy the other is");
+        assertNotEquals(
+            w.sent().upstream().life(), replaced, "even if the other upstream has more load");
       }
     }
 
     @Test
-    public void givesUpWhatItsCallerLeft() {
-      RelayWorld w = RelayWorld.usual();
+    public void cancelsTheCallsOfCallersThatDisconnect() {
+      RelayWorld w = RelayWorld.withDefaults();
       RequestId id = w.arrive("/safe/a");
       w.apply(new RelayEvent.CallerLeft(w.now(), id));
       assertEquals(w.of(RelayEffect.Cancel.class).size(), 1);
@@ -215,9 +216,9 @@
     }
 
     @Test
-    public void answersEachCallOnceWhateverComes() {
+    public void answersEachCallOnceForAnyEvents() {
       for (int seed = 0; seed < 200; seed++) {
-        RelayWorld w = RelayWorld.usual();
+        RelayWorld w = RelayWorld.withDefaults();
         java.util.Random random = new java.util.Random(seed);
         Set<RequestId> all = new HashSet<>();
         for (int i = 0; i < 60; i++) {
@@ -247,7 +248,7 @@
     }
 
     private static void sentThen(RelayWorld w, Runnable event) {
-      if (w.sends() > 0) {
+      if (w.sendCount() > 0) {
         event.run();
       }
     }
@@ -266,11 +267,11 @@
     }
   }
 
-  /** Generations in two stages. */
+  /** Generations with a prefill and a decode stage. */
   public static class Staged {
     @Test
-    public void readsThePromptThenHandsItOver() {
-      RelayWorld w = RelayWorld.usual();
+    public void prefillsThePromptThenHandsItOver() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       assertEquals(w.sent().upstream().id().value(), "read-1");
       assertEquals(w.sent().purpose(), new Purpose.ReadPrompt());
@@ -283,20 +284,20 @@
     }
 
     @Test
-    public void readsShortPromptsWhereTheyRun() {
-      RelayWorld w = RelayWorld.usual();
+    public void prefillsShortPromptsWhereTheyRun() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, new CallSize(100, 1_000, 1_000));
       assertEquals(w.sent().purpose(), new Purpose.Run());
     }
 
     @Test
-    public void readsNoPromptWithoutRoomForItsRun() {
-      RelayWorld w = RelayWorld.usual();
+    public void prefillsNoPromptWithoutReservationForItsRun() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, LARGE);
       w.arrive("/stream/b", 14_000, LARGE);
-      assertEquals(w.sends(), 2);
+      assertEquals(w.sendCount(), 2);
       w.arrive("/stream/c", 14_000, LARGE);
-      assertEquals(w.sends(), 2);
+      assertEquals(w.sendCount(), 2);
       w.pass(250);
       assertEquals(w.refusal(), ErrorKind.OVERLOADED);
       assertTrue(w.refused().retryAfterMillis() >= 1_000);
@@ -304,25 +305,25 @@
     }
 
     @Test
-    public void isNotHeldUpByAnotherServiceThatIsFull() {
-      RelayWorld w = RelayWorld.usual();
+    public void isNotBlockedByAnotherServiceThatIsFull() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.add("other-1", RelayWorld.OTHER, Stage.DECODE);
-      w.tellUpstreams();
+      w.applyDiscoveryList();
       w.arrive("/stream/a", 14_000, LARGE);
       w.arrive("/stream/b", 14_000, LARGE);
       w.arrive("/stream/c", 14_000, LARGE);
-      final int before = w.sends();
+      final int before = w.sendCount();
       w.arrive("/other/d", 14_000, LARGE);
-      assertEquals(w.sends(), before + 1);
+      assertEquals(w.sendCount(), before + 1);
       RequestId waits = w.arrive("/other/e", 14_000, LARGE);
-      assertEquals(w.sends(), before + 1);
+      assertEquals(w.sendCount(), before + 1);
       w.apply(new RelayEvent.CallerLeft(w.now(), w.sent().call()));
       assertEquals(w.sent().call(), waits);
     }
 
     @Test
-    public void takesOneThatWaitsAsSoonAsThereIsRoom() {
-      RelayWorld w = RelayWorld.usual();
+    public void placesWaitingCallsAsSoonAsMemoryIsFree() {
+      RelayWorld w = RelayWorld.withDefaults();
       RequestId first = w.arrive("/stream/a", 14_000, LARGE);
       w.arrive("/stream/b", 14_000, LARGE);
       RequestId waits = w.arrive("/stream/c", 14_000, LARGE);
@@ -332,8 +333,8 @@
     }
 
     @Test
-    public void holdsOneThatCameBackForLonger() {
-      RelayWorld w = RelayWorld.usual();
+    public void holdsRetriedCallsForLonger() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, LARGE);
       w.arrive("/stream/b", 14_000, LARGE);
       w.arrive("/stream/c", 9_000, LARGE);
@@ -342,13 +343,13 @@
     }
 
     @Test
-    public void heedsWhatOtherNodesHaveInFlight() {
-      RelayWorld w = RelayWorld.usual();
+    public void countsTheLoadOfOtherNodes() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.apply(
           new RelayEvent.LoadHeard(
               w.now(),
               new HostName("other"),
-              ImmutableMap.of(RelayWorld.life("run-1"), 17_000L),
+              ImmutableMap.of(RelayWorld.incarnation("run-1"), 17_000L),
               ImmutableSet.of()));
       w.arrive("/stream/a", 14_000, LARGE);
       w.promptRead();
@@ -356,8 +357,8 @@
     }
 
     @Test
-    public void sendsWhatWaitsElsewhereWhenTheNodeStops() {
-      RelayWorld w = RelayWorld.usual();
+    public void refusesWaitingCallsWhenTheNodeDrains() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, LARGE);
       w.arrive("/stream/b", 14_000, LARGE);
       w.arrive("/stream/c", 9_000, LARGE);
@@ -368,8 +369,8 @@
     }
 
     @Test
-    public void holdsOneThatCameBackOnlyWhileItsCallerWaits() {
-      RelayWorld w = RelayWorld.usual();
+    public void holdsRetriedCallsOnlyWhileTheirCallersWait() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, LARGE);
       w.arrive("/stream/b", 14_000, LARGE);
       w.arrive("/stream/c", 12_000, LARGE);
@@ -378,37 +379,42 @@
     }
 
     @Test
-    public void takesRoomThatOthersSeeAfterRandomTime() {
-      RelayWorld w = RelayWorld.usual();
+    public void reservesMemoryThatOtherNodesSeeAfterRandomDelay() {
+      RelayWorld w = RelayWorld.withDefaults();
       ImmutableMap<UpstreamLife, Long> full =
-          ImmutableMap.of(RelayWorld.life("run-1"), 17_000L, RelayWorld.life("run-2"), 17_000L);
+          ImmutableMap.of(
+              RelayWorld.incarnation("run-1"), 17_000L, RelayWorld.incarnation("run-2"), 17_000L);
       w.apply(new RelayEvent.LoadHeard(w.now(), new HostName("other"), full, ImmutableSet.of()));
       w.arrive("/stream/a", 9_000, LARGE);
       w.apply(
           new RelayEvent.LoadHeard(
               w.now(), new HostName("other"), ImmutableMap.of(), ImmutableSet.of()));
-      assertEquals(w.sends(), 0);
+      assertEquals(w.sendCount(), 0);
       w.pass(80);
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void forgetsWhatSilentNodesHadInFlight() {
-      RelayWorld w = RelayWorld.usual();
+    public void dropsTheLoadOfUnresponsiveNodes() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.apply(
           new RelayEvent.LoadHeard(
               w.now(),
               new HostName("other"),
-              ImmutableMap.of(RelayWorld.life("run-1"), 17_000L, RelayWorld.life("run-2"), 17_000L),
+              ImmutableMap.of(
+                  RelayWorld.incarnation("run-1"),
+                  17_000L,
+                  RelayWorld.incarnation("run-2"),
+                  17_000L),
               ImmutableSet.of()));
       w.pass(2_000);
       w.arrive("/stream/a", 14_000, LARGE);
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void asksAnotherUpstreamBeforePromptsAreTakenForLost() {
-      RelayWorld w = RelayWorld.usual();
+    public void triesAnotherUpstreamBeforePromptsCountAsLost() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
       UpstreamLife first = w.sent().upstream().life();
@@ -422,62 +428,65 @@
     }
 
     @Test
-    public void readsNoPromptWhereAnotherNodeFoundThatTheyAreLost() {
-      RelayWorld w = RelayWorld.usual();
+    public void prefillsNothingWhereAnotherNodeFoundThatPromptsAreLost() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.apply(
           new RelayEvent.LoadHeard(
               w.now(),
               new HostName("other"),
               ImmutableMap.of(),
-              ImmutableSet.of(RelayWorld.life("read-1"))));
+              ImmutableSet.of(RelayWorld.incarnation("read-1"))));
       w.arrive("/stream/a", 14_000, SMALL);
       assertEquals(w.sent().purpose(), new Purpose.Run());
-      assertEquals(w.router.lapsing(w.now()), ImmutableSet.of(), "only what it found itself");
+      assertEquals(
+          w.router.lapsing(w.now()),
+          ImmutableSet.of(),
+          "only losses that this node found are reported");
     }
 
     @Test
-    public void tellsOfAnUpstreamWhosePromptsAreLost() {
-      RelayWorld w = RelayWorld.usual();
+    public void reportsUpstreamsWhosePromptsAreLost() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
       w.declined();
       w.declined();
       assertEquals(w.router.lapsing(w.now()), ImmutableSet.of());
       w.began();
-      assertEquals(w.router.lapsing(w.now()), ImmutableSet.of(RelayWorld.life("read-1")));
+      assertEquals(w.router.lapsing(w.now()), ImmutableSet.of(RelayWorld.incarnation("read-1")));
       w.pass(2_000);
       assertEquals(w.router.lapsing(w.now()), ImmutableSet.of());
     }
 
     @Test
-    public void takesNoPromptForLostBecauseUpstreamsAreFull() {
-      RelayWorld w = RelayWorld.usual();
+    public void doesNotCountPromptsAsLostBecauseUpstreamsAreFull() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
       w.declined();
       w.declined();
       w.declined();
       assertEquals(w.router.lapsing(w.now()), ImmutableSet.of());
-      // Those that declined are taken for full for 250 ms; a lost prompt would count for 2 s.
+      // Upstreams that declined are treated as full for 250 ms; a lost prompt would count for 2 s.
       w.pass(300);
       w.arrive("/stream/b", 14_000, SMALL);
       assertEquals(w.sent().purpose(), new Purpose.ReadPrompt());
     }
 
     @Test
-    public void doesNotLeaveStalledStreamsEarly() {
-      RelayWorld w = RelayWorld.usual();
+    public void doesNotAbandonStalledStreamsEarly() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/resume/a", 14_000, SMALL);
       w.promptRead();
       w.pass(2_200);
-      assertEquals(w.sends(), 2);
+      assertEquals(w.sendCount(), 2);
       w.pass(100);
-      assertEquals(w.sends(), 3);
+      assertEquals(w.sendCount(), 3);
     }
 
     @Test
-    public void readsThePromptItselfWhenItsReaderIsLost() {
-      RelayWorld w = RelayWorld.usual();
+    public void prefillsLocallyWhenThePrefillUpstreamIsLost() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.lost();
       assertEquals(w.sent().purpose(), new Purpose.Run());
@@ -486,8 +495,8 @@
     }
 
     @Test
-    public void readsThePromptWhereItRunsWhenReadersHaveTooManyBeforeIt() {
-      RelayWorld w = RelayWorld.usual();
+    public void prefillsWhereItRunsWhenPrefillUpstreamsAreOverloaded() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.pass(40);
       w.promptRead();
@@ -496,23 +505,27 @@
           new RelayEvent.LoadHeard(
               w.now(),
               new HostName("other"),
-              ImmutableMap.of(RelayWorld.life("read-1"), 25_000L),
+              ImmutableMap.of(RelayWorld.incarnation("read-1"), 25_000L),
               ImmutableSet.of()));
       w.arrive("/stream/b", 14_000, SMALL);
-      assertEquals(w.sent().purpose(), new Purpose.ReadPrompt(), "540 ms");
+      assertEquals(
+          w.sent().purpose(),
+          new Purpose.ReadPrompt(),
+          "a predicted prefill time of 540 ms is short enough");
       w.apply(
           new RelayEvent.LoadHeard(
               w.now(),
               new HostName("other"),
-              ImmutableMap.of(RelayWorld.life("read-1"), 35_000L),
+              ImmutableMap.of(RelayWorld.incarnation("read-1"), 35_000L),
               ImmutableSet.of()));
       w.arrive("/stream/c", 14_000, SMALL);
-      assertEquals(w.sent().purpose(), new Purpose.Run(), "740 ms are too late");
+      assertEquals(
+          w.sent().purpose(), new Purpose.Run(), "a predicted prefill time of 740 ms is too long");
     }
 
     @Test
-    public void freesPromptsThatNoneCanTake() {
-      RelayWorld w = RelayWorld.usual();
+    public void freesPromptsThatNoUpstreamCanRun() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.leave("run-1");
       w.leave("run-2");
@@ -522,12 +535,14 @@
     }
 
     @Test
-    public void placesNothingOnOneThatIsOrderedToChange() {
-      RelayWorld w = RelayWorld.usual();
-      UpstreamLife ordered = RelayWorld.life("run-1");
+    public void placesNothingOnUpstreamsOrderedToChangeStage() {
+      RelayWorld w = RelayWorld.withDefaults();
+      UpstreamLife ordered = RelayWorld.incarnation("run-1");
       w.apply(new RelayEvent.Ordered(w.now(), ordered, 15_000 * RelayWorld.MILLI));
       assertEquals(
-          w.router.loads(), ImmutableMap.of(ordered, RelayWorld.MEMORY), "other nodes hear of it");
+          w.router.loads(),
+          ImmutableMap.of(ordered, RelayWorld.MEMORY),
+          "the load is reported to other nodes");
       CallSize tiny = new CallSize(100, 1_000, 1_000);
       for (int i = 0; i < 10; i++) {
         w.arrive("/stream/a", 14_000, tiny);
@@ -539,99 +554,100 @@
     }
 
     @Test
-    public void placesWorkOnOneThatHasChanged() {
-      RelayWorld w = RelayWorld.usual();
+    public void placesWorkOnUpstreamsThatChangedStage() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.apply(
-          new RelayEvent.Ordered(w.now(), RelayWorld.life("read-1"), 15_000 * RelayWorld.MILLI));
+          new RelayEvent.Ordered(
+              w.now(), RelayWorld.incarnation("read-1"), 15_000 * RelayWorld.MILLI));
       w.add("read-1", RelayWorld.MODEL, Stage.DECODE);
-      w.tellUpstreams();
+      w.applyDiscoveryList();
       assertEquals(w.router.loads(), ImmutableMap.of());
     }
 
     @Test
-    public void asksOneThatDeclinesAllLessAndLessOften() {
-      RelayWorld w = RelayWorld.usual();
+    public void triesUpstreamsThatDeclineIncreasinglySeldom() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.leave("run-2");
-      int asked = 0;
+      int attempts = 0;
       for (int i = 0; i < 60; i++) {
         w.arrive("/stream/a", 9_000, new CallSize(100, 1_000, 1_000));
         w.pass(50);
-        if (w.sends() > asked) {
-          asked = w.sends();
+        if (w.sendCount() > attempts) {
+          attempts = w.sendCount();
           w.declined();
         }
       }
-      assertTrue(asked >= 4 && asked <= 6, "asked " + asked + " times in 3 s");
+      assertTrue(attempts >= 4 && attempts <= 6, "asked " + attempts + " times in 3 s");
     }
 
     @Test
-    public void setsNoMemoryAsideWhereNoneAnswersWhileOthersAreFull() {
-      RelayWorld w = RelayWorld.usual();
+    public void reservesNothingAtUnreachableUpstreamsWhileOthersAreFull() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
-      final UpstreamLife dead = w.sent().upstream().life();
+      final UpstreamLife unreachable = w.sent().upstream().life();
       w.notSent();
       w.arrive("/stream/b", 14_000, LARGE);
-      final int before = w.sends();
+      final int before = w.sendCount();
       w.arrive("/stream/c", 14_000, LARGE);
-      assertEquals(w.sends(), before, "the one that answers is full");
+      assertEquals(w.sendCount(), before, "the upstream that answers is full");
       w.pass(100);
       assertTrue(
           w.of(RelayEffect.Send.class).stream()
               .skip(2)
-              .noneMatch(s -> s.upstream().life().equals(dead)));
+              .noneMatch(s -> s.upstream().life().equals(unreachable)));
     }
 
     @Test
-    public void waitsForRoomWhenItsUpstreamIsLost() {
-      RelayWorld w = RelayWorld.usual();
+    public void waitsForReservationWhenItsUpstreamIsLost() {
+      RelayWorld w = RelayWorld.withDefaults();
       final RequestId first = w.arrive("/stream/a", 14_000, LARGE);
       w.promptRead();
       w.began();
       w.arrive("/stream/b", 14_000, LARGE);
       w.promptRead();
       w.notSent();
-      final int before = w.sends();
+      final int before = w.sendCount();
       w.pass(50);
-      assertEquals(w.sends(), before, "nothing is forced on a full upstream");
+      assertEquals(w.sendCount(), before, "nothing is placed on a full upstream");
       w.apply(new RelayEvent.CallerLeft(w.now(), first));
-      assertEquals(w.sends(), before + 1);
+      assertEquals(w.sendCount(), before + 1);
       assertFalse(w.isRefused());
     }
 
     @Test
-    public void takesWhoDeclinesForFull() {
+    public void treatsUpstreamsThatDeclineAsFull() {
       CallSize tiny = new CallSize(100, 1_000, 1_000);
-      RelayWorld w = RelayWorld.usual();
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, tiny);
       final UpstreamLife full = w.sent().upstream().life();
       w.declined();
       w.arrive("/stream/b", 14_000, LARGE);
       w.arrive("/stream/c", 14_000, tiny);
-      assertNotEquals(w.sent().upstream().life(), full, "though it seems to have more room");
+      assertNotEquals(w.sent().upstream().life(), full, "even though its known load is lower");
       w.pass(300);
       w.arrive("/stream/d", 14_000, tiny);
       assertEquals(w.sent().upstream().life(), full);
     }
 
     @Test
-    public void countsTheOutputThatHasGrown() {
-      RelayWorld w = RelayWorld.usual();
+    public void countsGeneratedOutput() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
       w.began();
-      UpstreamLife home = w.sent().upstream().life();
-      final long before = w.router.loads().get(home);
+      UpstreamLife upstream = w.sent().upstream().life();
+      final long before = w.router.loads().get(upstream);
       w.apply(new RelayEvent.Progressed(w.now(), w.sent().attempt(), 90));
-      assertTrue(w.router.loads().get(home) > before);
+      assertTrue(w.router.loads().get(upstream) > before);
     }
   }
 
-  /** Streams that break. */
+  /** Streams whose connection breaks. */
   public static class Broken {
     @Test
-    public void goesOnElsewhereWhereThatIsAllowed() {
-      RelayWorld w = RelayWorld.usual();
+    public void continuesAtAnotherUpstreamIfAllowed() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/resume/a", 14_000, SMALL);
       w.promptRead();
       w.began();
@@ -645,8 +661,8 @@
     }
 
     @Test
-    public void isCutWhereNoneMayGoOn() {
-      RelayWorld w = RelayWorld.usual();
+    public void isCutIfItMayNotContinue() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
       w.began();
@@ -657,7 +673,7 @@
 
     @Test
     public void isCutAtItsDeadline() {
-      RelayWorld w = RelayWorld.usual();
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
       w.began();
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayWorld.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayWorld.java
@@ -28,7 +28,10 @@
 import org.larkkeel.quota.QuotaPool;
 import org.larkkeel.quota.QuotaTolerance;
 
-/** A router with a clock of its own, and what it wanted done. Used by one test each. */
+/**
+ * Test fixture: a router with a simulated clock, which records the effects. Each test uses its own
+ * instance.
+ */
 final class RelayWorld {
   static final long MILLI = 1_000_000L;
   static final ServiceName APP = new ServiceName("app");
@@ -41,10 +44,10 @@
   final List<RelayEffect> effects = new ArrayList<>();
   final RelayRouter router;
   private final Map<UpstreamName, RelayUpstream> upstreams = new LinkedHashMap<>();
-  private ImmutableSet<UpstreamName> told = ImmutableSet.of();
+  private ImmutableSet<UpstreamName> listed = ImmutableSet.of();
   private long now = 1_000_000 * MILLI;
   private long lastCall;
-  private final QuotaPool pool = new QuotaPool(QuotaTolerance.NONE);
+  private final QuotaPool quotaCoordinator = new QuotaPool(QuotaTolerance.NONE);
 
   RelayWorld() {
     this(20);
@@ -57,8 +60,11 @@
                 HERE, 0.2, slack, 10_000 * MILLI, 1, 512, 1_500 * MILLI, 7, QuotaTolerance.NONE));
   }
 
-  /** With the usual rules, two app upstreams, one prefill and two decode upstreams. */
-  static RelayWorld usual() {
+  /**
+   * Returns a fixture with the default rules, two app upstreams, one prefill and two decode
+   * upstreams.
+   */
+  static RelayWorld withDefaults() {
     RelayWorld w = new RelayWorld();
     w.configure(1, rules());
     w.add("app-1", APP, Stage.WHOLE);
@@ -66,7 +72,7 @@
     w.add("read-1", MODEL, Stage.PREFILL);
     w.add("run-1", MODEL, Stage.DECODE);
     w.add("run-2", MODEL, Stage.DECODE);
-    w.tellUpstreams();
+    w.applyDiscoveryList();
     return w;
   }
 
@@ -116,20 +122,20 @@
                 workspaces)));
   }
 
-  /** The life of an upstream that was added and has not started again. */
-  static UpstreamLife life(String id) {
+  /** Returns the incarnation of an upstream that was added and has not restarted. */
+  static UpstreamLife incarnation(String id) {
     return UpstreamLife.unknownStart(new UpstreamName(id));
   }
 
-  /** The life of an upstream that {@link #restart} has begun. */
-  static UpstreamLife life(String id, long start) {
+  /** Returns the incarnation of an upstream that {@link #restart} has started. */
+  static UpstreamLife incarnation(String id, long start) {
     return new UpstreamLife(new UpstreamName(id), new Incarnation(start));
   }
 
   void add(String id, ServiceName service, Stage stage) {
     upstreams.put(
         new UpstreamName(id),
-        new RelayUpstream(life(id), service, "10.0.0.1:80", HERE, 6, stage, false));
+        new RelayUpstream(incarnation(id), service, "10.0.0.1:80", HERE, 6, stage, false));
   }
 
   void leave(String id) {
@@ -138,35 +144,36 @@
         (name, u) ->
             new RelayUpstream(
                 u.life(), u.service(), u.address(), u.place(), u.slots(), u.stage(), true));
-    tellUpstreams();
+    applyDiscoveryList();
   }
 
-  /** Tells the list after an upstream has started again under its name. */
+  /** Restarts an upstream under its name and applies the new discovery list. */
   void restart(String id, long start) {
     upstreams.computeIfPresent(
         new UpstreamName(id),
         (name, u) ->
             new RelayUpstream(
-                life(id, start),
+                incarnation(id, start),
                 u.service(),
                 u.address(),
                 u.place(),
                 u.slots(),
                 u.stage(),
                 u.leaving()));
-    tellUpstreams();
+    applyDiscoveryList();
   }
 
   void remove(String... ids) {
     for (String id : ids) {
       upstreams.remove(new UpstreamName(id));
     }
-    tellUpstreams();
+    applyDiscoveryList();
   }
 
-  void tellUpstreams() {
-    ImmutableSet<UpstreamName> removed = Sets.difference(told, upstreams.keySet()).immutableCopy();
-    told = ImmutableSet.copyOf(upstreams.keySet());
+  void applyDiscoveryList() {
+    ImmutableSet<UpstreamName> removed =
+        Sets.difference(listed, upstreams.keySet()).immutableCopy();
+    listed = ImmutableSet.copyOf(upstreams.keySet());
     apply(new RelayEvent.UpstreamsChanged(now, ImmutableMap.copyOf(upstreams), removed));
   }
 
@@ -174,28 +181,31 @@
     return now;
   }
 
-  /** An answer to a request that was sent now names a limit. */
-  void limit(String upstream, double perSecond) {
+  /** Receives an answer that announces a rate limit, to a request that was sent now. */
+  void receiveRateLimit(String upstream, double perSecond) {
     RateNotice rate = new RateNotice.Limited(RequestRate.perSecond(perSecond));
-    apply(new RelayEvent.Noticed(now, life(upstream), now, new UpstreamNotice(false, 0, rate)));
+    apply(
+        new RelayEvent.Noticed(
+            now, incarnation(upstream), now, new UpstreamNotice(false, 0, rate)));
   }
 
-  /** This node, as the coordinator of quotas, answers what it asks itself, if anything. */
-  void coordinate() {
+  /** Answers the node's quota request, if one is due, as this node is the quota coordinator. */
+  void answerQuotaRequest() {
     router
         .quotaAsk(now, true)
         .ifPresent(
             ask ->
                 apply(
                     new RelayEvent.QuotaGranted(
-                        now, pool.ask(now, new HostName("node-1"), ask, 1, router::limit))));
+                        now,
+                        quotaCoordinator.ask(now, new HostName("node-1"), ask, 1, router::limit))));
   }
 
-  /** Lets time pass, in which the coordinator of quotas answers. */
+  /** Advances the time tick by tick. */
   void passCoordinated(long millis) {
     for (long i = 0; i < millis; i += 5) {
       pass(5);
-      coordinate();
+      answerQuotaRequest();
     }
   }
 
@@ -211,13 +221,13 @@
     }
   }
 
-  /** The machine is suspended for some time, which the clock counts. */
+  /** Suspends the machine for some time, which the clock includes. */
   void suspend(long millis) {
     now += millis * MILLI;
     apply(new RelayEvent.Resumed(now, millis * MILLI));
   }
 
-  /** Lets a long time pass at once. */
+  /** Advances the time in one step. */
   void skip(long millis) {
     now += millis * MILLI;
     apply(new RelayEvent.Ticked(now));
@@ -265,7 +275,7 @@
     return id;
   }
 
-  /** A call that shows a key. */
+  /** Starts a call that carries a key. */
   RequestId arriveWithKey(String path, CallSize size, String key) {
     return arrive(
         path,
@@ -277,22 +287,22 @@
         Optional.of(CallerKey.of(key)));
   }
 
-  /** A request that may come again as another call. */
+  /** Starts a call with a given body, so that several calls can be the same request. */
   RequestId arriveWithBody(String path, CallSize size, String body) {
     return arrive(path, 14_000, size, PromptKey.NONE, false, body, Optional.empty());
   }
 
-  /** A run that fetches what an upstream keeps of its prompt. */
+  /** Returns the purpose of a run that fetches what an upstream still holds of its prompt. */
   RelayEffect.Purpose fetch(String from) {
     return new RelayEffect.Purpose.Fetch(upstreams.get(new UpstreamName(from)));
   }
 
-  /** The last send; fails if there is none. */
+  /** Returns the last sent attempt; fails if there is none. */
   RelayEffect.Send sent() {
     return of(RelayEffect.Send.class).getLast();
   }
 
-  int sends() {
+  int sendCount() {
     return of(RelayEffect.Send.class).size();
   }
 
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/CopiesOfRunsTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RunCopiesTest.java
@@ -21,8 +21,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Memory at upstreams of runs that move: the handles of their copies are used or freed once. */
-public class CopiesOfRunsTest {
+/**
+ * Guards against leaked copies of run memory at upstreams: the handle of each copy must be used
+ * once or freed once.
+ */
+public class RunCopiesTest {
   private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
   private static final MoveResult COPIED = new MoveResult.Copied("copy");
 
@@ -30,9 +33,9 @@
     return w.of(RelayEffect.Free.class).size();
   }
 
-  /** A stream whose upstream leaves, and which was asked to be copied. */
+  /** Returns a fixture with a stream whose upstream is leaving and whose copy was requested. */
   private static RelayWorld copying(String path) {
-    RelayWorld w = RelayWorld.usual();
+    RelayWorld w = RelayWorld.withDefaults();
     w.arrive(path, 14_000, SMALL);
     w.promptRead();
     w.began();
@@ -46,8 +49,10 @@
     return copying("/stream/a");
   }
 
-  /** A stream that was copied and stopped, and is to go on from the copy. */
-  private static RelayWorld goesOn() {
+  /**
+   * Returns a fixture with a stream that was copied and stopped, and whose continuation was sent.
+   */
+  private static RelayWorld continued() {
     RelayWorld w = copying();
     w.moved(COPIED);
     w.lost();
@@ -68,7 +73,7 @@
     return w.of(RelayEffect.Free.class).stream().map(RelayEffect.Free::handle).toList();
   }
 
-  /** Copies that no run goes on from. */
+  /** Copies from which no run continues. */
   public static class Copies {
     @Test
     public void areFreedWhenTheCallerLeavesBeforeTheStopIsAnswered() {
@@ -107,54 +112,54 @@
     }
 
     @Test
-    public void areFreedWhenTheCallerLeavesBeforeTheRunGoesOn() {
-      RelayWorld w = goesOn();
+    public void areFreedWhenTheCallerLeavesBeforeTheRunContinues() {
+      RelayWorld w = continued();
       w.apply(new RelayEvent.CallerLeft(w.now(), w.sent().call()));
       assertEquals(freed(w), 1);
     }
 
     @Test
-    public void areFreedWhenTheRunThatWouldGoOnIsDeclined() {
-      RelayWorld w = goesOn();
+    public void areFreedWhenTheContinuationIsDeclined() {
+      RelayWorld w = continued();
       w.declined();
       assertEquals(w.of(RelayEffect.Cut.class).size(), 1);
       assertEquals(freed(w), 1);
     }
   }
 
-  /** Further ends of copies that no run goes on from. */
-  public static class Ends {
+  /** Further cases of copies from which no run continues. */
+  public static class FurtherCopies {
     @Test
     public void areFreedAtTheSource() {
-      RelayWorld w = goesOn();
+      RelayWorld w = continued();
       w.declined();
       assertEquals(w.of(RelayEffect.Free.class).getLast().source().id().value(), source(w));
     }
 
     @Test
-    public void areFreedWhenTheRunThatWouldGoOnIsLost() {
-      RelayWorld w = goesOn();
+    public void areFreedWhenTheContinuationIsLost() {
+      RelayWorld w = continued();
       w.lost();
       assertEquals(freed(w), 1);
     }
 
     @Test
-    public void areFreedWhenTheRunThatWouldGoOnFails() {
-      RelayWorld w = goesOn();
+    public void areFreedWhenTheContinuationFails() {
+      RelayWorld w = continued();
       w.answered(AnswerGrade.FAILED);
       assertEquals(freed(w), 1);
     }
 
     @Test
     public void areFreedAtTheDeadline() {
-      RelayWorld w = goesOn();
+      RelayWorld w = continued();
       w.pass(14_100);
       assertEquals(w.of(RelayEffect.Cut.class).size(), 1);
       assertEquals(freed(w), 1);
     }
 
     @Test
-    public void areFreedWhenTheBudgetLetsNoRunGoOn() {
+    public void areFreedWhenTheRetryBudgetAllowsNoContinuation() {
       RelayWorld w = copying();
       w.moved(COPIED);
       w.lost();
@@ -165,7 +170,7 @@
     }
 
     @Test
-    public void areFreedWhenTheRunBeginsAnew() {
+    public void areFreedWhenTheRunStartsFromTheBeginning() {
       RelayWorld w = copying("/resume/a");
       w.moved(COPIED);
       w.lost();
@@ -188,7 +193,7 @@
     }
 
     @Test
-    public void areFreedOnceIfBothStepsNameThemAlike() {
+    public void areFreedOnceIfBothStepsReturnTheSameHandle() {
       RelayWorld w = copying();
       w.moved(COPIED);
       w.apply(new RelayEvent.CallerLeft(w.now(), w.sent().call()));
@@ -207,8 +212,8 @@
     }
 
     @Test
-    public void areFreedAfterTheAttemptIsGivenUp() {
-      RelayWorld w = goesOn();
+    public void areFreedAfterTheAttemptIsCancelled() {
+      RelayWorld w = continued();
       w.apply(new RelayEvent.CallerLeft(w.now(), w.sent().call()));
       assertTrue(w.effects.indexOf(new RelayEffect.Cancel(w.sent().attempt())) >= 0);
       assertTrue(
@@ -217,19 +222,19 @@
     }
   }
 
-  /** Copies that a run goes on from. */
+  /** Copies from which a run continues. */
   public static class Used {
     @Test
     public void areNotFreedWhenTheRunHasBegun() {
-      RelayWorld w = goesOn();
+      RelayWorld w = continued();
       w.began();
       w.answered(AnswerGrade.GOOD);
       assertEquals(freed(w), 0);
     }
 
     @Test
-    public void areNotFreedWhenTheRunHasNothingMoreToTell() {
-      RelayWorld w = goesOn();
+    public void areNotFreedWhenTheContinuationEndsWithoutFurtherEvents() {
+      RelayWorld w = continued();
       w.answered(AnswerGrade.GOOD);
       assertEquals(w.of(RelayEffect.Deliver.class).size(), 1);
       assertEquals(freed(w), 0);
@@ -237,7 +242,7 @@
 
     @Test
     public void areNotFreedWhenTheCallerLeavesAfterwards() {
-      RelayWorld w = goesOn();
+      RelayWorld w = continued();
       w.began();
       w.apply(new RelayEvent.CallerLeft(w.now(), w.sent().call()));
       assertEquals(freed(w), 0);
@@ -245,19 +250,19 @@
 
     @Test
     public void areNotFreedWhenTheRunIsLostAfterwards() {
-      RelayWorld w = goesOn();
+      RelayWorld w = continued();
       w.began();
       w.lost();
       assertEquals(freed(w), 0);
     }
 
     @Test
-    public void leaveNoOtherHandleBehind() {
+    public void leakNoOtherHandle() {
       RelayWorld w = copying();
       w.moved(new MoveResult.Copied("first"));
       w.lost();
       w.moved(new MoveResult.Copied("last"));
-      assertEquals(handles(w), List.of(), "the last step may build on the first");
+      assertEquals(handles(w), List.of(), "the last step may depend on the copy of the first");
       w.began();
       assertEquals(handles(w), List.of("first"));
       w.answered(AnswerGrade.GOOD);
@@ -265,60 +270,60 @@
     }
   }
 
-  /** Copies whose source or destination starts again. */
-  public static class Lives {
-    private static final long LATER = 50;
+  /** Copies whose source or destination restarts. */
+  public static class Restarts {
+    private static final long LATER_INCARNATION = 50;
 
     @Test
-    public void areNotFreedAtTheNewLifeOfTheSourceWhileTheyAreMade() {
+    public void areNotFreedAtTheRestartedSourceWhileTheyAreMade() {
       RelayWorld w = copying();
       w.moved(COPIED);
-      w.restart(source(w), LATER);
+      w.restart(source(w), LATER_INCARNATION);
       w.moved(new MoveResult.Copied("last"));
       assertEquals(handles(w), List.of());
     }
 
     @Test
-    public void areNotFreedAtTheNewLifeOfTheSourceBeforeTheRunGoesOn() {
-      RelayWorld w = goesOn();
-      w.restart(source(w), LATER);
+    public void areNotFreedAtTheRestartedSourceBeforeTheRunContinues() {
+      RelayWorld w = continued();
+      w.restart(source(w), LATER_INCARNATION);
       w.declined();
       assertEquals(handles(w), List.of());
     }
 
     @Test
-    public void areNotFreedAtTheNewLifeOfSourcesThatWereGoneBetween() {
-      RelayWorld w = goesOn();
+    public void areNotFreedAtTheRestartedSourceThatWasMissingBefore() {
+      RelayWorld w = continued();
       RelayEffect.Move move = w.of(RelayEffect.Move.class).getLast();
       w.remove(move.source().id().value());
       w.pass(2_000);
-      w.tellUpstreams();
+      w.applyDiscoveryList();
       w.add(move.source().id().value(), RelayWorld.MODEL, Stage.DECODE);
-      w.restart(move.source().id().value(), LATER);
+      w.restart(move.source().id().value(), LATER_INCARNATION);
       w.declined();
       assertEquals(handles(w), List.of());
     }
 
     @Test
-    public void areFreedWhenTheDestinationStartsAgainWhileTheyAreMade() {
+    public void areFreedWhenTheDestinationRestartsWhileTheyAreMade() {
       RelayWorld w = copying();
-      w.restart(destination(w), LATER);
+      w.restart(destination(w), LATER_INCARNATION);
       w.moved(COPIED);
       assertEquals(freed(w), 1);
     }
 
     @Test
-    public void areFreedWhenTheDestinationStartsAgainBeforeTheRunGoesOn() {
-      RelayWorld w = goesOn();
-      w.restart(destination(w), LATER);
+    public void areFreedWhenTheDestinationRestartsBeforeTheRunContinues() {
+      RelayWorld w = continued();
+      w.restart(destination(w), LATER_INCARNATION);
       assertEquals(w.of(RelayEffect.Cut.class).size(), 1);
       assertEquals(freed(w), 1);
     }
 
     @Test
-    public void areNotMadeAnewWhileAnAnswerMayStillCome() {
+    public void areNotRequestedAgainWhileTheAnswerIsPending() {
       RelayWorld w = copying();
-      w.restart(destination(w), LATER);
+      w.restart(destination(w), LATER_INCARNATION);
       w.pass(500);
       assertEquals(w.of(RelayEffect.Move.class).size(), 1);
       w.moved(new MoveResult.Failed());
@@ -327,10 +332,10 @@
     }
   }
 
-  /** Many runs that move, with news in any order. */
-  public static class AnyOrder {
+  /** Many runs that are moved, with events in random order. */
+  public static class RandomOrder {
     private static final int RUNS = 3;
-    private static final int NEWS = 40;
+    private static final int EVENTS = 40;
     private static final long SEEDS = 500;
 
     private final List<RelayEffect.Move> unanswered = new ArrayList<>();
@@ -338,9 +343,9 @@
     private final Set<String> used = new HashSet<>();
     private RelayWorld world;
     private SplittableRandom random;
-    private int seen;
+    private int scannedEffects;
 
-    /** The seeds of the steps that are drawn. */
+    /** Returns the seeds of the random steps. */
     @DataProvider
     public Object[][] seeds() {
       return LongStream.range(0, SEEDS).mapToObj(i -> new Object[] {i}).toArray(Object[][]::new);
@@ -348,27 +353,27 @@
 
     @Test(dataProvider = "seeds")
     public void eachHandleIsUsedOrFreedOnce(long seed) {
-      begin(seed);
-      for (int i = 0; i < NEWS; i++) {
+      start(seed);
+      for (int i = 0; i < EVENTS; i++) {
         world.pass(random.nextInt(200));
-        see();
-        tell();
-        see();
+        collectMoves();
+        applyRandomEvent();
+        collectMoves();
       }
-      end();
+      endAllCalls();
       Set<String> free = new HashSet<>(handles(world));
       assertEquals(free.size(), freed(world), "a handle was freed twice: " + handles(world));
       assertEquals(free, new HashSet<>(Sets.difference(made, used)));
       assertEquals(world.router.loads(), ImmutableMap.of());
     }
 
-    private void begin(long seed) {
+    private void start(long seed) {
       unanswered.clear();
       made.clear();
       used.clear();
-      seen = 0;
+      scannedEffects = 0;
       random = new SplittableRandom(seed);
-      world = RelayWorld.usual();
+      world = RelayWorld.withDefaults();
       for (int i = 0; i < RUNS; i++) {
         world.arrive(random.nextBoolean() ? "/stream/a" : "/resume/a", 14_000, SMALL);
         world.promptRead();
@@ -378,21 +383,21 @@
       world.pass(1_250);
     }
 
-    /** Notes the moves that were asked for since the last time. */
-    private void see() {
-      for (; seen < world.effects.size(); seen++) {
-        if (world.effects.get(seen) instanceof RelayEffect.Move m) {
+    /** Records the moves that were requested since the last call. */
+    private void collectMoves() {
+      for (; scannedEffects < world.effects.size(); scannedEffects++) {
+        if (world.effects.get(scannedEffects) instanceof RelayEffect.Move m) {
           unanswered.add(m);
         }
       }
     }
 
-    private void tell() {
+    private void applyRandomEvent() {
       if (!unanswered.isEmpty() && random.nextInt(3) > 0) {
         answerMove();
       } else {
         List<RelayEffect.Send> sends = world.of(RelayEffect.Send.class);
-        tellOf(sends.get(random.nextInt(sends.size())));
+        applyRandomEventOf(sends.get(random.nextInt(sends.size())));
       }
     }
 
@@ -410,7 +415,7 @@
       world.apply(new RelayEvent.Moved(world.now(), m.attempt(), result));
     }
 
-    private void tellOf(RelayEffect.Send s) {
+    private void applyRandomEventOf(RelayEffect.Send s) {
       switch (random.nextInt(6)) {
         case 0 -> world.apply(new RelayEvent.CallerLeft(world.now(), s.call()));
         case 1 ->
@@ -419,7 +424,7 @@
         case 2 ->
             world.apply(new RelayEvent.Answered(world.now(), s.attempt(), AnswerGrade.FAILED));
         case 3 -> refuse(s);
-        default -> beginRun(s);
+        default -> startStream(s);
       }
     }
 
@@ -429,7 +434,7 @@
       }
     }
 
-    private void beginRun(RelayEffect.Send s) {
+    private void startStream(RelayEffect.Send s) {
       int before = world.of(RelayEffect.Follow.class).size();
       world.apply(new RelayEvent.Began(world.now(), s.attempt()));
       boolean follows = world.of(RelayEffect.Follow.class).size() > before;
@@ -438,12 +443,12 @@
       }
     }
 
-    /** Lets all calls end, then answers the moves that are left. */
-    private void end() {
+    /** Ends all calls, then answers the remaining moves. */
+    private void endAllCalls() {
       for (RelayEffect.Send s : world.of(RelayEffect.Send.class)) {
         world.apply(new RelayEvent.CallerLeft(world.now(), s.call()));
       }
-      see();
+      collectMoves();
       while (!unanswered.isEmpty()) {
         answerMove();
       }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/LeftPromptTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/UnusedPromptTest.java
@@ -13,14 +13,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Prompts that were read for calls which end before they run.
+ * Guards against leaked prompts: prompts that were prefilled for calls which end before they run
+ * must be freed.
  *
- * <p>An engine holds such a prompt, and the memory for it, until it is freed or its time is over.
+ * <p>An engine holds such a prompt, and the memory for it, until the prompt is freed or its handle
+ * expires.
  */
-public class LeftPromptTest {
+public class UnusedPromptTest {
   private static final CallSize SIZE = new CallSize(5_000, 700, 0);
 
-  private static RequestId handedOver(RelayWorld w) {
+  private static RequestId prefilled(RelayWorld w) {
     RequestId id = w.arrive("/stream/a", 14_000, SIZE);
     w.promptRead();
     assertEquals(w.sent().purpose().getClass(), Purpose.TakeOver.class);
@@ -33,21 +35,21 @@
         .count();
   }
 
-  /** Calls whose prompt waits to be taken over. */
-  public static class BeforeTheRunBegins {
+  /** Calls that end before their run has taken over the prompt. */
+  public static class BeforeTakeOver {
     @Test
     public void isFreedWhenTheCallerLeaves() {
-      RelayWorld w = RelayWorld.usual();
-      RequestId id = handedOver(w);
+      RelayWorld w = RelayWorld.withDefaults();
+      RequestId id = prefilled(w);
       w.apply(new RelayEvent.CallerLeft(w.now(), id));
       assertEquals(w.of(RelayEffect.Free.class).size(), 1);
       assertEquals(wasted(w), 1);
     }
 
     @Test
-    public void isFreedWhenItsTakerIsLost() {
-      RelayWorld w = RelayWorld.usual();
-      handedOver(w);
+    public void isFreedWhenTheRunIsLost() {
+      RelayWorld w = RelayWorld.withDefaults();
+      prefilled(w);
       w.lost();
       assertEquals(w.of(RelayEffect.Free.class).size(), 1);
       assertEquals(wasted(w), 1);
@@ -55,20 +57,20 @@
 
     @Test
     public void isFreedAtTheDeadline() {
-      RelayWorld w = RelayWorld.usual();
-      handedOver(w);
+      RelayWorld w = RelayWorld.withDefaults();
+      prefilled(w);
       w.pass(14_100);
       assertEquals(w.of(RelayEffect.Free.class).size(), 1);
       assertEquals(wasted(w), 1);
     }
   }
 
-  /** Calls whose prompt was taken over. */
-  public static class AfterTheRunHasBegun {
+  /** Calls that end after their run has taken over the prompt. */
+  public static class AfterTakeOver {
     @Test
     public void isNotFreedAgain() {
-      RelayWorld w = RelayWorld.usual();
-      RequestId id = handedOver(w);
+      RelayWorld w = RelayWorld.withDefaults();
+      RequestId id = prefilled(w);
       w.began();
       w.apply(new RelayEvent.CallerLeft(w.now(), id));
       assertEquals(w.of(RelayEffect.Free.class).size(), 0);
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/UpstreamLivesTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/UpstreamRestartTest.java
@@ -24,31 +24,36 @@
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
-/** Upstreams that start again under their name. */
-public class UpstreamLivesTest {
+/**
+ * Guards against state of a previous incarnation being applied to an upstream that was restarted
+ * under its name.
+ */
+public class UpstreamRestartTest {
   private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
   private static final HostName OTHER = new HostName("node-2");
-  private static final long LATER = 50;
-  private static final long EARLIER = -50;
+  private static final long LATER_INCARNATION = 50;
+  private static final long EARLIER_INCARNATION = -50;
   private static final MoveResult.Copied COPIED = new MoveResult.Copied("copy");
 
-  /** A stream that runs at an upstream, from a prompt that another has read. */
+  /**
+   * Returns a fixture with a stream that runs from a prompt which a prefill upstream has prefilled.
+   */
   private static RelayWorld running(String path) {
-    RelayWorld w = RelayWorld.usual();
+    RelayWorld w = RelayWorld.withDefaults();
     w.arrive(path, 14_000, SMALL);
     w.promptRead();
     w.began();
     return w;
   }
 
-  private static String where(RelayWorld w) {
+  private static String lastUpstream(RelayWorld w) {
     return w.sent().upstream().id().value();
   }
 
-  private static void heard(RelayWorld w, UpstreamLife life, long units) {
+  private static void receiveLoad(RelayWorld w, UpstreamLife upstream, long units) {
     w.apply(
         new RelayEvent.LoadHeard(
-            w.now(), OTHER, ImmutableMap.of(life, units), ImmutableSet.of(life)));
+            w.now(), OTHER, ImmutableMap.of(upstream, units), ImmutableSet.of(upstream)));
   }
 
   private static List<String> changes(RelayWorld w) {
@@ -60,95 +65,95 @@
         .toList();
   }
 
-  /** What is under way at an upstream when it starts again. */
-  public static class UnderWay {
+  /** Work in progress at an upstream when it restarts. */
+  public static class InProgress {
     @Test
-    public void streamIsCutAtOnceWhenItMayRunOnce() {
+    public void atMostOnceStreamIsCutImmediately() {
       RelayWorld w = running("/stream/a");
       AttemptId attempt = w.sent().attempt();
-      w.restart(where(w), LATER);
+      w.restart(lastUpstream(w), LATER_INCARNATION);
       assertEquals(w.of(RelayEffect.Cancel.class), List.of(new RelayEffect.Cancel(attempt)));
       assertEquals(w.of(RelayEffect.Cut.class).size(), 1);
       assertEquals(w.router.loads(), ImmutableMap.of());
     }
 
     @Test
-    public void streamGoesOnAtOnceWhenItMay() {
+    public void resumableStreamContinuesImmediately() {
       RelayWorld w = running("/resume/a");
-      w.restart(where(w), LATER);
+      w.restart(lastUpstream(w), LATER_INCARNATION);
       assertEquals(w.of(RelayEffect.Cancel.class).size(), 1);
-      assertEquals(w.sends(), 3);
+      assertEquals(w.sendCount(), 3);
       assertEquals(w.sent().purpose(), w.fetch("read-1"));
     }
 
     @Test
-    public void streamGoesOnAtTheNewLifeWhenThereIsNoOther() {
+    public void streamContinuesAtTheNewIncarnationWhenThereIsNoOtherUpstream() {
       RelayWorld w = running("/resume/a");
-      w.remove(where(w).equals("run-1") ? "run-2" : "run-1");
+      w.remove(lastUpstream(w).equals("run-1") ? "run-2" : "run-1");
       w.pass(1_600);
-      String home = where(w);
-      w.restart(home, LATER);
-      assertEquals(w.sent().upstream().life(), RelayWorld.life(home, LATER));
+      String upstream = lastUpstream(w);
+      w.restart(upstream, LATER_INCARNATION);
+      assertEquals(w.sent().upstream().life(), RelayWorld.incarnation(upstream, LATER_INCARNATION));
     }
 
     @Test
-    public void callThatMayRunOnceIsNotRunAgain() {
-      RelayWorld w = RelayWorld.usual();
+    public void atMostOnceCallIsNotRunAgain() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
-      w.restart(where(w), LATER);
-      assertEquals(w.sends(), 1);
+      w.restart(lastUpstream(w), LATER_INCARNATION);
+      assertEquals(w.sendCount(), 1);
       assertEquals(w.refused().retryAfterMillis(), 0, "it may have run");
       assertFalse(w.refusal().status() == 503, "it may have run");
     }
 
     @Test
     public void idempotentCallIsRunAgain() {
-      RelayWorld w = RelayWorld.usual();
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/safe/a");
-      w.restart(where(w), LATER);
-      assertEquals(w.sends(), 2);
+      w.restart(lastUpstream(w), LATER_INCARNATION);
+      assertEquals(w.sendCount(), 2);
     }
 
     @Test
-    public void promptIsReadAgainElsewhere() {
-      RelayWorld w = RelayWorld.usual();
+    public void promptIsPrefilledAgainAtAnotherUpstream() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
-      assertEquals(where(w), "read-1");
-      w.restart("read-1", LATER);
-      assertEquals(w.sends(), 2);
+      assertEquals(lastUpstream(w), "read-1");
+      w.restart("read-1", LATER_INCARNATION);
+      assertEquals(w.sendCount(), 2);
       assertEquals(w.sent().purpose(), new Purpose.Run());
     }
 
     @Test
-    public void otherCallsGoOn() {
+    public void callsAtOtherUpstreamsContinue() {
       RelayWorld w = running("/stream/a");
-      w.restart(where(w).equals("run-1") ? "run-2" : "run-1", LATER);
+      w.restart(lastUpstream(w).equals("run-1") ? "run-2" : "run-1", LATER_INCARNATION);
       assertEquals(w.of(RelayEffect.Cancel.class), List.of());
       w.answered(AnswerGrade.GOOD);
       assertEquals(w.of(RelayEffect.Deliver.class).size(), 1);
     }
 
     @Test
-    public void itsTimeOfStartMayGoBack() {
+    public void incarnationNumberMayDecrease() {
       RelayWorld w = running("/resume/a");
-      w.restart(where(w), EARLIER);
+      w.restart(lastUpstream(w), EARLIER_INCARNATION);
       assertEquals(w.of(RelayEffect.Cancel.class).size(), 1);
     }
   }
 
-  /** What is believed of an upstream before it starts again. */
-  public static class Belief {
+  /** Known state of an upstream before its restart. */
+  public static class KnownState {
     @Test
-    public void memoryThatWasSetAsideIsVoid() {
-      RelayWorld w = RelayWorld.usual();
+    public void reservationIsDropped() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
-      UpstreamLife home =
+      UpstreamLife reservedUpstream =
           w.router.loads().keySet().stream()
               .filter(l -> l.name().value().startsWith("run"))
               .findFirst()
               .orElseThrow();
-      w.restart(home.name().value(), LATER);
-      assertEquals(w.router.loads().keySet(), ImmutableSet.of(RelayWorld.life("read-1")));
+      w.restart(reservedUpstream.name().value(), LATER_INCARNATION);
+      assertEquals(w.router.loads().keySet(), ImmutableSet.of(RelayWorld.incarnation("read-1")));
       w.promptRead();
       assertTrue(w.sent().purpose() instanceof Purpose.TakeOver);
       assertEquals(w.router.loads().keySet(), ImmutableSet.of(w.sent().upstream().life()));
@@ -158,11 +163,11 @@
     }
 
     @Test
-    public void promptThatItHasReadIsNotTakenOver() {
-      RelayWorld w = RelayWorld.usual();
+    public void promptThatItPrefilledIsNotTakenOver() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
-      w.restart("read-1", LATER);
+      w.restart("read-1", LATER_INCARNATION);
       w.declined();
       assertEquals(w.sent().purpose(), new Purpose.Run());
       assertEquals(w.of(RelayEffect.Free.class), List.of(), "its handle may name another's now");
@@ -171,70 +176,71 @@
     }
 
     @Test
-    public void promptThatItKeptIsNotFetched() {
+    public void promptThatItHeldIsNotFetched() {
       RelayWorld w = running("/resume/a");
-      w.restart("read-1", LATER);
+      w.restart("read-1", LATER_INCARNATION);
       w.lost();
       assertEquals(w.sent().purpose(), new Purpose.Run());
     }
 
     @Test
-    public void itIsNotAvoidedForWhatFailedBefore() {
-      RelayWorld w = RelayWorld.usual();
+    public void ejectionEnds() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.remove("app-2");
       w.pass(1_600);
       w.arrive("/safe/a");
       w.notSent();
       w.add("app-2", RelayWorld.APP, Stage.WHOLE);
-      w.restart("app-1", LATER);
+      w.restart("app-1", LATER_INCARNATION);
       ImmutableSet.Builder<UpstreamLife> used = ImmutableSet.builder();
       for (int i = 0; i < 20; i++) {
         w.arrive("/safe/b");
         used.add(w.sent().upstream().life());
       }
-      assertTrue(used.build().contains(RelayWorld.life("app-1", LATER)));
+      assertTrue(used.build().contains(RelayWorld.incarnation("app-1", LATER_INCARNATION)));
     }
 
     @Test
-    public void orderIsOver() {
-      RelayWorld w = RelayWorld.usual();
-      w.apply(new RelayEvent.Ordered(w.now(), RelayWorld.life("run-1"), 15_000 * 1_000_000L));
-      w.restart("run-1", LATER);
+    public void orderEnds() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.apply(
+          new RelayEvent.Ordered(w.now(), RelayWorld.incarnation("run-1"), 15_000 * 1_000_000L));
+      w.restart("run-1", LATER_INCARNATION);
       assertEquals(w.router.loads(), ImmutableMap.of());
     }
 
     @Test
-    public void moveThatItIsTheSourceOfIsVoid() {
+    public void moveFromItIsAborted() {
       RelayWorld w = running("/stream/a");
-      String source = where(w);
+      String source = lastUpstream(w);
       w.leave(source);
       w.pass(1_250);
       w.moved(COPIED);
       w.moved(COPIED);
-      w.restart(source, LATER);
+      w.restart(source, LATER_INCARNATION);
       assertEquals(w.of(RelayEffect.Cut.class).size(), 1);
       assertEquals(w.of(RelayEffect.Free.class), List.of(), "its handle may name another's now");
       assertEquals(w.router.loads(), ImmutableMap.of());
     }
 
     @Test
-    public void moveThatItIsTheDestinationOfIsVoid() {
+    public void moveToItIsAborted() {
       RelayWorld w = running("/stream/a");
-      String source = where(w);
+      String source = lastUpstream(w);
       w.leave(source);
       w.pass(1_250);
-      w.restart(source.equals("run-1") ? "run-2" : "run-1", LATER);
-      assertEquals(w.router.loads().keySet(), ImmutableSet.of(RelayWorld.life(source)));
+      w.restart(source.equals("run-1") ? "run-2" : "run-1", LATER_INCARNATION);
+      assertEquals(w.router.loads().keySet(), ImmutableSet.of(RelayWorld.incarnation(source)));
       w.moved(COPIED);
       w.answered(AnswerGrade.GOOD);
       assertEquals(w.of(RelayEffect.Deliver.class).size(), 1);
     }
 
     @Test
-    public void grantIsGivenAgain() {
-      RelayWorld w = RelayWorld.usual();
+    public void reservationIsGrantedAgain() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.KEEP));
-      RoomAsk ask =
+      RoomAsk request =
           new RoomAsk(
               new RequestId(1),
               "wire-1",
@@ -247,32 +253,32 @@
               900,
               PromptKey.NONE,
               ImmutableSet.of());
-      RelayEvent asked =
-          new RelayEvent.RoomAsked(w.now(), OTHER, RelayWorld.HERE, ImmutableList.of(ask));
-      w.apply(asked);
+      RelayEvent requested =
+          new RelayEvent.RoomAsked(w.now(), OTHER, RelayWorld.HERE, ImmutableList.of(request));
+      w.apply(requested);
       UpstreamLife first = w.of(RelayEffect.GrantRoom.class).getLast().home();
-      w.restart(first.name().value(), LATER);
+      w.restart(first.name().value(), LATER_INCARNATION);
       assertEquals(w.of(RelayEffect.GrantRoom.class).size(), 2);
       assertNotEquals(w.of(RelayEffect.GrantRoom.class).getLast().home(), first);
     }
 
     @Test
-    public void changeIsTold() {
-      RelayWorld w = RelayWorld.usual();
-      w.restart("run-1", LATER);
+    public void changeIsReported() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.restart("run-1", LATER_INCARNATION);
       assertEquals(changes(w).getLast(), "run-1@50 restarted");
     }
   }
 
-  /** The orders in which the news of a new life come, and news that are lost. */
-  public static class News {
+  /** Events about a new incarnation in different orders, and lost events. */
+  public static class EventOrder {
     @Test
     public void brokenConnectionComesFirst() {
       RelayWorld w = running("/resume/a");
-      String first = where(w);
+      String first = lastUpstream(w);
       w.lost();
-      w.restart(first, LATER);
-      assertEquals(w.sends(), 3, "no more than for the broken connection");
+      w.restart(first, LATER_INCARNATION);
+      assertEquals(w.sendCount(), 3, "the restart causes no further attempt");
       assertEquals(w.of(RelayEffect.Cancel.class), List.of());
     }
 
@@ -280,98 +286,100 @@
     public void brokenConnectionComesLast() {
       RelayWorld w = running("/resume/a");
       AttemptId attempt = w.sent().attempt();
-      w.restart(where(w), LATER);
+      w.restart(lastUpstream(w), LATER_INCARNATION);
       w.apply(new RelayEvent.Lost(w.now(), attempt, FailureCause.CONNECTION_LOST));
-      assertEquals(w.sends(), 3);
+      assertEquals(w.sendCount(), 3);
     }
 
     @Test
     public void entryIsLost() {
       RelayWorld w = running("/resume/a");
-      final String first = where(w);
+      final String first = lastUpstream(w);
       w.lost();
       w.pass(2_000);
       w.answered(AnswerGrade.GOOD);
       assertEquals(w.router.loads(), ImmutableMap.of());
-      w.restart(first, LATER);
+      w.restart(first, LATER_INCARNATION);
       assertEquals(w.of(RelayEffect.Deliver.class).size(), 1);
     }
 
     @Test
-    public void refusalOfAnOrderOfTheEarlierLifeComesLast() {
-      RelayWorld w = RelayWorld.usual();
-      w.apply(new RelayEvent.Ordered(w.now(), RelayWorld.life("run-1"), 15_000 * 1_000_000L));
-      w.restart("run-1", LATER);
-      UpstreamLife now = RelayWorld.life("run-1", LATER);
+    public void refusalOfAnOrderToThePreviousIncarnationComesLast() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.apply(
+          new RelayEvent.Ordered(w.now(), RelayWorld.incarnation("run-1"), 15_000 * 1_000_000L));
+      w.restart("run-1", LATER_INCARNATION);
+      UpstreamLife now = RelayWorld.incarnation("run-1", LATER_INCARNATION);
       w.apply(new RelayEvent.Ordered(w.now(), now, 15_000 * 1_000_000L));
-      w.apply(new RelayEvent.OrderRefused(w.now(), RelayWorld.life("run-1")));
+      w.apply(new RelayEvent.OrderRefused(w.now(), RelayWorld.incarnation("run-1")));
       assertEquals(w.router.loads(), ImmutableMap.of(now, RelayWorld.MEMORY));
     }
 
     @Test
-    public void longestTimeOfAnOrderOfTheEarlierLifeComesLast() {
-      RelayWorld w = RelayWorld.usual();
-      w.apply(new RelayEvent.Ordered(w.now(), RelayWorld.life("run-1"), 1_000 * 1_000_000L));
-      w.restart("run-1", LATER);
-      UpstreamLife now = RelayWorld.life("run-1", LATER);
+    public void expiryOfAnOrderToThePreviousIncarnationComesLast() {
+      RelayWorld w = RelayWorld.withDefaults();
+      w.apply(new RelayEvent.Ordered(w.now(), RelayWorld.incarnation("run-1"), 1_000 * 1_000_000L));
+      w.restart("run-1", LATER_INCARNATION);
+      UpstreamLife now = RelayWorld.incarnation("run-1", LATER_INCARNATION);
       w.apply(new RelayEvent.Ordered(w.now(), now, 15_000 * 1_000_000L));
       w.pass(2_000);
       assertEquals(w.router.loads(), ImmutableMap.of(now, RelayWorld.MEMORY));
     }
 
     @Test
-    public void orderOfUnknownLifeChangesNothing() {
-      RelayWorld w = RelayWorld.usual();
-      UpstreamLife unknown = RelayWorld.life("run-1", LATER);
+    public void orderToUnknownIncarnationIsIgnored() {
+      RelayWorld w = RelayWorld.withDefaults();
+      UpstreamLife unknown = RelayWorld.incarnation("run-1", LATER_INCARNATION);
       w.apply(new RelayEvent.Ordered(w.now(), unknown, 15_000 * 1_000_000L));
       assertEquals(w.router.loads(), ImmutableMap.of());
     }
 
     @Test
-    public void grantAtTheEarlierLifeIsNotTaken() {
-      RelayWorld w = RelayWorld.usual();
+    public void grantAtThePreviousIncarnationIsIgnored() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.ASK));
       RequestId call = w.arrive("/stream/a", 0, SMALL);
-      w.restart("run-1", LATER);
+      w.restart("run-1", LATER_INCARNATION);
       w.apply(
-          new RelayEvent.RoomGranted(w.now(), call, RelayWorld.life("run-1"), Optional.empty()));
-      assertEquals(w.sends(), 0);
+          new RelayEvent.RoomGranted(
+              w.now(), call, RelayWorld.incarnation("run-1"), Optional.empty()));
+      assertEquals(w.sendCount(), 0);
       w.apply(
           new RelayEvent.RoomGranted(
               w.now(),
               call,
-              RelayWorld.life("run-1", LATER),
-              Optional.of(RelayWorld.life("read-1", LATER))));
-      assertEquals(w.sent().upstream().life(), RelayWorld.life("run-1", LATER));
+              RelayWorld.incarnation("run-1", LATER_INCARNATION),
+              Optional.of(RelayWorld.incarnation("read-1", LATER_INCARNATION))));
+      assertEquals(w.sent().upstream().life(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
     }
 
     @Test
-    public void slowPeerTellsOfTheEarlierLife() {
-      RelayWorld w = RelayWorld.usual();
+    public void slowPeerReportsThePreviousIncarnation() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.remove("run-2");
       w.pass(1_600);
-      heard(w, RelayWorld.life("run-1"), RelayWorld.MEMORY);
-      w.restart("run-1", LATER);
-      heard(w, RelayWorld.life("run-1"), RelayWorld.MEMORY);
-      heard(w, RelayWorld.life("read-1", EARLIER), RelayWorld.MEMORY);
+      receiveLoad(w, RelayWorld.incarnation("run-1"), RelayWorld.MEMORY);
+      w.restart("run-1", LATER_INCARNATION);
+      receiveLoad(w, RelayWorld.incarnation("run-1"), RelayWorld.MEMORY);
+      receiveLoad(w, RelayWorld.incarnation("read-1", EARLIER_INCARNATION), RelayWorld.MEMORY);
       w.arrive("/stream/a", 14_000, SMALL);
-      assertEquals(where(w), "read-1", "its prompts do not lapse");
+      assertEquals(lastUpstream(w), "read-1", "its prompts are not considered lost");
       w.promptRead();
-      assertEquals(w.sent().upstream().life(), RelayWorld.life("run-1", LATER));
+      assertEquals(w.sent().upstream().life(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
     }
 
     @Test
-    public void peerKnowsTheNewLifeFirst() {
-      RelayWorld w = RelayWorld.usual();
+    public void peerReportsTheNewIncarnationFirst() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.remove("run-2");
       w.pass(1_600);
-      heard(w, RelayWorld.life("run-1", LATER), RelayWorld.MEMORY);
+      receiveLoad(w, RelayWorld.incarnation("run-1", LATER_INCARNATION), RelayWorld.MEMORY);
       w.arrive("/stream/a", 14_000, SMALL);
-      assertEquals(w.sends(), 1, "nothing is in flight at the life that is known");
-      w.restart("run-1", LATER);
+      assertEquals(w.sendCount(), 1, "the known incarnation has no load");
+      w.restart("run-1", LATER_INCARNATION);
       w.arrive("/stream/b", 14_000, SMALL);
-      assertEquals(w.sends(), 1, "the peer has all of its memory");
-      heard(w, RelayWorld.life("run-1", LATER), 0);
+      assertEquals(w.sendCount(), 1, "the peer's load uses all of its memory");
+      receiveLoad(w, RelayWorld.incarnation("run-1", LATER_INCARNATION), 0);
       w.pass(200);
       assertEquals(w.sent().call(), new RequestId(2));
     }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/WorkspacesTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/WorkspacesTest.java
@@ -25,7 +25,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Calls of workspaces: their keys, what upstreams are told, and their quotas. */
+/**
+ * Tests calls of workspaces: their keys, the workspace name sent to upstreams, and their quotas.
+ */
 public class WorkspacesTest {
   private static final String KEY = "weavers-key";
   private static final WorkspaceName WEAVERS = new WorkspaceName("weavers");
@@ -41,23 +43,23 @@
   }
 
   private static RelayWorld world(TokenLimit limit) {
-    RelayWorld w = RelayWorld.usual();
+    RelayWorld w = RelayWorld.withDefaults();
     w.configure(2, RelayWorld.rules(), weavers(limit, KEY));
     return w;
   }
 
-  private static Optional<WorkspaceName> told(RelayWorld w) {
+  private static Optional<WorkspaceName> sentWorkspace(RelayWorld w) {
     return w.sent().workspace();
   }
 
   /** Callers and their keys. */
   public static class Keys {
     @Test
-    public void areNeeded() {
+    public void areRequired() {
       RelayWorld w = world(TokenLimit.NONE);
       w.arrive("/once/a");
       assertEquals(w.refusal(), ErrorKind.UNAUTHENTICATED);
-      assertEquals(w.sends(), 0);
+      assertEquals(w.sendCount(), 0);
     }
 
     @Test
@@ -66,12 +68,12 @@
       w.arriveWithKey("/once/a", CallSize.NONE, "another-key");
       assertEquals(w.refusal(), ErrorKind.UNAUTHENTICATED);
       assertEquals(w.refused().retryAfterMillis(), 0);
-      assertEquals(w.sends(), 0);
+      assertEquals(w.sendCount(), 0);
     }
 
     @Test
-    public void areNotNeededWhereRulesAllowAnonymousCallers() {
-      RelayWorld w = RelayWorld.usual();
+    public void areNotRequiredByRulesThatAllowAnonymousCallers() {
+      RelayWorld w = RelayWorld.withDefaults();
       RelayRule once = RelayWorld.rules().get(1);
       RelayRule open =
           new RelayRule(
@@ -88,14 +90,14 @@
               true);
       w.configure(2, ImmutableList.of(open), weavers(TokenLimit.NONE, KEY));
       w.arrive("/once/a");
-      assertEquals(told(w), Optional.empty());
+      assertEquals(sentWorkspace(w), Optional.empty());
     }
 
     @Test
-    public void areNotNeededWithoutWorkspaces() {
-      RelayWorld w = RelayWorld.usual();
+    public void areNotRequiredWithoutWorkspaces() {
+      RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
-      assertEquals(told(w), Optional.empty());
+      assertEquals(sentWorkspace(w), Optional.empty());
     }
 
     @Test
@@ -105,57 +107,57 @@
     }
 
     @DataProvider
-    static Object[][] unfit() {
+    static Object[][] malformedKeys() {
       return new Object[][] {{""}, {"a b"}, {"ñ"}, {"x".repeat(257)}, {"a\n"}};
     }
 
-    @Test(dataProvider = "unfit", expectedExceptions = IllegalArgumentException.class)
-    public void areVisibleAscii(String key) {
+    @Test(dataProvider = "malformedKeys", expectedExceptions = IllegalArgumentException.class)
+    public void mustBeVisibleAscii(String key) {
       CallerKey.of(key);
     }
   }
 
-  /** The name that upstreams are told. */
+  /** The workspace name that is sent to upstreams. */
   public static class Name {
     @Test
-    public void goesWithTheReadingOfPromptsAndTheirRuns() {
+    public void isSentWithPrefillsAndRuns() {
       RelayWorld w = world(TokenLimit.NONE);
       w.arriveWithKey("/stream/a", STREAM, KEY);
       assertTrue(w.sent().purpose() instanceof RelayEffect.Purpose.ReadPrompt);
-      assertEquals(told(w), Optional.of(WEAVERS));
+      assertEquals(sentWorkspace(w), Optional.of(WEAVERS));
       w.promptRead();
       assertTrue(w.sent().purpose() instanceof RelayEffect.Purpose.TakeOver);
-      assertEquals(told(w), Optional.of(WEAVERS));
+      assertEquals(sentWorkspace(w), Optional.of(WEAVERS));
     }
 
     @Test
-    public void goesWithRepeats() {
+    public void isSentWithRetries() {
       RelayWorld w = world(TokenLimit.NONE);
       w.arriveWithKey("/safe/a", CallSize.NONE, KEY);
       w.lost();
-      assertEquals(w.sends(), 2);
-      assertEquals(told(w), Optional.of(WEAVERS));
+      assertEquals(w.sendCount(), 2);
+      assertEquals(sentWorkspace(w), Optional.of(WEAVERS));
     }
 
     @Test
-    public void goesWithRunsThatGoOnElsewhere() {
+    public void isSentWithContinuedRuns() {
       RelayWorld w = world(TokenLimit.NONE);
       w.arriveWithKey("/resume/a", STREAM, KEY);
       w.promptRead();
       w.began();
       w.lost();
-      assertEquals(told(w), Optional.of(WEAVERS));
+      assertEquals(sentWorkspace(w), Optional.of(WEAVERS));
     }
   }
 
-  /** Keys that are taken away. */
+  /** Keys that were removed from the configuration. */
   public static class Removed {
     private static void remove(RelayWorld w) {
       w.configure(3, RelayWorld.rules(), weavers(TokenLimit.NONE));
     }
 
     @Test
-    public void letNoCallInAnyMore() {
+    public void admitNoCalls() {
       RelayWorld w = world(TokenLimit.NONE);
       remove(w);
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
@@ -163,27 +165,27 @@
     }
 
     @Test
-    public void letNoPromptBeRunThatWasRead() {
+    public void allowNoRunOfPrefilledPrompts() {
       RelayWorld w = world(TokenLimit.NONE);
       w.arriveWithKey("/stream/a", STREAM, KEY);
       remove(w);
       w.promptRead();
       assertEquals(w.refusal(), ErrorKind.UNAUTHENTICATED);
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void letNoCallBeRepeated() {
+    public void allowNoRetries() {
       RelayWorld w = world(TokenLimit.NONE);
       w.arriveWithKey("/safe/a", CallSize.NONE, KEY);
       remove(w);
       w.lost();
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
       assertEquals(w.refusal(), ErrorKind.UPSTREAM_FAILED, "it may have run");
     }
 
     @Test
-    public void letNoCallGoThatWaitedForRoom() {
+    public void allowNoCallsThatWaitedForReservations() {
       RelayWorld w = world(TokenLimit.NONE);
       CallSize half = new CallSize((int) RelayWorld.MEMORY * 2 / 3, 100, 50);
       w.arriveWithKey("/stream/a", half, KEY);
@@ -191,15 +193,15 @@
       w.arriveWithKey("/stream/b", half, KEY);
       w.promptRead();
       w.arriveWithKey("/stream/c", half, KEY);
-      int before = w.sends();
+      int before = w.sendCount();
       remove(w);
       w.answered(AnswerGrade.GOOD);
-      assertEquals(w.sends(), before);
+      assertEquals(w.sendCount(), before);
       assertEquals(w.refusal(), ErrorKind.UNAUTHENTICATED);
     }
 
     @Test
-    public void letStreamsGoOnThatHaveBegun() {
+    public void allowStartedStreamsToContinue() {
       RelayWorld w = world(TokenLimit.NONE);
       w.arriveWithKey("/stream/a", STREAM, KEY);
       w.promptRead();
@@ -210,7 +212,7 @@
     }
 
     @Test
-    public void areNotBroughtBackByAnOlderRevision() {
+    public void areNotRestoredByAnOlderRevision() {
       RelayWorld w = world(TokenLimit.NONE);
       remove(w);
       w.configure(2, RelayWorld.rules(), weavers(TokenLimit.NONE, KEY));
@@ -223,49 +225,49 @@
   public static class Quota {
     private static final HostName NODE = new HostName("node-1");
 
-    /** The ask that is due, answered by a coordinator to which some time was lent. */
-    private static void grant(RelayWorld w, QuotaPool pool) {
-      QuotaAsk ask = w.router.quotaAsk(w.now(), false).orElseThrow();
-      QuotaGrant grant = pool.ask(w.now(), NODE, ask, 1, name -> Optional.of(LIMIT));
+    /** Answers the quota request that is due, as a coordinator. */
+    private static void grant(RelayWorld w, QuotaPool coordinator) {
+      QuotaAsk request = w.router.quotaAsk(w.now(), false).orElseThrow();
+      QuotaGrant grant = coordinator.ask(w.now(), NODE, request, 1, name -> Optional.of(LIMIT));
       w.apply(new RelayEvent.QuotaGranted(w.now(), grant));
     }
 
-    /** A coordinator to which the node's earlier process has lent a second. */
+    /** Returns a coordinator to which the node's previous process has lent a second. */
     private static QuotaPool full(RelayWorld w) {
-      QuotaPool pool = new QuotaPool(QuotaTolerance.NONE);
-      pool.ask(
+      QuotaPool coordinator = new QuotaPool(QuotaTolerance.NONE);
+      coordinator.ask(
           w.now(),
           NODE,
           new QuotaAsk(1, 1, 1_000_000_000L, 1, ImmutableList.of()),
           1,
           name -> Optional.of(LIMIT));
-      return pool;
+      return coordinator;
     }
 
     @Test
-    public void isAskedForBeforeAnythingIsSent() {
+    public void isRequestedBeforeAnythingIsSent() {
       RelayWorld w = world(LIMIT);
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
-      assertEquals(w.sends(), 0);
+      assertEquals(w.sendCount(), 0);
       grant(w, full(w));
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
     }
 
     @Test
-    public void refusesAtOnceWithTheTimeOfRefill() {
+    public void refusesImmediatelyWithTheTimeOfRefill() {
       RelayWorld w = world(LIMIT);
-      QuotaPool pool = full(w);
+      QuotaPool coordinator = full(w);
       w.arriveWithKey("/stream/a", new CallSize(1_700, 100, 50), KEY);
-      grant(w, pool);
+      grant(w, coordinator);
       w.arriveWithKey("/stream/b", STREAM, KEY);
-      grant(w, pool);
+      grant(w, coordinator);
       assertEquals(w.refusal(), ErrorKind.WORKSPACE_LIMIT);
       long after = w.refused().retryAfterMillis();
       assertTrue(after >= 400 && after <= 510, "800 of 1000 tokens are missing: " + after);
     }
 
     @Test
-    public void tellsOfCallsLargerThanItsBurst() {
+    public void refusesCallsLargerThanItsBurst() {
       RelayWorld w = world(LIMIT);
       w.arriveWithKey("/stream/a", new CallSize(2_000, 1, 0), KEY);
       assertEquals(w.refusal(), ErrorKind.WORKSPACE_LIMIT);
@@ -274,21 +276,21 @@
     }
 
     @Test
-    public void getsBackWhatNoUpstreamHasRun() {
+    public void isRefundedForCallsThatNoUpstreamRan() {
       RelayWorld w = world(LIMIT);
-      QuotaPool pool = full(w);
+      QuotaPool coordinator = full(w);
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
-      grant(w, pool);
+      grant(w, coordinator);
       w.declined();
       w.declined();
       assertEquals(w.refusal(), ErrorKind.NO_UPSTREAM);
       w.pass(100);
-      QuotaAsk ask = w.router.quotaAsk(w.now(), false).orElseThrow();
-      assertEquals(ask.wants().getFirst().returned(), 200);
+      QuotaAsk request = w.router.quotaAsk(w.now(), false).orElseThrow();
+      assertEquals(request.wants().getFirst().returned(), 200);
     }
 
     @Test
-    public void doesNotGetBackWhatMayHaveRun() {
+    public void isNotRefundedForCallsThatMayHaveRun() {
       RelayWorld w = world(LIMIT);
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
       grant(w, full(w));
@@ -297,18 +299,18 @@
     }
 
     @Test
-    public void decidesAloneIfNobodyAnswers() {
+    public void decidesAloneWithoutAnswer() {
       RelayWorld w = world(LIMIT);
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
       w.pass(260);
-      assertEquals(w.refusal(), ErrorKind.WORKSPACE_LIMIT, "nothing may be exceeded here");
+      assertEquals(w.refusal(), ErrorKind.WORKSPACE_LIMIT, "there is no tolerance");
     }
 
     @Test
-    public void isNotAskedForWithoutLimits() {
+    public void isNotRequestedWithoutLimits() {
       RelayWorld w = world(TokenLimit.NONE);
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
-      assertEquals(w.sends(), 1);
+      assertEquals(w.sendCount(), 1);
       assertEquals(w.router.quotaAsk(w.now(), true), Optional.empty());
     }
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/AnswerGrade.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/AnswerGrade.java
@@ -7,17 +7,17 @@
 package org.larkkeel.relay;
 
 /**
- * What a whole answer of an upstream says.
+ * The result that a complete answer of an upstream reports.
  *
  * @since 0.1
  */
 public enum AnswerGrade {
-  /** The call ran with success. */
+  /** The upstream ran the call successfully. */
   GOOD,
 
-  /** The call ran and failed, or may have. */
+  /** The upstream ran the call, or may have run it, and it failed. */
   FAILED,
 
-  /** The upstream can not accept such a call; none other would. */
+  /** The upstream can not accept this call, and no other upstream would accept it either. */
   REJECTED
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/AttemptProgress.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/AttemptProgress.java
@@ -7,19 +7,20 @@
 package org.larkkeel.relay;
 
 /**
- * How far an attempt had come when it was given up.
+ * The progress of an attempt at the time it was cancelled.
  *
  * @since 0.1
  */
 public enum AttemptProgress {
-  /** No byte was written: the upstream knows nothing of it. */
+  /** No byte was written, so the upstream knows nothing of the attempt. */
   NOT_SENT,
 
   /**
-   * It was written and nothing came back: it waits at the upstream, or the upstream works on it.
+   * The request was written and no answer was received: it is queued or being processed at the
+   * upstream.
    */
   SENT,
 
-  /** The upstream has begun to answer. */
+  /** The upstream has started to answer. */
   ANSWERING
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/CallKind.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/CallKind.java
@@ -7,7 +7,7 @@
 package org.larkkeel.relay;
 
 /**
- * What may be repeated of a call.
+ * Whether and how a call may be run again, and the form of its answer.
  *
  * @since 0.1
  */
@@ -21,15 +21,15 @@
   /** An event stream that may run at most once. */
   STREAM,
 
-  /** An event stream that another upstream may continue after its last whole event. */
+  /** An event stream that another upstream may continue after its last complete event. */
   RESUMABLE_STREAM;
 
-  /** Whether a second run is allowed after one that may have happened. */
+  /** Returns whether the call may run again after a run that may have happened. */
   public boolean isRepeatable() {
     return this == IDEMPOTENT || this == RESUMABLE_STREAM;
   }
 
-  /** Whether a good answer is an event stream. */
+  /** Returns whether a successful answer is an event stream. */
   public boolean isStream() {
     return this == STREAM || this == RESUMABLE_STREAM;
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/CallSize.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/CallSize.java
@@ -7,13 +7,13 @@
 package org.larkkeel.relay;
 
 /**
- * The size of a generation, as its caller declares it; all 0 for other calls.
+ * The size of a generation in tokens, as declared by the caller; all 0 for other calls.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param prompt tokens of the prompt
- * @param mostOutput the most tokens that may be generated
- * @param likelyOutput the caller's estimate of what will be generated; 0 if it gives none
+ * @param prompt the number of tokens of the prompt
+ * @param mostOutput the maximum number of tokens to generate
+ * @param likelyOutput the caller's estimate of the number of generated tokens; 0 if it gives none
  * @since 0.1
  */
 public record CallSize(int prompt, int mostOutput, int likelyOutput) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/CallerKey.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/CallerKey.java
@@ -9,23 +9,23 @@
 import org.larkkeel.lib.Fingerprint;
 
 /**
- * The key by which a caller shows for which workspace it calls, as a digest.
+ * The digest of the key with which a caller identifies its workspace.
  *
- * <p>The key itself is not kept, and can not be told from the digest by trying its beginnings.
- * Immutable and safe for use by several threads.
+ * <p>The key itself is not stored, and it can not be recovered from the digest by guessing one part
+ * of it after another. Immutable and safe for use by several threads.
  *
- * @param digest of the key
+ * @param digest the digest of the key, never null
  * @since 0.1
  */
 public record CallerKey(Fingerprint digest) {
-  /** The longest key, in characters. */
+  /** The maximum length of a key, in characters. */
   public static final int MAX_LENGTH = 256;
 
   /**
-   * The digest of a key.
+   * Returns the digest of a key.
    *
    * @param key visible ASCII, not empty
-   * @throws IllegalArgumentException if it is something else; the message does not name it
+   * @throws IllegalArgumentException if the key is malformed; the message does not contain the key
    */
   public static CallerKey of(String key) {
     if (key.isEmpty() || key.length() > MAX_LENGTH) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/MoveResult.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/MoveResult.java
@@ -7,17 +7,19 @@
 package org.larkkeel.relay;
 
 /**
- * What came of a step of a move.
+ * The result of one step of moving a run.
  *
  * @since 0.1
  */
 public sealed interface MoveResult {
-  /** The copy is there; a run may go on from it once. */
+  /** The copy is complete; one run can continue from it, once. */
   record Copied(String handle) implements MoveResult {}
 
-  /** The upstream has no such run: it is complete, or gone. */
+  /** The upstream does not have this run: it has completed, or the upstream no longer knows it. */
   record NoRun() implements MoveResult {}
 
-  /** There is no copy, or none is known of; the run may have been stopped if that was asked. */
+  /**
+   * No copy exists as far as this node knows; the run may have been stopped if this was requested.
+   */
   record Failed() implements MoveResult {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/MoveStep.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/MoveStep.java
@@ -7,14 +7,16 @@
 package org.larkkeel.relay;
 
 /**
- * The steps in which a run moves to another upstream.
+ * The steps of moving a run to another upstream.
  *
  * @since 0.1
  */
 public enum MoveStep {
-  /** What there is so far is copied while the run goes on. */
+  /** Copies the current memory of the run while the run continues. */
   COPY,
 
-  /** The run stops, its stream ends without its end, and the rest is copied. */
+  /**
+   * Stops the run, which ends its stream without an end marker, and copies the remaining memory.
+   */
   STOP
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/ProbeResult.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/ProbeResult.java
@@ -7,17 +7,17 @@
 package org.larkkeel.relay;
 
 /**
- * Whether something listens at an upstream's address.
+ * The result of probing whether a process listens at an upstream's address.
  *
  * @since 0.1
  */
 public enum ProbeResult {
-  /** A connection was accepted, by the life that was known or by a later one. */
+  /** A connection was accepted, by the known incarnation or by a later one. */
   LISTENS,
 
   /** The connection was refused: the process has ended. */
   REFUSES,
 
-  /** There was no answer in time. */
+  /** No answer was received before the timeout. */
   SILENT
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/PromptKey.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/PromptKey.java
@@ -12,34 +12,35 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Names the part of a prompt that belongs to one request, through all tries of its caller.
+ * Identifies the part of a prompt that belongs to one request and stays the same over all retries
+ * of its caller.
  *
- * <p>Engines keep the prompts that they have read for some time. As nodes share nothing about them,
- * the key itself ranks the upstreams (rendezvous hashing): each node, also one that has just
- * started, comes to the same order.
+ * <p>Engines keep the prompts that they have prefilled for some time. Nodes do not share which
+ * engine holds which prompt, so the key itself ranks the upstreams by rendezvous hashing: each
+ * node, also one that has just started, computes the same order.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param value as the caller's side calls it, empty if it did not say, never null
+ * @param value the caller's name for the prompt; empty if the caller sent none, never null
  * @since 0.1
  */
 public record PromptKey(String value) {
-  /** Of calls that do not name their prompt. */
+  /** The key of calls that do not name their prompt. */
   public static final PromptKey NONE = new PromptKey("");
 
   private static final HashFunction HASH = Hashing.murmur3_128();
   private static final double RANGE = 0x1p53;
 
-  /** Whether the prompt has a name. */
+  /** Returns whether the caller named the prompt. */
   public boolean isKnown() {
     return !value.isEmpty();
   }
 
   /**
-   * The rank of an upstream for this prompt, the same on all nodes.
+   * Returns the rank of an upstream for this prompt, which is the same on all nodes.
    *
    * @param upstream not null
-   * @return from 0, the first choice, to below 1, evenly spread over keys and upstreams
+   * @return from 0 (first choice) to below 1, evenly distributed over keys and upstreams
    */
   public double rank(UpstreamName upstream) {
     long hash =
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/QuotaOutcome.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/QuotaOutcome.java
@@ -7,20 +7,20 @@
 package org.larkkeel.relay;
 
 /**
- * What was decided of a call by its workspace's quota.
+ * The decision about a call by the quota of its workspace.
  *
  * @since 0.1
  */
 public enum QuotaOutcome {
-  /** It has its tokens, held here or granted by the coordinator. */
+  /** The call got its tokens from those held by this node or granted by the coordinator. */
   GRANTED,
 
-  /** It has its tokens, though the coordinator was not reached in time. */
+  /** The call got its tokens although the coordinator did not answer in time. */
   GRANTED_ALONE,
 
-  /** It is beyond the quota. */
+  /** The call exceeds the quota. */
   REFUSED,
 
-  /** It is beyond what this node may admit without the coordinator. */
+  /** The call exceeds what this node may admit without the coordinator. */
   REFUSED_ALONE
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RateChange.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RateChange.java
@@ -7,17 +7,17 @@
 package org.larkkeel.relay;
 
 /**
- * How the limit of an upstream's requests, as a node believes it, has changed.
+ * A change of the request rate limit of an upstream, as known to this node.
  *
  * @since 0.1
  */
 public enum RateChange {
-  /** There was none. */
+  /** The upstream announced a limit; none was known before. */
   NAMED,
 
-  /** It is another one. */
+  /** The limit has a new value. */
   CHANGED,
 
-  /** There is none any more. */
+  /** The limit has ended. */
   LIFTED
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RateNotice.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RateNotice.java
@@ -7,24 +7,28 @@
 package org.larkkeel.relay;
 
 /**
- * What an answer says of the rate at which its upstream takes requests of all nodes together.
+ * The information in an answer about its upstream's limit on the request rate, which applies to all
+ * nodes together.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
 public sealed interface RateNotice {
-  /** Nothing that counts: the answer may be another's, or what it says can not be read. */
+  /**
+   * No usable information: the answer may come from another upstream, or its rate fields can not be
+   * parsed.
+   */
   RateNotice UNSAID = new Unsaid();
 
-  /** Nothing that counts. */
+  /** No usable information about the limit. */
   record Unsaid() implements RateNotice {}
 
-  /** There is no limit. */
+  /** The upstream has no limit. */
   record Unlimited() implements RateNotice {}
 
   /**
-   * There is a limit for as long as answers name one.
+   * The upstream has a limit, which holds for as long as its answers announce one.
    *
    * @param rate the limit, never null
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RateWord.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RateWord.java
@@ -10,13 +10,13 @@
 import org.larkkeel.lib.UpstreamLife;
 
 /**
- * What a node tells others of the limit of an upstream's requests.
+ * A node's report to its peers about the request rate limit of an upstream.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param life of which upstream, never null
- * @param limit the limit; empty if it has ended
- * @param ageNanos how long ago it was heard, at the latest; at least 0
+ * @param life the incarnation of the upstream, never null
+ * @param limit the limit; empty if the limit has ended
+ * @param ageNanos an upper bound of the time since the limit was observed; at least 0
  * @since 0.1
  */
 public record RateWord(UpstreamLife life, Optional<RequestRate> limit, long ageNanos) {}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RefusalCause.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RefusalCause.java
@@ -7,17 +7,17 @@
 package org.larkkeel.relay;
 
 /**
- * Why an attempt did not run.
+ * The reason why an attempt did not run.
  *
  * @since 0.1
  */
 public enum RefusalCause {
-  /** No byte of it reached the upstream. */
+  /** No byte of the request reached the upstream. */
   NOT_SENT,
 
-  /** The upstream said that it did not run it. */
+  /** The upstream answered that it did not run the request. */
   DECLINED,
 
-  /** Another upstream has the address. */
+  /** The address belongs to another upstream. */
   WRONG_UPSTREAM
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayCall.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayCall.java
@@ -10,20 +10,21 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * One attempt of a caller, as the router sees it.
+ * One call of a caller, as seen by the router.
  *
- * <p>Immutable but for what its identity computes when asked. Not safe for use by several threads.
+ * <p>Immutable except for the fingerprint of its identity, which is computed on first use. Not safe
+ * for use by several threads.
  *
- * @param id unique on this node
- * @param wireId what the caller calls it
- * @param host the host that it names
+ * @param id the id, unique on this node
+ * @param wireId the caller's id of the call
+ * @param host the host that the call names
  * @param path the path without its query
- * @param deadlineMillis how long the caller waits; 0 if it did not say
- * @param size the size of its generation
- * @param prompt names its prompt
- * @param resumes whether its caller has had the beginning of its stream
- * @param identity tells whether another call is the same request
- * @param key shows for which workspace it is; empty if it has none
+ * @param deadlineMillis the time for which the caller waits; 0 if the caller sent none
+ * @param size the declared size of the generation
+ * @param prompt identifies the prompt
+ * @param resumes true if the caller already has the beginning of the stream
+ * @param identity identifies the request, which is the same in all calls that retry it
+ * @param key identifies the caller's workspace; empty if the call has no key
  * @since 0.1
  */
 public record RelayCall(
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayConfiguration.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayConfiguration.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 
 /**
- * One revision of the rules.
+ * One revision of the routing rules and their limits.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -26,11 +26,11 @@
   private final long revision;
   private final ImmutableListMultimap<String, RelayRule> byHost;
   private final ImmutableMap<ServiceName, ServiceBounds> services;
-  private final ImmutableSet<ServiceName> named;
+  private final ImmutableSet<ServiceName> configuredServices;
   private final int maxBodyBytes;
   private final Workspaces workspaces;
 
-  /** Makes a revision without workspaces. */
+  /** Creates a revision without workspaces. */
   public RelayConfiguration(
       long revision,
       ImmutableList<RelayRule> rules,
@@ -40,13 +40,13 @@
   }
 
   /**
-   * Makes a revision.
+   * Creates a revision.
    *
-   * @param revision grows with each change
-   * @param rules the rules; of one host and prefix the first counts
-   * @param services what upstreams bear
-   * @param maxBodyBytes the largest body of a request
-   * @param workspaces whose calls are taken
+   * @param revision the number of the revision, which increases with each change
+   * @param rules the rules; the first of several with the same host and prefix is used
+   * @param services the limits of each upstream, by service
+   * @param maxBodyBytes the maximum size of a request body, in bytes
+   * @param workspaces the workspaces whose calls are accepted
    */
   public RelayConfiguration(
       long revision,
@@ -63,37 +63,37 @@
         .sorted(Comparator.comparingInt((RelayRule r) -> r.prefix().length()).reversed())
         .forEach(r -> hosts.put(r.host().toLowerCase(Locale.ROOT), r));
     byHost = hosts.build();
-    named =
+    configuredServices =
         Stream.concat(
                 services.keySet().stream(),
                 rules.stream().flatMap(r -> r.split().stream()).map(RelayRule.Share::service))
             .collect(ImmutableSet.toImmutableSet());
   }
 
-  /** The number of the revision. */
+  /** Returns the number of the revision. */
   public long revision() {
     return revision;
   }
 
-  /** The largest body of a request, in bytes. */
+  /** Returns the maximum size of a request body, in bytes. */
   public int maxBodyBytes() {
     return maxBodyBytes;
   }
 
-  /** Whose calls are taken. */
+  /** Returns the workspaces whose calls are accepted. */
   public Workspaces workspaces() {
     return workspaces;
   }
 
-  /** How many rules there are. */
+  /** Returns the number of rules. */
   public int size() {
     return byHost.size();
   }
 
   /**
-   * The rule of the longest prefix that begins the path.
+   * Returns the rule with the longest prefix of the path.
    *
-   * @param host as the caller names it, with or without a port
+   * @param host the host that the caller names, with or without a port
    * @param path the path without its query
    */
   public Optional<RelayRule> match(String host, String path) {
@@ -102,14 +102,14 @@
         .findFirst();
   }
 
-  /** What each upstream of a service bears. */
+  /** Returns the limits of each upstream of a service. */
   public ServiceBounds bounds(ServiceName service) {
     return services.getOrDefault(service, ServiceBounds.NONE);
   }
 
-  /** Whether a rule leads to a service, or its bounds are told. */
+  /** Returns whether a rule routes to the service, or limits are configured for it. */
   public boolean names(ServiceName service) {
-    return named.contains(service);
+    return configuredServices.contains(service);
   }
 
   private static String withoutPort(String host) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEffect.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEffect.java
@@ -15,44 +15,44 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * What the relay's reducer wants done.
+ * An action that the relay's reducer requests.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
 public sealed interface RelayEffect {
-  /** What an attempt is for. */
+  /** The purpose of an attempt. */
   sealed interface Purpose {
-    /** Run the call; the upstream reads a prompt by itself. */
+    /** Run the call; the upstream prefills the prompt itself. */
     record Run() implements Purpose {}
 
     /**
-     * Run the call; the upstream copies what the source still keeps of the prompt and reads the
-     * rest.
+     * Run the call; the upstream copies the part of the prompt that the source still holds and
+     * prefills the remainder.
      */
     record Fetch(RelayUpstream source) implements Purpose {}
 
-    /** Read the prompt only and answer with a handle. */
+    /** Only prefill the prompt and answer with a handle. */
     record ReadPrompt() implements Purpose {}
 
-    /** Run the call from the prompt that another upstream has read. */
+    /** Run the call from the prompt that another upstream has prefilled. */
     record TakeOver(RelayUpstream source, String handle) implements Purpose {}
 
-    /** Go on with a run whose memory was copied there from the upstream that ran it before. */
+    /** Continue a run from its memory, which was copied from the upstream that ran it before. */
     record Continue(RelayUpstream source, String handle) implements Purpose {}
   }
 
   /**
    * Send the call to an upstream.
    *
-   * @param attempt new
+   * @param attempt the id of the new attempt
    * @param call the call
-   * @param upstream where to
-   * @param purpose what for
-   * @param until when the upstream may stop, in nanoseconds of the events' clock
-   * @param silenceNanos the longest pause within the answer; 0 for no bound
-   * @param workspace for whom, as the upstream is told; empty for an anonymous call
+   * @param upstream the destination
+   * @param purpose the purpose of the attempt
+   * @param until the time at which the upstream may stop, in nanoseconds of the events' clock
+   * @param silenceNanos the maximum pause within the answer; 0 for no limit
+   * @param workspace the workspace that is named to the upstream; empty for an anonymous call
    */
   record Send(
       AttemptId attempt,
@@ -64,17 +64,17 @@
       Optional<WorkspaceName> workspace)
       implements RelayEffect {}
 
-  /** Give an attempt up and close its connection; no more is heard of it. */
+  /** Cancel an attempt and close its connection; no further events of it follow. */
   record Cancel(AttemptId attempt) implements RelayEffect {}
 
   /**
-   * Copy the memory of a run to another upstream; answered by {@code RelayEvent.Moved}.
+   * Copy the memory of a run to another upstream. Answered by {@code RelayEvent.Moved}.
    *
-   * @param attempt the run
-   * @param call whose it is
-   * @param source runs it
-   * @param destination gets the copy
-   * @param step whether the run goes on meanwhile
+   * @param attempt the attempt that runs
+   * @param call the call of the attempt
+   * @param source the upstream that runs it
+   * @param destination the upstream that receives the copy
+   * @param step whether the run continues during the copy
    */
   record Move(
       AttemptId attempt,
@@ -87,43 +87,44 @@
   /** Free a prompt or a copy that will not be used. */
   record Free(RelayUpstream source, String handle) implements RelayEffect {}
 
-  /** Pass on the stream of the attempt, from what is there on. */
+  /** Forward the stream of the attempt, from the events already received on. */
   record Follow(RequestId call, AttemptId attempt) implements RelayEffect {}
 
-  /** Give the caller the whole answer of the attempt, or the end of its stream. */
+  /** Deliver the complete answer of the attempt, or the end of its stream, to the caller. */
   record Deliver(RequestId call, AttemptId attempt) implements RelayEffect {}
 
   /**
    * Answer in place of an upstream.
    *
    * @param call the call
-   * @param kind what is wrong
-   * @param retryAfterMillis when to come back; 0 if that makes no sense
-   * @param detail for people
+   * @param kind the kind of the error
+   * @param retryAfterMillis the delay after which the caller should retry; 0 if a retry makes no
+   *     sense
+   * @param detail a description for people
    */
   record Refuse(RequestId call, ErrorKind kind, long retryAfterMillis, String detail)
       implements RelayEffect {}
 
-  /** Break the caller's stream off, so that it can not look complete. */
+  /** Abort the caller's stream in such a way that it can not be taken for complete. */
   record Cut(RequestId call, ErrorKind kind) implements RelayEffect {}
 
   /**
-   * Tell another node that a call of its has room.
+   * Notify another node that memory is reserved for one of its calls.
    *
-   * @param node who asked
-   * @param call its call
-   * @param home runs it
-   * @param reader reads its prompt; empty if the home does
+   * @param node the node that requested the reservation
+   * @param call the call of that node
+   * @param home the upstream where the memory is reserved and which will run the call
+   * @param reader the prefill upstream; empty if the reserved upstream prefills the prompt itself
    */
   record GrantRoom(HostName node, RequestId call, UpstreamLife home, Optional<UpstreamLife> reader)
       implements RelayEffect {}
 
-  /** Find out whether an upstream's process listens; answered by {@code RelayEvent.Probed}. */
+  /** Probe whether the upstream's process listens. Answered by {@code RelayEvent.Probed}. */
   record Probe(RelayUpstream upstream) implements RelayEffect {}
 
-  /** Tell all other nodes what has just become known of a request. */
+  /** Report new information about a suspect request to all other nodes. */
   record TellSuspect(Suspect suspect) implements RelayEffect {}
 
-  /** Something to log and to count. */
+  /** Log and count a fact. */
   record Report(RelayFact fact) implements RelayEffect {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEvent.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEvent.java
@@ -21,61 +21,66 @@
 import org.larkkeel.quota.QuotaGrant;
 
 /**
- * What the relay's reducer is told. Each carries the time at which it happened, in nanoseconds of a
- * steady clock.
+ * An input of the relay's reducer, with the time at which it happened in nanoseconds of a steady
+ * clock.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
 public sealed interface RelayEvent {
-  /** When it happened. */
+  /** Returns the time of the event. */
   long at();
 
-  /** What concerns one attempt. Those of attempts that are over are ignored. */
+  /** An event of one attempt; it is ignored if the attempt has ended. */
   sealed interface OfAttempt extends RelayEvent {
-    /** The attempt. */
+    /** Returns the attempt. */
     AttemptId attempt();
   }
 
-  /** A caller's request is read whole. */
+  /** The request of a caller was read completely. */
   record Arrived(long at, RelayCall call) implements RelayEvent {}
 
   /** The caller has closed its connection. */
   record CallerLeft(long at, RequestId call) implements RelayEvent {}
 
-  /** A prefill upstream has read the prompt; others fetch the result by the handle. */
+  /**
+   * A prefill upstream has prefilled the prompt; other upstreams fetch the result by the handle.
+   */
   record PromptRead(long at, AttemptId attempt, String handle) implements OfAttempt {}
 
-  /** The first event of a good stream is there. */
+  /** The first event of a successful stream was received. */
   record Began(long at, AttemptId attempt) implements OfAttempt {}
 
-  /** The caller was passed so many whole events of the attempt since it was told last. */
+  /**
+   * The given number of complete events of the attempt was forwarded to the caller since the
+   * previous such event.
+   */
   record Progressed(long at, AttemptId attempt, int events) implements OfAttempt {}
 
-  /** The answer is there, whole. */
+  /** The complete answer was received. */
   record Answered(long at, AttemptId attempt, AnswerGrade grade) implements OfAttempt {}
 
   /** The attempt has not run and never will. */
   record Refused(long at, AttemptId attempt, RefusalCause cause) implements OfAttempt {}
 
-  /** The attempt may have run, and its answer can not be had whole. */
+  /** The attempt may have run, and its complete answer can not be obtained. */
   record Lost(long at, AttemptId attempt, FailureCause cause) implements OfAttempt {}
 
   /**
    * The answer to {@code RelayEffect.Move}.
    *
-   * @param at when it came
-   * @param attempt the run that moves
-   * @param result what came of it
+   * @param at the time at which the answer was received
+   * @param attempt the attempt that is being moved
+   * @param result the result of the step
    */
   record Moved(long at, AttemptId attempt, MoveResult result) implements OfAttempt {}
 
   /**
-   * By what the list of upstreams differs from what was told before.
+   * The differences of the discovery list from its previous state.
    *
-   * @param at when it was read
-   * @param changed upstreams that are new or differ, by name
+   * @param at the time at which the list was read
+   * @param changed upstreams that are new or have changed, by name
    * @param removed names that are no longer on the list
    */
   record UpstreamsChanged(
@@ -85,97 +90,103 @@
       implements RelayEvent {}
 
   /**
-   * This node orders an upstream to take another part of the work; it takes none until its stage
-   * has changed.
+   * This node has ordered an upstream to take another stage; the upstream gets no work until its
+   * stage has changed.
    *
-   * @param at now
-   * @param upstream is ordered
-   * @param longestNanos for how long at most
+   * @param at the current time
+   * @param upstream the upstream that is ordered
+   * @param maxNanos the maximum time for which the upstream gets no work
    */
-  record Ordered(long at, UpstreamLife upstream, long longestNanos) implements RelayEvent {}
+  record Ordered(long at, UpstreamLife upstream, long maxNanos) implements RelayEvent {}
 
-  /** An order was turned down, so that the upstream goes on as before. */
+  /** An order was refused, so the upstream continues in its previous stage. */
   record OrderRefused(long at, UpstreamLife upstream) implements RelayEvent {}
 
-  /** A configuration was read; older ones than that in force are ignored. */
+  /** A configuration was read; it is ignored if it is older than the one in force. */
   record ConfigurationRead(long at, RelayConfiguration configuration) implements RelayEvent {}
 
   /**
-   * What another node tells.
+   * The load report of another node was received.
    *
-   * @param at when it was heard
-   * @param node who tells
-   * @param loads what it has in flight at upstreams, in the units of {@code RelayRouter.loads}
-   * @param lapsing the upstreams whose prompts it found to be lost at once
+   * @param at the time at which it was received
+   * @param node the reporting node
+   * @param loads its load in flight at each upstream, in the units of {@code RelayRouter.loads}
+   * @param losingPrompts the upstreams whose prompts the node found to be lost immediately
    */
   record LoadHeard(
       long at,
       HostName node,
       ImmutableMap<UpstreamLife, Long> loads,
-      ImmutableSet<UpstreamLife> lapsing)
+      ImmutableSet<UpstreamLife> losingPrompts)
       implements RelayEvent {}
 
   /**
-   * All calls for which another node asks this one for room.
+   * All calls for which another node currently requests reservations from this one.
    *
-   * @param at when it was heard
-   * @param node who asks
-   * @param place its data centre
-   * @param asks the calls
+   * @param at the time at which the message was received
+   * @param node the requesting node
+   * @param dataCentre the data centre of that node
+   * @param requests the requests, one for each call
    */
-  record RoomAsked(long at, HostName node, DataCentreName place, ImmutableList<RoomAsk> asks)
+  record RoomAsked(
+      long at, HostName node, DataCentreName dataCentre, ImmutableList<RoomAsk> requests)
       implements RelayEvent {}
 
   /**
-   * The node that gives room has given it to a call of this one.
+   * The reservation coordinator has reserved memory for a call of this node.
    *
-   * @param at when it was heard
+   * @param at the time at which the grant was received
    * @param call the call
-   * @param home runs it
-   * @param reader reads its prompt; empty if the home does
+   * @param reservedUpstream the upstream where the memory is reserved and which will run the call
+   * @param prefillUpstream the prefill upstream; empty if the reserved upstream prefills the prompt
+   *     itself
    */
-  record RoomGranted(long at, RequestId call, UpstreamLife home, Optional<UpstreamLife> reader)
+  record RoomGranted(
+      long at,
+      RequestId call,
+      UpstreamLife reservedUpstream,
+      Optional<UpstreamLife> prefillUpstream)
       implements RelayEvent {}
 
   /**
-   * An answer of an upstream says something of the upstream itself.
+   * An answer of an upstream contains a notice about the upstream itself.
    *
-   * @param at when it was received
-   * @param upstream the life that was asked
-   * @param sentAt when its request was sent: what it says is not older
-   * @param notice what it says
+   * @param at the time at which the answer was received
+   * @param upstream the incarnation to which the request was sent
+   * @param sentAt the time at which the request was sent; the notice is not older than this
+   * @param notice the notice
    */
   record Noticed(long at, UpstreamLife upstream, long sentAt, UpstreamNotice notice)
       implements RelayEvent {}
 
-  /** What another node tells of the limits of upstreams. */
-  record RatesHeard(long at, ImmutableList<RateWord> words) implements RelayEvent {}
+  /** Another node's report about the rate limits of upstreams was received. */
+  record RatesHeard(long at, ImmutableList<RateWord> reports) implements RelayEvent {}
 
   /** The answer to {@code RelayEffect.Probe}. */
   record Probed(long at, UpstreamLife upstream, ProbeResult result) implements RelayEvent {}
 
-  /** What another node knows of requests under which upstreams ended. */
+  /** Another node's report about suspect requests was received. */
   record SuspectsHeard(long at, ImmutableList<Suspect> suspects) implements RelayEvent {}
 
-  /** An operator lets a request be sent again. */
+  /** An operator has released a request from quarantine. */
   record Released(long at, Fingerprint request) implements RelayEvent {}
 
-  /** Who gives room from now on. */
-  record KeepingChanged(long at, RoomKeeping keeping) implements RelayEvent {}
+  /** The reservation mode of this node has changed. */
+  record KeepingChanged(long at, RoomKeeping mode) implements RelayEvent {}
 
-  /** The coordinator of quotas has answered. */
+  /** The quota coordinator has answered. */
   record QuotaGranted(long at, QuotaGrant grant) implements RelayEvent {}
 
-  /** Another node, or none, is the coordinator of quotas from now on. */
+  /** The quota coordinator has changed; there may be none. */
   record QuotaCoordinatorChanged(long at) implements RelayEvent {}
 
-  /** How many nodes share the budget of repeats. */
+  /** The number of nodes that share the retry budget. */
   record NodesCounted(long at, int nodes) implements RelayEvent {}
 
-  /** The node is to stop: what waits for room goes elsewhere. */
+  /** The node drains: pending reservations are refused, so that their callers use another node. */
   record Draining(long at) implements RelayEvent {}
 
-  /** The machine was suspended for some time, which the events' clock counts. */
+  /** The machine was suspended for some time, which the events' clock includes. */
   record Resumed(long at, long suspendedNanos) implements RelayEvent {}
 
   /** Time has passed. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayFact.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayFact.java
@@ -16,7 +16,7 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * A decision or a change of belief, with the inputs that decided it.
+ * A decision or a change of the known state, with the inputs that led to it.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -36,15 +36,15 @@
       implements RelayFact {}
 
   /**
-   * Memory was set aside for a call.
+   * Memory was reserved for a call.
    *
-   * @param call what the caller calls it
-   * @param upstream where
-   * @param units for the call
-   * @param load what all nodes have there now, with the call
-   * @param memory what the upstream holds
-   * @param nodes how many other nodes' loads are known
-   * @param waitedNanos how long the call waited for it
+   * @param call the caller's id of the call
+   * @param upstream the upstream where the memory is reserved
+   * @param units the reserved tokens
+   * @param load the total load of the upstream over all nodes, including the call
+   * @param memory the memory capacity of the upstream
+   * @param nodes the number of other nodes whose loads are known
+   * @param waitedNanos the time for which the reservation was pending
    */
   record RoomTaken(
       String call,
@@ -57,16 +57,16 @@
       implements RelayFact {}
 
   /**
-   * Room was given to a call of another node.
+   * Memory was reserved for a call of another node.
    *
-   * @param call what the caller calls it
-   * @param node takes the room
-   * @param upstream where
-   * @param reader reads its prompt; empty if the upstream does
-   * @param units for the call
-   * @param load what all nodes have there now, with the call
-   * @param memory what the upstream holds
-   * @param waitedNanos how long the call waited for it
+   * @param call the caller's id of the call
+   * @param node the node of the call
+   * @param upstream the upstream where the memory is reserved
+   * @param reader the prefill upstream; empty if the reserved upstream prefills the prompt itself
+   * @param units the reserved tokens
+   * @param load the total load of the upstream over all nodes, including the call
+   * @param memory the memory capacity of the upstream
+   * @param waitedNanos the time for which the reservation was pending
    */
   record RoomGiven(
       String call,
@@ -79,25 +79,25 @@
       long waitedNanos)
       implements RelayFact {}
 
-  /** The first event of a stream is on its way to the caller. */
+  /** The first event of a stream is being forwarded to the caller. */
   record Began(String call, AttemptId attempt, UpstreamName upstream, long nanos)
       implements RelayFact {}
 
-  /** A call waits for room. */
+  /** A call waits for a memory reservation. */
   record Waiting(String call, String service, long need, int waiting) implements RelayFact {}
 
   /**
    * An attempt was placed.
    *
-   * @param call what the caller calls it
+   * @param call the caller's id of the call
    * @param attempt the attempt
-   * @param purpose what for
-   * @param upstream where to
-   * @param cost the estimate that decided
-   * @param runnerUp the next best; empty if there was none
-   * @param runnerUpCost its estimate
-   * @param sends which send of the call this is, from 1
-   * @param candidates how many could have been chosen
+   * @param purpose the purpose of the attempt
+   * @param upstream the chosen upstream
+   * @param cost the estimated cost of the chosen upstream
+   * @param runnerUp the second-best upstream; empty if there was none
+   * @param runnerUpCost the estimated cost of the second-best upstream
+   * @param sends the number of the attempt within its call, from 1
+   * @param candidates the number of upstreams that could have been chosen
    */
   record Placed(
       String call,
@@ -117,15 +117,15 @@
       implements RelayFact {}
 
   /**
-   * The connection of an attempt broke while its upstream had it.
+   * The connection of an attempt broke while the upstream was processing the attempt.
    *
-   * @param call what the caller calls it
+   * @param call the caller's id of the call
    * @param attempt the attempt
-   * @param upstream where it was
-   * @param request the same for all calls that are the same request
-   * @param sentNanos how long ago it was sent
-   * @param begunNanos how long ago its first event came; negative if none had
-   * @param others attempts that this node still has there
+   * @param upstream the incarnation that had the attempt
+   * @param request the fingerprint, equal for all calls of the same request
+   * @param sentNanos the time since the attempt was sent
+   * @param begunNanos the time since its first event was received; negative if none was received
+   * @param others the number of other attempts that this node has in progress at the upstream
    */
   record AttemptBroken(
       String call,
@@ -138,52 +138,52 @@
       implements RelayFact {}
 
   /**
-   * An upstream is proven to have ended while it had requests of this node.
+   * An upstream is proven to have crashed while it had requests of this node.
    *
-   * @param upstream which life
-   * @param proof what shows it
-   * @param requests how many requests may have been the cause
+   * @param upstream the incarnation that ended
+   * @param proof the evidence of the crash
+   * @param requests the number of requests that may have caused it
    */
   record UpstreamEnded(UpstreamLife upstream, String proof, int requests) implements RelayFact {}
 
   /**
-   * A request is suspected to end upstreams.
+   * A request is suspected of crashing upstreams.
    *
-   * @param request which
-   * @param ends how many have ended under it
-   * @param remainingNanos for how long it is quarantined; 0 if it is not
-   * @param source who has found out: this node or another
+   * @param request the fingerprint of the request
+   * @param ends the number of upstreams that have crashed while they had the request
+   * @param remainingNanos the remaining time of the quarantine; 0 if the request is not quarantined
+   * @param source the node that detected it: this node or another
    */
   record Suspected(Fingerprint request, int ends, long remainingNanos, String source)
       implements RelayFact {}
 
   /**
-   * A call was not sent, as its request is quarantined.
+   * A call was not sent because its request is quarantined.
    *
-   * @param call what the caller calls it
-   * @param request which request it is
-   * @param ends how many upstreams have ended under it
-   * @param remainingNanos for how long it is quarantined still
+   * @param call the caller's id of the call
+   * @param request the fingerprint of the request
+   * @param ends the number of upstreams that have crashed while they had the request
+   * @param remainingNanos the remaining time of the quarantine
    */
   record Quarantined(String call, Fingerprint request, int ends, long remainingNanos)
       implements RelayFact {}
 
-  /** A request counts as harmless: it was answered, or an operator has released it. */
+  /** A request was proven harmless by a complete answer, or an operator released it. */
   record Cleared(Fingerprint request, String cause) implements RelayFact {}
 
-  /** A prompt was read. */
+  /** A prompt was prefilled. */
   record PromptRead(String call, AttemptId attempt, UpstreamName upstream, long nanos)
       implements RelayFact {}
 
   /**
-   * A step of a run's move to another upstream is done, or was not.
+   * A step of moving a run succeeded or failed.
    *
-   * @param call what the caller calls it
-   * @param attempt the run
-   * @param from where it ran
-   * @param to where its memory is copied
+   * @param call the caller's id of the call
+   * @param attempt the attempt that is being moved
+   * @param from the upstream that runs it
+   * @param to the upstream that receives the copy
    * @param step the step
-   * @param result what came of it
+   * @param result the result of the step
    */
   record RunMoved(
       String call,
@@ -194,10 +194,10 @@
       MoveResult result)
       implements RelayFact {}
 
-  /** A prompt was read in vain. */
+  /** A prefilled prompt was not used. */
   record PromptWasted(String call, UpstreamName upstream, int tokens) implements RelayFact {}
 
-  /** The caller got an upstream's answer. */
+  /** The caller received the answer of an upstream. */
   record Answered(
       String call,
       AttemptId attempt,
@@ -209,7 +209,7 @@
       boolean onTarget)
       implements RelayFact {}
 
-  /** The caller was refused or cut off. */
+  /** The call was refused, or the caller's stream was aborted. */
   record Refused(
       String call,
       String rule,
@@ -222,16 +222,17 @@
       implements RelayFact {}
 
   /**
-   * It was decided whether a call is within its workspace's quota.
+   * The quota of the workspace was applied to a call.
    *
-   * @param call what the caller calls it
-   * @param workspace whose quota
-   * @param revision of the configuration that has the quota
-   * @param tokens that the call takes
-   * @param outcome what was decided
-   * @param left the tokens that this node holds then; less than 0 for a debt
-   * @param ageNanos how old the coordinator's last word is
-   * @param waitNanos when a refused call may come back; 0 if never
+   * @param call the caller's id of the call
+   * @param workspace the workspace of the quota
+   * @param revision the configuration revision that defines the quota
+   * @param tokens the tokens that the call takes
+   * @param outcome the decision
+   * @param left the tokens that this node holds afterwards; negative for a debt
+   * @param ageNanos the time since the coordinator's last answer
+   * @param waitNanos the delay after which a refused call may be retried; 0 if a retry can never
+   *     succeed
    */
   record QuotaDecided(
       String call,
@@ -244,53 +245,54 @@
       long waitNanos)
       implements RelayFact {}
 
-  /** The caller left. */
+  /** The caller closed its connection. */
   record CallerLeft(String call, String rule, long nanos) implements RelayFact {}
 
   /**
-   * An attempt was given up by this node, whose upstream may be at work on it.
+   * This node cancelled an attempt, which the upstream may be processing.
    *
-   * @param progress how far it had come, which tells what the upstream can have begun
-   * @param nanos since it was placed
+   * @param progress the progress of the attempt, which shows what the upstream can have started
+   * @param nanos the time since the attempt was placed
    */
   record Cancelled(String call, AttemptId attempt, AttemptProgress progress, long nanos)
       implements RelayFact {}
 
-  /** A repeat was not made because the budget is used up. */
+  /** A retry was not made because the retry budget is used up. */
   record BudgetSpent(String call, String service, int used, double allowed) implements RelayFact {}
 
   /**
-   * An upstream appeared, changed, started again or went.
+   * An upstream was added, changed, restarted or removed.
    *
-   * @param life of which life of it this is true; the later one if it started again
-   * @param service its service
-   * @param address its address
-   * @param change what happened to it
+   * @param life the incarnation of the upstream; after a restart the new one
+   * @param service the service of the upstream
+   * @param address the address of the upstream
+   * @param change the kind of the change
    */
   record UpstreamChanged(UpstreamLife life, String service, String address, String change)
       implements RelayFact {}
 
-  /** An upstream wants no requests of this node for a while. */
+  /** An upstream asked this node to send no requests for a time. */
   record Rests(UpstreamName upstream, long forNanos) implements RelayFact {}
 
   /**
-   * A call waits, as the limits of all its upstreams are used up.
+   * A call waits because the rate limits of all its upstreams are used up.
    *
-   * @param call what the caller calls it
-   * @param service whose upstreams
-   * @param longestNanos for how long at the most
+   * @param call the caller's id of the call
+   * @param service the service of the upstreams
+   * @param longestNanos the maximum time for which the call waits
    */
   record PermitAwaited(String call, String service, long longestNanos) implements RelayFact {}
 
   /**
-   * The limit of the requests that an upstream takes has changed, as far as is known here.
+   * The known limit on the request rate of an upstream has changed.
    *
-   * @param upstream whose
-   * @param change how
-   * @param before the limit of before; empty for none
-   * @param now the limit; empty for none
-   * @param source what has shown it: an answer, or another node
-   * @param ageNanos how long ago the request was sent whose answer has shown it, at the most
+   * @param upstream the incarnation of the upstream
+   * @param change the kind of the change
+   * @param before the previous limit; empty for none
+   * @param now the new limit; empty for none
+   * @param source the origin of the information: an answer, or another node
+   * @param ageNanos an upper bound of the time since the request was sent whose answer announced
+   *     the limit
    */
   record RateLimit(
       UpstreamLife upstream,
@@ -301,18 +303,18 @@
       long ageNanos)
       implements RelayFact {}
 
-  /** An upstream is avoided for a while. */
+  /** An upstream was ejected for a time. */
   record Ejected(UpstreamName upstream, String cause, long forNanos) implements RelayFact {}
 
-  /** An upstream that was avoided answered well. */
+  /** An ejected upstream was restored because it answered successfully. */
   record Restored(UpstreamName upstream) implements RelayFact {}
 
-  /** The machine was suspended; what was due meanwhile is over. */
+  /** The machine was suspended; timers that expired during the suspension have fired. */
   record Resumed(long suspendedNanos) implements RelayFact {}
 
-  /** A configuration is in force. */
+  /** A configuration came into force. */
   record InForce(long revision, long before, int rules) implements RelayFact {}
 
-  /** A configuration that is older than that in force was not taken. */
+  /** A configuration was ignored because it is older than the one in force. */
   record Stale(long revision, long inForce) implements RelayFact {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
@@ -20,10 +20,10 @@
 import org.larkkeel.relay.internal.Flow;
 
 /**
- * The reducer of the relay: takes events in their order and says what to do.
+ * The reducer of the relay: applies events in order and emits the resulting effects.
  *
- * <p>It has no clock, thread, socket or source of chance but its seed, so the same events give the
- * same effects. Not safe for use by several threads.
+ * <p>It reads no clock, uses no thread or socket, and draws random numbers only from its seed, so
+ * the same events produce the same effects. Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -31,7 +31,7 @@
   private final Flow flow;
   private final QuotaTolerance tolerance;
 
-  /** Begins without a configuration and without upstreams. */
+  /** Creates a router without a configuration and without upstreams. */
   public RelayRouter(RelaySettings settings) {
     this.flow = new Flow(settings);
     this.tolerance = settings.tolerance();
@@ -40,8 +40,8 @@
   /**
    * Applies an event.
    *
-   * @param event the event; its time is not before that of the last
-   * @param effects gets what to do, in order
+   * @param event the event; its time is not before that of the previous event
+   * @param effects receives the resulting effects, in order
    */
   public void apply(RelayEvent event, Consumer<RelayEffect> effects) {
     flow.effects(effects);
@@ -57,18 +57,19 @@
       case RelayEvent.Lost e -> flow.outcomes().lost(at, e.attempt(), e.cause());
       case RelayEvent.Moved e -> flow.moved(at, e.attempt(), e.result());
       case RelayEvent.UpstreamsChanged e -> flow.upstreams(at, e.changed(), e.removed());
-      case RelayEvent.Ordered e -> flow.ordered(at, e.upstream(), e.longestNanos());
+      case RelayEvent.Ordered e -> flow.ordered(at, e.upstream(), e.maxNanos());
       case RelayEvent.OrderRefused e -> flow.orderOver(at, e.upstream());
       case RelayEvent.ConfigurationRead e -> flow.read(e.configuration());
-      case RelayEvent.LoadHeard e -> flow.heard(at, e.node(), e.loads(), e.lapsing());
-      case RelayEvent.RoomAsked e -> flow.roomAsked(at, e.node(), e.place(), e.asks());
-      case RelayEvent.RoomGranted e -> flow.roomGranted(at, e.call(), e.home(), e.reader());
+      case RelayEvent.LoadHeard e -> flow.heard(at, e.node(), e.loads(), e.losingPrompts());
+      case RelayEvent.RoomAsked e -> flow.roomAsked(at, e.node(), e.dataCentre(), e.requests());
+      case RelayEvent.RoomGranted e ->
+          flow.roomGranted(at, e.call(), e.reservedUpstream(), e.prefillUpstream());
       case RelayEvent.Noticed e -> flow.noticed(at, e.upstream(), e.sentAt(), e.notice());
-      case RelayEvent.RatesHeard e -> flow.ratesHeard(at, e.words());
+      case RelayEvent.RatesHeard e -> flow.ratesHeard(at, e.reports());
       case RelayEvent.Probed e -> flow.probed(at, e.upstream(), e.result());
       case RelayEvent.SuspectsHeard e -> flow.suspectsHeard(at, e.suspects());
       case RelayEvent.Released e -> flow.released(at, e.request());
-      case RelayEvent.KeepingChanged e -> flow.keeping(at, e.keeping());
+      case RelayEvent.KeepingChanged e -> flow.keeping(at, e.mode());
       case RelayEvent.NodesCounted e -> flow.nodes(at, e.nodes());
       case RelayEvent.QuotaGranted e -> flow.quotaGranted(at, e.grant());
       case RelayEvent.QuotaCoordinatorChanged e -> flow.quotaCoordinatorChanged(at);
@@ -78,100 +79,110 @@
     }
   }
 
-  /** Whether it has a configuration and a list of upstreams, so that it can place calls. */
+  /**
+   * Returns whether a configuration and the discovery list were received, so that calls can be
+   * placed.
+   */
   public boolean isReady() {
     return flow.isReady();
   }
 
-  /** The configuration in force. */
+  /** Returns the configuration in force; empty if there is none. */
   public Optional<RelayConfiguration> configuration() {
     return flow.configuration();
   }
 
   /**
-   * What this node has in flight at each upstream, where it is anything: tokens at upstreams that
-   * read prompts or hold memory, requests at others.
+   * Returns this node's load in flight at each upstream where it is not 0: tokens at upstreams that
+   * prefill prompts or hold memory, requests at others.
    */
   public ImmutableMap<UpstreamLife, Long> loads() {
     return flow.loads();
   }
 
-  /** The upstreams whose prompts this node has found to be lost at once. */
+  /** Returns the upstreams whose prompts this node has found to be lost immediately. */
   public ImmutableSet<UpstreamLife> lapsing(long at) {
     return flow.lapsing(at);
   }
 
-  /** The calls for which another node is to be asked for room. */
+  /** Returns the reservation requests for the coordinator. */
   public ImmutableList<RoomAsk> asks(long at) {
     return flow.asks(at);
   }
 
-  /** Whether requests may be sent to a life of an upstream, as far as it has said itself. */
+  /**
+   * Returns whether requests may be sent to an incarnation of an upstream according to its own
+   * notices.
+   */
   public boolean mayReach(long at, UpstreamLife upstream) {
     return flow.mayReach(at, upstream);
   }
 
-  /** The limits that upstreams have, and how much this node has used of each. */
+  /** Returns the rate limits of upstreams and this node's usage of each. */
   public ImmutableList<RateUse> rateUses(long at) {
     return flow.rateUses(at);
   }
 
-  /** Whether an upstream limits its requests, so that each of its answers counts. */
+  /**
+   * Returns whether an upstream has a rate limit, so that each of its answers must be evaluated.
+   */
   public boolean isRateLimited(UpstreamLife upstream) {
     return flow.isRateLimited(upstream);
   }
 
-  /** What other nodes are to know of the limits of upstreams. */
+  /** Returns the report to other nodes about the rate limits of upstreams. */
   public ImmutableList<RateWord> rates(long at) {
     return flow.rates(at);
   }
 
-  /** What other nodes are to know of requests under which upstreams ended. */
+  /** Returns the report to other nodes about suspect requests. */
   public ImmutableList<Suspect> suspects(long at) {
     return flow.suspects(at);
   }
 
-  /** For how long a request is quarantined still, in nanoseconds; 0 if it is not. */
+  /** Returns the remaining quarantine of a request, in nanoseconds; 0 if it is not quarantined. */
   public long quarantinedNanos(long at, Fingerprint request) {
     return flow.quarantinedNanos(at, request);
   }
 
   /**
-   * What the coordinator of quotas is to be asked now; empty if nothing is due.
+   * Returns the request to send to the quota coordinator now; empty if none is due.
    *
-   * @param at now
-   * @param heartbeat whether an ask is due in any case while there are quotas
+   * @param at the current time
+   * @param heartbeat true if a request is due in any case while there are quotas
    */
   public Optional<QuotaAsk> quotaAsk(long at, boolean heartbeat) {
     return flow.quotaAsk(at, heartbeat);
   }
 
-  /** By how much quotas may be exceeded. */
+  /** Returns the tolerance by which quotas may be exceeded. */
   public QuotaTolerance quotaTolerance() {
     return tolerance;
   }
 
-  /** Whether calls wait for tokens of their quotas, so that asks may become due. */
+  /**
+   * Returns whether calls wait for tokens of their quotas, so that quota requests may become due.
+   */
   public boolean awaitsQuota() {
     return flow.awaitsQuota();
   }
 
-  /** The limit of a quota; empty if there is no such workspace or upstream. */
+  /** Returns the limit of a quota; empty if there is no such workspace or upstream. */
   public Optional<TokenLimit> limit(QuotaKey key) {
     return flow.limit(key);
   }
 
-  /** How many upstreams are known, those included that leave. */
+  /** Returns the number of known upstreams, including those that are leaving. */
   public int upstreams() {
     return flow.upstreamCount();
   }
 
-  /** The calls without a final answer. */
+  /** Returns the number of calls without a final answer. */
   public int inProgress() {
     return flow.inProgress();
   }
 
-  /** When a tick is due; {@link Long#MAX_VALUE} if none is. */
+  /** Returns the time at which the next tick is due; {@link Long#MAX_VALUE} if none is. */
   public long nextDue() {
     return flow.nextDue();
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRule.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRule.java
@@ -10,21 +10,22 @@
 import org.larkkeel.lib.RuleName;
 
 /**
- * Where calls of one host and path prefix go, and within which bounds.
+ * A routing rule for calls of one host and path prefix, with its limits.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param name unique in its configuration
+ * @param name the name, unique in its configuration
  * @param host the host that callers name
- * @param prefix the beginning of the path, which begins and ends with a slash
+ * @param prefix the path prefix, which begins and ends with a slash
  * @param split the services, at least one, with positive weights
- * @param kind what may be repeated
- * @param timeoutMillis the longest time until the final answer
- * @param maxRuns the most upstreams that may run one call, at least 1
- * @param targetMillis the latency that callers aim at: whole answer, or first event
- * @param gapMillis the longest pause between events that is on time; 0 for none
- * @param priority the rank, 0 first
- * @param anonymous whether callers need no key
+ * @param kind whether and how a call may be run again
+ * @param timeoutMillis the maximum time until the final answer
+ * @param maxRuns the maximum number of upstreams that may run one call, at least 1
+ * @param targetMillis the latency target of callers: for the complete answer, or for the first
+ *     event
+ * @param gapMillis the maximum pause between events that is still on target; 0 for none
+ * @param priority the rank; 0 is served first
+ * @param anonymous true if callers need no key
  * @since 0.1
  */
 public record RelayRule(
@@ -43,19 +44,27 @@
    * A service and its weight.
    *
    * @param service the service
-   * @param weight its share against the sum of all, positive
+   * @param weight the weight relative to the sum of all weights, positive
    */
   public record Share(ServiceName service, int weight) {}
 
-  /** Checks the bounds. */
+  /**
+   * Validates the components.
+   *
+   * @throws IllegalArgumentException if there is no service, or if a weight, the timeout or the
+   *     number of runs is not positive
+   */
   public RelayRule {
     if (split.isEmpty() || split.stream().anyMatch(s -> s.weight() <= 0)) {
       throw new IllegalArgumentException(
-          "the rule " + name + " has no service with a positive weight: name one");
+          "the rule "
+              + name
+              + " has no service, or a service whose weight is not positive: name one and use 1 or"
+              + " more");
     }
     if (timeoutMillis <= 0 || maxRuns <= 0) {
       throw new IllegalArgumentException(
-          "the rule " + name + " has no time or no run: use a timeout and a count of 1 or more");
+          "the rule " + name + " has a timeout or a number of runs below 1: use 1 or more");
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelaySettings.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelaySettings.java
@@ -10,19 +10,21 @@
 import org.larkkeel.quota.QuotaTolerance;
 
 /**
- * What bounds and steers the relay's reducer.
+ * The settings of the relay's reducer.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param place where this node runs; upstreams there are preferred
- * @param repeatShare repeats that each first attempt earns, over all nodes
- * @param repeatSlack repeats of a service in a window beyond that, over all nodes
+ * @param place the data centre of this node; upstreams there are preferred
+ * @param repeatShare the retries allowed for each first attempt, over all nodes
+ * @param repeatSlack the additional retries of a service in a window, over all nodes
  * @param windowNanos the length of that window
- * @param nodes over how many nodes the slack is split until they are counted, at least 1
- * @param stageTokens the size from which prompts are read at a prefill upstream
- * @param missingNanos how long an upstream may be used after it was removed without a notice
- * @param seed of random choices
- * @param tolerance by how much the quota of a workspace may be exceeded
+ * @param nodes the number of nodes over which the slack is split until the nodes are counted, at
+ *     least 1
+ * @param stageTokens the minimum size of prompts that are prefilled at a prefill upstream
+ * @param missingNanos the time for which an upstream may be used after it was removed without
+ *     notice
+ * @param seed the seed of random choices
+ * @param tolerance the tolerance by which the quota of a workspace may be exceeded
  * @since 0.1
  */
 public record RelaySettings(
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayUpstream.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayUpstream.java
@@ -11,17 +11,17 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * One life of an upstream, as discovered.
+ * One incarnation of an upstream, as discovered.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param life which upstream, and which life of it
- * @param service the service of which it is
+ * @param life the name and incarnation
+ * @param service the service that the upstream belongs to
  * @param address IP number and port
- * @param place where it runs
- * @param slots the requests that it serves at once, at least 1
- * @param stage which part of the work it takes
- * @param leaving whether it has announced that it leaves and takes no new work
+ * @param place the data centre of the upstream
+ * @param slots the number of requests that it serves at once, at least 1
+ * @param stage the part of the work that it takes
+ * @param leaving true if it has announced that it is leaving and takes no new work
  * @since 0.1
  */
 public record RelayUpstream(
@@ -32,12 +32,12 @@
     int slots,
     Stage stage,
     boolean leaving) {
-  /** The name, which later lives of the upstream have as well. */
+  /** Returns the name, which is the same for all incarnations of the upstream. */
   public UpstreamName id() {
     return life.name();
   }
 
-  /** This upstream, about to leave. */
+  /** Returns this upstream, marked as leaving. */
   public RelayUpstream withLeaving() {
     return new RelayUpstream(life, service, address, place, slots, stage, true);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayWorkspace.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayWorkspace.java
@@ -10,35 +10,39 @@
 import org.larkkeel.quota.TokenLimit;
 
 /**
- * One of those for whom calls are relayed, and what they may use.
+ * A workspace for which calls are relayed, with its quota.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param name what upstreams are told
- * @param limit of all its calls together
- * @param unit what the limit counts
- * @param plainTokens the tokens of a call that does not tell its size
+ * @param name the name, which is sent to upstreams
+ * @param limit the limit of all calls of the workspace together
+ * @param unit the unit in which the limit is counted
+ * @param plainTokens the tokens that are counted for a call without a declared size
  * @since 0.1
  */
 public record RelayWorkspace(
     WorkspaceName name, TokenLimit limit, QuotaUnit unit, long plainTokens) {
-  /** What a quota counts. */
+  /** The unit of a quota. */
   public enum QuotaUnit {
-    /** Each call is one. */
+    /** Each call counts as one. */
     CALLS,
 
-    /** Tokens of the prompt and the most that may be generated. */
+    /** The tokens of the prompt plus the maximum number of tokens to generate. */
     TOKENS
   }
 
-  /** Checks the numbers. */
+  /**
+   * Validates the components.
+   *
+   * @throws IllegalArgumentException if {@code plainTokens} is negative
+   */
   public RelayWorkspace {
     if (plainTokens < 0) {
       throw new IllegalArgumentException("plainTokens is " + plainTokens + ": use 0 or more");
     }
   }
 
-  /** What a call takes from the quota. */
+  /** Returns the units that a call takes from the quota. */
   public long cost(CallSize size) {
     return switch (unit) {
       case CALLS -> 1;
