--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RequestIdentity.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RequestIdentity.java
@@ -10,10 +10,11 @@
 import org.larkkeel.lib.Fingerprint;
 
 /**
- * What makes two calls the same request: method, host, target, caller and body.
+ * The identity of a request: method, host, target, caller and body. Calls with equal identities are
+ * the same request.
  *
- * <p>The fingerprint is computed when it is first asked for, as few calls ever need one. Not safe
- * for use by several threads.
+ * <p>The fingerprint is computed on first use, as few calls need it. Not safe for use by several
+ * threads.
  *
  * @since 0.1
  */
@@ -26,13 +27,13 @@
   private Fingerprint fingerprint;
 
   /**
-   * Names a request.
+   * Creates the identity of a request.
    *
    * @param method the method
-   * @param host the host that it names
-   * @param target path and query
-   * @param caller tells callers apart; empty for those without a key
-   * @param body the whole body, which is not copied and must not change
+   * @param host the host that the request names
+   * @param target the path and query
+   * @param caller distinguishes callers; empty for callers without a key
+   * @param body the complete body, which is not copied and must not change
    */
   public RequestIdentity(String method, String host, String target, String caller, byte[] body) {
     this.method = method;
@@ -42,7 +43,9 @@
     this.body = body;
   }
 
-  /** The same for all calls that are the same request, on every node. */
+  /**
+   * Returns the fingerprint, which is equal on all nodes for all calls that are the same request.
+   */
   public Fingerprint fingerprint() {
     if (fingerprint == null) {
       fingerprint = Fingerprint.of(utf8(method), utf8(host), utf8(target), utf8(caller), body);
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RequestRate.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RequestRate.java
@@ -7,17 +7,21 @@
 package org.larkkeel.relay;
 
 /**
- * How many requests a second something takes.
+ * A rate of requests.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param thousandths requests in 1,000 seconds; positive
+ * @param thousandths the number of requests in 1,000 seconds; positive
  * @since 0.1
  */
 public record RequestRate(long thousandths) implements Comparable<RequestRate> {
   private static final double THOUSAND = 1_000;
 
-  /** Checks the number. */
+  /**
+   * Validates the rate.
+   *
+   * @throws IllegalArgumentException if the rate is not positive
+   */
   public RequestRate {
     if (thousandths <= 0) {
       throw new IllegalArgumentException(
@@ -25,12 +29,12 @@
     }
   }
 
-  /** The rate nearest to a number of requests a second; at least the smallest rate. */
+  /** Returns the rate nearest to a number of requests per second; at least the smallest rate. */
   public static RequestRate perSecond(double requests) {
     return new RequestRate(Math.max(1, Math.round(requests * THOUSAND)));
   }
 
-  /** Requests a second. */
+  /** Returns the number of requests per second. */
   public double perSecond() {
     return thousandths / THOUSAND;
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RoomAsk.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RoomAsk.java
@@ -11,21 +11,21 @@
 import org.larkkeel.lib.UpstreamLife;
 
 /**
- * A call that waits for room, as its node tells the node that gives room.
+ * A request to the reservation coordinator for memory for a call.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param call its id on its node
- * @param wireId what the caller calls it
- * @param service which upstreams may run it
- * @param units the tokens that it needs, above 0
- * @param prompt the tokens that are to be read elsewhere first; 0 for none
- * @param fresh whether its caller has not been refused before
- * @param begun whether its caller has the beginning of a stream that is to go on
- * @param waitedMillis how long ago it arrived
- * @param targetMillis within how long of its arrival it is on time
- * @param key names its prompt
- * @param without the upstreams that are out of the question
+ * @param call the id of the call on its node
+ * @param wireId the caller's id of the call
+ * @param service the service whose upstreams may run the call
+ * @param units the tokens to reserve, above 0
+ * @param prompt the prompt tokens that a prefill upstream reads first; 0 for none
+ * @param fresh true if the caller has not been refused before
+ * @param begun true if the caller has the beginning of a stream that is to be continued
+ * @param waitedMillis the time since the call arrived
+ * @param targetMillis the latency target, counted from the call's arrival
+ * @param key identifies the prompt
+ * @param without the excluded upstreams
  * @since 0.1
  */
 public record RoomAsk(
@@ -40,10 +40,18 @@
     long targetMillis,
     PromptKey key,
     ImmutableSet<UpstreamLife> without) {
-  /** Checks the numbers. */
+  /**
+   * Validates the numbers.
+   *
+   * @throws IllegalArgumentException if a number is out of range
+   */
   public RoomAsk {
     if (units <= 0 || prompt < 0 || waitedMillis < 0 || targetMillis < 0) {
-      throw new IllegalArgumentException("a number of the ask for " + call + " is out of bounds");
+      throw new IllegalArgumentException(
+          "the reservation request for call "
+              + call
+              + " has units below 1 or a negative number: use 1 or more units and 0 or more"
+              + " otherwise");
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RoomKeeping.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RoomKeeping.java
@@ -7,17 +7,20 @@
 package org.larkkeel.relay;
 
 /**
- * Who gives room for calls that need memory at an upstream.
+ * How this node gets memory reservations at upstreams.
  *
  * @since 0.1
  */
 public enum RoomKeeping {
-  /** Each node takes room by itself, from what the others tell. */
+  /** This node reserves memory itself, based on the load reports of the other nodes. */
   EACH,
 
-  /** Another node is asked, which knows best what is free. */
+  /**
+   * This node requests reservations from the coordinator, which has the most accurate view of the
+   * free memory.
+   */
   ASK,
 
-  /** This node gives room to the calls of all nodes, in one order. */
+  /** This node is the coordinator: it reserves memory for the calls of all nodes, in one order. */
   KEEP
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/ServiceBounds.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/ServiceBounds.java
@@ -7,19 +7,19 @@
 package org.larkkeel.relay;
 
 /**
- * What each upstream of a service bears, over all nodes.
+ * The limits of each upstream of a service, over all nodes.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param connections the most connections
- * @param memoryTokens the tokens that requests in progress may hold together; 0 if it has no such
- *     bound
- * @param tokensPerEvent the tokens that one event of a stream stands for; 0 if unknown
- * @param movesRuns whether a run's memory can be copied to another upstream
+ * @param connections the maximum number of connections
+ * @param memoryTokens the maximum number of tokens that the requests in progress hold together; 0
+ *     for no such limit
+ * @param tokensPerEvent the number of tokens that one event of a stream represents; 0 if unknown
+ * @param movesRuns true if a run's memory can be copied to another upstream
  * @since 0.1
  */
 public record ServiceBounds(
     int connections, long memoryTokens, int tokensPerEvent, boolean movesRuns) {
-  /** No bounds. */
+  /** No limits. */
   public static final ServiceBounds NONE = new ServiceBounds(Integer.MAX_VALUE, 0, 0, false);
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/ServiceName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/ServiceName.java
@@ -9,7 +9,7 @@
 import org.larkkeel.lib.Names;
 
 /**
- * The name of a service, a set of upstreams of which any may answer.
+ * The name of a service, which is a set of interchangeable upstreams.
  *
  * <p>Invariant: a valid name, see {@link Names}. Immutable and safe for use by several threads.
  *
@@ -17,12 +17,19 @@
  * @since 0.1
  */
 public record ServiceName(String value) {
-  /** Checks the name. */
+  /**
+   * Validates the name.
+   *
+   * @throws IllegalArgumentException if the name is not valid
+   */
   public ServiceName {
     Names.check("a service", value);
   }
 
-  /** Written out, as what a record brings is slow until it has been compiled. */
+  /**
+   * Implemented explicitly because the generated {@code equals} of a record is slow until it is
+   * compiled.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof ServiceName o && value.equals(o.value);
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/Stage.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/Stage.java
@@ -12,16 +12,16 @@
  * @since 0.1
  */
 public enum Stage {
-  /** The whole of it. */
+  /** Prefills and generates. */
   WHOLE,
 
-  /** Reads prompts and hands the result over; runs nothing. */
+  /** Only prefills prompts and hands over the results. */
   PREFILL,
 
-  /** Generates, from a prompt read elsewhere or by itself. */
+  /** Generates, from a prompt that it or another upstream has prefilled. */
   DECODE;
 
-  /** Whether an upstream of this stage can run a call. */
+  /** Returns whether an upstream of this stage can run a call. */
   public boolean runs() {
     return this != PREFILL;
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/Suspect.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/Suspect.java
@@ -11,28 +11,35 @@
 import org.larkkeel.lib.UpstreamLife;
 
 /**
- * A request that upstreams had when they ended, as nodes tell each other.
+ * A request that was in progress at upstreams that crashed, as nodes exchange it.
  *
- * <p>Two such records of one request are merged: that of the later epoch counts alone, and within
- * one epoch all ends do. Immutable and safe for use by several threads.
+ * <p>Two records of the same request are merged: only the one with the later clearance epoch
+ * counts, and within one epoch the crashes of both count. Immutable and safe for use by several
+ * threads.
  *
- * @param request which
- * @param epoch how often it was found not to be the cause, from 0; only ends since then count
- * @param ends how many nanoseconds ago each life of an upstream ended
+ * @param request the fingerprint of the request
+ * @param epoch the clearance epoch: the number of times the request was proven harmless or
+ *     released, from 0; only crashes since the last time count
+ * @param ends the age of the crash of each upstream incarnation, in nanoseconds
  * @since 0.1
  */
 public record Suspect(Fingerprint request, int epoch, ImmutableMap<UpstreamLife, Long> ends) {
-  /** Ends from which on a request is not sent: two may have been a coincidence. */
+  /** The number of crashes from which a request is quarantined; two may be a coincidence. */
   public static final int ENDS_TO_QUARANTINE = 3;
 
-  /** Checks the numbers. */
+  /**
+   * Validates the numbers.
+   *
+   * @throws IllegalArgumentException if a number is negative
+   */
   public Suspect {
     if (epoch < 0 || ends.values().stream().anyMatch(age -> age < 0)) {
-      throw new IllegalArgumentException("a number of suspect " + request + " is negative");
+      throw new IllegalArgumentException(
+          "the suspect request " + request + " has a negative epoch or age: use 0 or more");
     }
   }
 
-  /** Whether there are enough ends for a quarantine, if it is not over. */
+  /** Returns whether there are enough crashes for a quarantine, which may have ended. */
   public boolean isQuarantined() {
     return ends.size() >= ENDS_TO_QUARANTINE;
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/UpstreamNotice.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/UpstreamNotice.java
@@ -7,34 +7,42 @@
 package org.larkkeel.relay;
 
 /**
- * What an upstream says of itself in an answer, whatever the answer is to.
+ * The notice of an upstream about its own state, which any of its answers can carry.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param leaving whether it is about to leave and takes no new work
- * @param restNanos for how long it wants no requests of this node; 0 if it does not say
- * @param rate how many requests it takes of all nodes, never null
+ * @param leaving true if the upstream is leaving and takes no new work
+ * @param restNanos the time for which the upstream wants no requests of this node; 0 if it did not
+ *     say
+ * @param rate the announced limit on the requests of all nodes, never null
  * @since 0.1
  */
 public record UpstreamNotice(boolean leaving, long restNanos, RateNotice rate) {
-  /** Checks the time. */
+  /**
+   * Validates the backoff.
+   *
+   * @throws IllegalArgumentException if {@code restNanos} is negative
+   */
   public UpstreamNotice {
     if (restNanos < 0) {
-      throw new IllegalArgumentException("restNanos is " + restNanos + ": use 0 or more");
+      throw new IllegalArgumentException("the backoff is " + restNanos + " ns: use 0 or more");
     }
   }
 
-  /** Without a word of the rate. */
+  /** Creates a notice without information about a rate limit. */
   public UpstreamNotice(boolean leaving, long restNanos) {
     this(leaving, restNanos, RateNotice.UNSAID);
   }
 
-  /** This notice, if it can not be relied on to be newer than what was said before. */
+  /**
+   * Returns this notice without the end of a rate limit, for a notice that may be older than the
+   * known state.
+   */
   public UpstreamNotice withoutEndOfLimit() {
     return rate instanceof RateNotice.Unlimited ? new UpstreamNotice(leaving, restNanos) : this;
   }
 
-  /** Whether it changes nothing about an upstream that is taken to have no limit. */
+  /** Returns whether the notice changes nothing for an upstream that has no known limit. */
   public boolean isEmpty() {
     return !leaving && restNanos == 0 && !(rate instanceof RateNotice.Limited);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/Workspaces.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/Workspaces.java
@@ -15,16 +15,17 @@
 /**
  * The workspaces of a configuration and their keys.
  *
- * <p>Invariant: a key is that of one workspace. Keys are found by their digests, so that the time
- * of a look-up tells nothing of a key. Immutable and safe for use by several threads.
+ * <p>Invariant: each key belongs to one workspace. Keys are looked up by their digests, so that the
+ * duration of a look-up does not reveal anything about a key. Immutable and safe for use by several
+ * threads.
  *
  * @since 0.1
  */
 public final class Workspaces {
-  /** Without workspaces: callers need no key. */
+  /** A configuration without workspaces, in which callers need no key. */
   public static final Workspaces OPEN = new Workspaces(false, Map.of(), ImmutableMap.of());
 
-  private final boolean required;
+  private final boolean keysRequired;
   private final Map<CallerKey, RelayWorkspace> byKey;
   private final ImmutableMap<WorkspaceName, RelayWorkspace> byName;
 
@@ -32,37 +33,37 @@
       boolean required,
       Map<CallerKey, RelayWorkspace> byKey,
       ImmutableMap<WorkspaceName, RelayWorkspace> byName) {
-    this.required = required;
+    this.keysRequired = required;
     this.byKey = byKey;
     this.byName = byName;
   }
 
-  /** Whether callers need a key, but on rules that allow anonymous ones. */
+  /** Returns whether callers need a key, except on rules that allow anonymous callers. */
   public boolean areRequired() {
-    return required;
+    return keysRequired;
   }
 
-  /** The workspace that holds a key. */
+  /** Returns the workspace of a key; empty if the key is unknown. */
   public Optional<RelayWorkspace> find(CallerKey key) {
     return Optional.ofNullable(byKey.get(key));
   }
 
-  /** The workspace of a name. */
+  /** Returns the workspace with a name; empty if there is none. */
   public Optional<RelayWorkspace> find(WorkspaceName name) {
     return Optional.ofNullable(byName.get(name));
   }
 
-  /** Whether any workspace has a limit. */
+  /** Returns whether any workspace has a limit. */
   public boolean haveLimits() {
     return byName.values().stream().anyMatch(w -> w.limit().isLimited());
   }
 
-  /** Begins with workspaces that are required, and none. */
+  /** Returns a builder of workspaces for a configuration in which callers need a key. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Gathers workspaces. Not safe for use by several threads. */
+  /** Collects workspaces. Not safe for use by several threads. */
   public static final class Builder {
     private final Map<CallerKey, RelayWorkspace> byKey = new HashMap<>();
     private final ImmutableMap.Builder<WorkspaceName, RelayWorkspace> byName =
@@ -71,25 +72,29 @@
     /**
      * Adds a workspace.
      *
-     * @throws IllegalArgumentException if a key is another workspace's; the message does not name
-     *     the key
+     * @throws IllegalArgumentException if a key already belongs to another workspace; the message
+     *     does not contain the key
      */
     public Builder add(RelayWorkspace workspace, Iterable<CallerKey> keys) {
       byName.put(workspace.name(), workspace);
       for (CallerKey key : keys) {
-        RelayWorkspace before = byKey.putIfAbsent(key, workspace);
-        if (before != null && !before.name().equals(workspace.name())) {
+        RelayWorkspace previous = byKey.putIfAbsent(key, workspace);
+        if (previous != null && !previous.name().equals(workspace.name())) {
           throw new IllegalArgumentException(
-              "a key of " + workspace.name() + " is " + before.name() + "'s as well: use another");
+              "a key of workspace "
+                  + workspace.name()
+                  + " also belongs to workspace "
+                  + previous.name()
+                  + ": use another key");
         }
       }
       return this;
     }
 
     /**
-     * The workspaces.
+     * Returns the workspaces.
      *
-     * @throws IllegalArgumentException if two have one name
+     * @throws IllegalArgumentException if two workspaces have the same name
      */
     public Workspaces build() {
       return new Workspaces(true, Map.copyOf(byKey), byName.buildOrThrow());
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/package-info.java
@@ -7,7 +7,7 @@
 /**
  * Routing of opaque requests by host and path: the reducer, its events and its effects.
  *
- * <p>Nothing here reads a clock, opens a socket or starts a thread: times, in nanoseconds of a
- * steady clock, come in with the events.
+ * <p>Nothing here reads a clock, opens a socket or starts a thread; events carry the times, in
+ * nanoseconds of a steady clock.
  */
 package org.larkkeel.relay;
