--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineEntries.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineEntries.java
@@ -24,17 +24,17 @@
 import org.larkkeel.store.Reading;
 
 /**
- * The quarantined requests that a node has found, as they stand in its entry in the store.
+ * The quarantined requests that a node has detected, as stored in its entry in the store.
  *
- * <p>Ends have the time of day there, as their ages must outlast the process. Invariant: at most
- * {@link #MOST} requests. Not safe for use by several threads.
+ * <p>Crashes are stored with wall-clock times, because their ages must outlast the process.
+ * Invariant: at most {@link #MAX_REQUESTS} requests. Not thread-safe.
  */
 final class QuarantineEntries {
   static final String FIELD = "quarantine";
-  static final int MOST = 64;
+  static final int MAX_REQUESTS = 64;
 
-  /** Longer than any quarantine. */
-  private static final long LONGEST_NANOS = TimeUnit.HOURS.toNanos(3);
+  /** The age from which stored crashes are ignored; it exceeds the duration of any quarantine. */
+  private static final long MAX_AGE_NANOS = TimeUnit.HOURS.toNanos(3);
 
   private static final String REQUEST = "request";
   private static final String EPOCH = "epoch";
@@ -43,66 +43,71 @@
   private static final String START = "start";
   private static final String AT = "atMillis";
 
-  /** In the order in which they changed. */
-  private final Map<Fingerprint, Kept> kept = new LinkedHashMap<>();
+  /** In order of their last change. */
+  private final Map<Fingerprint, StoredSuspect> entries = new LinkedHashMap<>();
 
-  private record Kept(Suspect suspect, long wallMillis) {}
+  private record StoredSuspect(Suspect suspect, long wallMillis) {}
 
-  /** Takes over what is known of a request; says whether the entry is to be written. */
-  boolean keep(Suspect suspect, long wallMillis) {
-    if (!suspect.isQuarantined() && !kept.containsKey(suspect.request())) {
+  /**
+   * Updates the known state of a request.
+   *
+   * @return whether the node's entry must be written
+   */
+  boolean update(Suspect suspect, long wallMillis) {
+    if (!suspect.isQuarantined() && !entries.containsKey(suspect.request())) {
       return false;
     }
-    kept.remove(suspect.request());
-    if (kept.size() == MOST) {
-      kept.remove(kept.keySet().iterator().next());
+    entries.remove(suspect.request());
+    if (entries.size() == MAX_REQUESTS) {
+      entries.remove(entries.keySet().iterator().next());
     }
-    kept.put(suspect.request(), new Kept(suspect, wallMillis));
+    entries.put(suspect.request(), new StoredSuspect(suspect, wallMillis));
     return true;
   }
 
-  /** Takes over what an entry has, unless more is known here. */
-  void takeBack(Suspect suspect, long wallMillis) {
-    boolean isOld = suspect.ends().values().stream().allMatch(age -> age > LONGEST_NANOS);
-    if (kept.size() < MOST && !isOld) {
-      kept.putIfAbsent(suspect.request(), new Kept(suspect, wallMillis));
+  /** Adds a suspect read from the node's stored entry, unless the request is known already. */
+  void restore(Suspect suspect, long wallMillis) {
+    boolean isOld = suspect.ends().values().stream().allMatch(age -> age > MAX_AGE_NANOS);
+    if (entries.size() < MAX_REQUESTS && !isOld) {
+      entries.putIfAbsent(suspect.request(), new StoredSuspect(suspect, wallMillis));
     }
   }
 
-  /** Writes all into a node's entry. */
+  /** Writes all requests into a node's entry. */
   void write(ObjectNode entry) {
-    if (kept.isEmpty()) {
+    if (entries.isEmpty()) {
       return;
     }
     ArrayNode all = entry.putArray(FIELD);
-    for (Kept k : kept.values()) {
-      ObjectNode one = all.addObject();
-      one.put(REQUEST, k.suspect().request().toString()).put(EPOCH, k.suspect().epoch());
-      ArrayNode ends = one.putArray(ENDS);
-      k.suspect()
+    for (StoredSuspect stored : entries.values()) {
+      ObjectNode item = all.addObject();
+      item.put(REQUEST, stored.suspect().request().toString()).put(EPOCH, stored.suspect().epoch());
+      ArrayNode ends = item.putArray(ENDS);
+      stored
+          .suspect()
           .ends()
           .forEach(
-              (life, age) ->
+              (incarnation, age) ->
                   ends.addObject()
-                      .put(UPSTREAM, life.name().value())
-                      .put(START, life.start().value())
-                      .put(AT, k.wallMillis() - TimeUnit.NANOSECONDS.toMillis(age)));
+                      .put(UPSTREAM, incarnation.name().value())
+                      .put(START, incarnation.start().value())
+                      .put(AT, stored.wallMillis() - TimeUnit.NANOSECONDS.toMillis(age)));
     }
   }
 
-  /** Reads those of an entry; it may come from another writer. */
+  /** Reads the requests of an entry, which may come from another writer and be malformed. */
   static Reading<ImmutableList<Suspect>> read(JsonNode entry, long wallMillis) {
     JsonNode all = entry.path(FIELD);
     if (all.isMissingNode()) {
       return new Reading.Readable<>(ImmutableList.of());
     }
-    if (!all.isArray() || all.size() > MOST) {
+    if (!all.isArray() || all.size() > MAX_REQUESTS) {
       return unreadable(all);
     }
     ImmutableList.Builder<Suspect> suspects = ImmutableList.builder();
     try {
-      for (JsonNode one : all) {
-        suspects.add(suspect(one, wallMillis));
+      for (JsonNode item : all) {
+        suspects.add(suspect(item, wallMillis));
       }
     } catch (IllegalArgumentException e) {
       return unreadable(all);
@@ -110,22 +115,22 @@
     return new Reading.Readable<>(suspects.build());
   }
 
-  private static Suspect suspect(JsonNode one, long wallMillis) {
+  private static Suspect suspect(JsonNode item, long wallMillis) {
     ImmutableMap.Builder<UpstreamLife, Long> ends = ImmutableMap.builder();
-    for (JsonNode end : one.path(ENDS)) {
+    for (JsonNode end : item.path(ENDS)) {
       UpstreamName name = new UpstreamName(end.path(UPSTREAM).asText());
-      long age = Math.max(0, wallMillis - whole(end.path(AT)));
+      long age = Math.max(0, wallMillis - integer(end.path(AT)));
       ends.put(
-          new UpstreamLife(name, new Incarnation(whole(end.path(START)))),
+          new UpstreamLife(name, new Incarnation(integer(end.path(START)))),
           TimeUnit.MILLISECONDS.toNanos(age));
     }
-    Fingerprint request = Fingerprint.parse(one.path(REQUEST).asText());
-    return new Suspect(request, (int) whole(one.path(EPOCH)), ends.buildKeepingLast());
+    Fingerprint request = Fingerprint.parse(item.path(REQUEST).asText());
+    return new Suspect(request, (int) integer(item.path(EPOCH)), ends.buildKeepingLast());
   }
 
-  private static long whole(JsonNode number) {
+  private static long integer(JsonNode number) {
     if (!number.canConvertToLong() || !number.isIntegralNumber()) {
-      throw new IllegalArgumentException(number + " is no whole number");
+      throw new IllegalArgumentException(number + " is not an integer of 64 bits");
     }
     return number.longValue();
   }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaCodec.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaCodec.java
@@ -21,13 +21,13 @@
 import org.larkkeel.quota.QuotaMessage;
 
 /**
- * The bytes of what nodes tell each other of quotas, as a part of a message.
+ * Encodes and decodes the quota part of a message between nodes.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Stateless and thread-safe.
  */
 final class QuotaCodec {
   private static final byte NOTHING = 0;
-  private static final byte ASK = 1;
+  private static final byte REQUEST = 1;
   private static final byte GRANT = 2;
   private static final byte LEVELS = 3;
 
@@ -36,9 +36,9 @@
   static void write(TCompactProtocol out, Optional<QuotaMessage> message) throws TException {
     switch (message.orElse(null)) {
       case null -> out.writeByte(NOTHING);
-      case QuotaAsk ask -> {
-        out.writeByte(ASK);
-        write(out, ask);
+      case QuotaAsk request -> {
+        out.writeByte(REQUEST);
+        write(out, request);
       }
       case QuotaGrant grant -> {
         out.writeByte(GRANT);
@@ -51,18 +51,18 @@
     }
   }
 
-  private static void write(TCompactProtocol out, QuotaAsk ask) throws TException {
-    out.writeI64(ask.epoch());
-    out.writeI64(ask.sequence());
-    out.writeI64(ask.lentNanos());
-    out.writeI32(ask.nodes());
-    out.writeListBegin(new TList(TType.STRUCT, ask.wants().size()));
-    for (QuotaAsk.Want w : ask.wants()) {
-      writeKey(out, w.key());
-      out.writeI64(w.needed());
-      out.writeI64(w.least());
-      out.writeI64(w.ahead());
-      out.writeI64(w.returned());
+  private static void write(TCompactProtocol out, QuotaAsk request) throws TException {
+    out.writeI64(request.epoch());
+    out.writeI64(request.sequence());
+    out.writeI64(request.lentNanos());
+    out.writeI32(request.nodes());
+    out.writeListBegin(new TList(TType.STRUCT, request.wants().size()));
+    for (QuotaAsk.Want want : request.wants()) {
+      writeKey(out, want.key());
+      out.writeI64(want.needed());
+      out.writeI64(want.least());
+      out.writeI64(want.ahead());
+      out.writeI64(want.returned());
     }
   }
 
@@ -70,11 +70,11 @@
     out.writeI64(grant.epoch());
     out.writeI64(grant.sequence());
     out.writeListBegin(new TList(TType.STRUCT, grant.shares().size()));
-    for (QuotaGrant.Share s : grant.shares()) {
-      writeKey(out, s.key());
-      out.writeI64(s.tokens());
-      out.writeI64(s.left());
-      out.writeI64(s.waitNanos());
+    for (QuotaGrant.Share share : grant.shares()) {
+      writeKey(out, share.key());
+      out.writeI64(share.tokens());
+      out.writeI64(share.left());
+      out.writeI64(share.waitNanos());
     }
   }
 
@@ -90,14 +90,14 @@
     byte kind = in.readByte();
     return switch (kind) {
       case NOTHING -> Optional.empty();
-      case ASK -> Optional.of(readAsk(in));
+      case REQUEST -> Optional.of(readRequest(in));
       case GRANT -> Optional.of(readGrant(in));
       case LEVELS -> Optional.of(readLevels(in));
-      default -> throw new IllegalArgumentException("no kind " + kind);
+      default -> throw new IllegalArgumentException("unknown kind of quota message: " + kind);
     };
   }
 
-  private static QuotaAsk readAsk(TCompactProtocol in) throws TException {
+  private static QuotaAsk readRequest(TCompactProtocol in) throws TException {
     final long epoch = in.readI64();
     final long sequence = in.readI64();
     final long lent = in.readI64();
@@ -105,7 +105,9 @@
     ImmutableList.Builder<QuotaAsk.Want> wants = ImmutableList.builder();
     for (int i = PeerMessageCodec.size(in); i > 0; i--) {
       QuotaKey key = readKey(in);
-      wants.add(new QuotaAsk.Want(key, natural(in), natural(in), natural(in), natural(in)));
+      wants.add(
+          new QuotaAsk.Want(
+              key, nonNegative(in), nonNegative(in), nonNegative(in), nonNegative(in)));
     }
     return new QuotaAsk(epoch, sequence, lent, nodes, wants.build());
   }
@@ -116,7 +118,7 @@
     ImmutableList.Builder<QuotaGrant.Share> shares = ImmutableList.builder();
     for (int i = PeerMessageCodec.size(in); i > 0; i--) {
       QuotaKey key = readKey(in);
-      shares.add(new QuotaGrant.Share(key, natural(in), natural(in), natural(in)));
+      shares.add(new QuotaGrant.Share(key, nonNegative(in), nonNegative(in), nonNegative(in)));
     }
     return new QuotaGrant(epoch, sequence, shares.build());
   }
@@ -125,7 +127,7 @@
     ImmutableMap.Builder<QuotaKey, Long> left = ImmutableMap.builder();
     for (int i = PeerMessageCodec.size(in); i > 0; i--) {
       QuotaKey key = readKey(in);
-      left.put(key, natural(in));
+      left.put(key, nonNegative(in));
     }
     return new QuotaLevels(left.buildKeepingLast());
   }
@@ -138,7 +140,7 @@
       }
       case QuotaKey.OfUpstream u -> {
         out.writeBool(false);
-        PeerMessageCodec.writeLife(out, u.life());
+        PeerMessageCodec.writeIncarnation(out, u.life());
       }
     }
   }
@@ -146,10 +148,10 @@
   private static QuotaKey readKey(TCompactProtocol in) throws TException {
     return in.readBool()
         ? new QuotaKey.OfWorkspace(new WorkspaceName(in.readString()))
-        : new QuotaKey.OfUpstream(PeerMessageCodec.readLife(in));
+        : new QuotaKey.OfUpstream(PeerMessageCodec.readIncarnation(in));
   }
 
-  private static long natural(TCompactProtocol in) throws TException {
+  private static long nonNegative(TCompactProtocol in) throws TException {
     return Math.max(0, in.readI64());
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaSharing.java
@@ -23,156 +23,170 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings nodes and the coordinator of quotas together.
+ * Connects the quota holder of this node with the quota coordinator.
  *
- * <p>The coordinator is the first of the nodes that are heard of, by name, and the second if the
- * first does not answer; each node chooses by what it hears, and two coordinators do no harm, as
- * each has only the time that was lent to it. Nothing is sent while no workspace has a limit. Not
- * safe for use by several threads.
+ * <p>The coordinator is the first live node by name, or the second if the first does not answer.
+ * Each node chooses by its own view of the cluster; two coordinators at a time are safe, because
+ * each has only the time that was lent to it. Nothing is sent while no workspace and no upstream
+ * has a limit. Not thread-safe.
  */
 final class QuotaSharing {
   private static final Logger log = LoggerFactory.getLogger(QuotaSharing.class);
 
-  /** How many nodes are tried one after the other. */
+  /** The number of nodes that are tried as coordinator. */
   private static final int CANDIDATES = 2;
 
-  /** How often an ask is sent before another node is asked. */
-  private static final int MOST_SENDS = 3;
+  /** The maximum number of times a request is sent before another node is tried. */
+  private static final int MAX_SENDS = 3;
 
-  /** How long a node is not asked that did not answer; longer if it is not heard again. */
-  private static final long AVOID_NANOS = 1_000_000_000L;
+  /**
+   * The minimum time for which a node that did not answer is not chosen as coordinator; it must
+   * also have sent a message since.
+   */
+  private static final long COORDINATOR_RETRY_NANOS = 1_000_000_000L;
 
-  /** Tokens that nobody has asked for during this time are worth nothing any more. */
-  private static final long POOL_NANOS = 5_000_000_000L;
+  /** The time without requests after which the coordinator's state is discarded as outdated. */
+  private static final long IDLE_DISCARD_NANOS = 5_000_000_000L;
 
   private final HostName self;
   private final PeerTable peers;
-  private final LoadSharing.Surroundings around;
+  private final LoadSharing.Surroundings environment;
   private final Channel channel;
-  private QuotaPool pool = new QuotaPool(QuotaTolerance.NONE);
-  private final Map<HostName, Long> unansweredAt = new HashMap<>();
+  private QuotaPool localCoordinator = new QuotaPool(QuotaTolerance.NONE);
+  private final Map<HostName, Long> unansweredNanos = new HashMap<>();
   private Optional<RelayRouter> router = Optional.empty();
-  private Optional<PeerTable.Keeper> coordinator = Optional.empty();
+  private Optional<PeerTable.Coordinator> coordinator = Optional.empty();
   private long lastSequence;
-  private int sends;
-  private long askedAt;
-  private boolean planned;
+  private int sendCount;
+  private long lastRequestNanos;
+  private boolean requestScheduled;
 
-  /** Carries messages to other nodes, which may be lost. */
+  /** Sends messages to peers; they may be lost. */
   interface Channel {
-    /** Sends an ask, an answer, or what this node has left as the coordinator. */
+    /** Sends a request, a grant, or the remaining quota levels of this coordinator. */
     void send(PeerTable.Peer to, QuotaMessage message);
 
-    /** What this node says of itself. */
+    /** Returns the state of this node. */
     NodeState state();
   }
 
-  QuotaSharing(HostName self, PeerTable peers, LoadSharing.Surroundings around, Channel channel) {
+  QuotaSharing(
+      HostName self, PeerTable peers, LoadSharing.Surroundings environment, Channel channel) {
     this.self = self;
     this.peers = peers;
-    this.around = around;
+    this.environment = environment;
     this.channel = channel;
-    this.askedAt = around.now();
+    this.lastRequestNanos = environment.now();
   }
 
-  /** Sets whose quotas these are; before that, nothing is asked or granted. */
-  void router(RelayRouter now) {
-    router = Optional.of(now);
-    pool = new QuotaPool(now.quotaTolerance());
+  /** Sets the router whose quotas are shared; before that, nothing is requested or granted. */
+  void router(RelayRouter newRouter) {
+    router = Optional.of(newRouter);
+    localCoordinator = new QuotaPool(newRouter.quotaTolerance());
   }
 
-  /** Asks for what is needed now, if anything is. */
-  void tell() {
-    ask(false);
+  /** Requests the quota that is needed now, if any. */
+  void requestNeeded() {
+    request(false);
   }
 
-  /** To be called every {@link LoadSharing#PERIOD_NANOS}: lends the time since the last ask. */
+  /**
+   * Does the periodic work; to be called every {@link LoadSharing#PERIOD_NANOS}. A request is sent
+   * even if no tokens are needed, to lend the time since the last one.
+   */
   void periodic() {
-    if (around.now() - askedAt > POOL_NANOS) {
-      pool.clear();
+    if (environment.now() - lastRequestNanos > IDLE_DISCARD_NANOS) {
+      localCoordinator.clear();
     } else {
-      tellLevels();
+      sendLevels();
     }
-    ask(true);
+    request(true);
   }
 
-  /** Tells the node that would take over what is left, if this one is the coordinator. */
-  private void tellLevels() {
-    QuotaLevels levels = pool.levels();
+  /**
+   * Sends the remaining levels to the candidates for coordinator, if this node is the coordinator.
+   */
+  private void sendLevels() {
+    QuotaLevels levels = localCoordinator.levels();
     if (levels.left().isEmpty()) {
       return;
     }
-    peers.keepers(channel.state(), CANDIDATES, true).stream()
+    peers.coordinators(channel.state(), CANDIDATES, true).stream()
         .flatMap(k -> k.peer().stream())
         .forEach(p -> channel.send(p, levels));
   }
 
-  /** Another node tells something of quotas. */
-  void heard(PeerTable.Peer from, QuotaMessage message) {
+  /** Handles a quota message from a peer. */
+  void received(PeerTable.Peer from, QuotaMessage message) {
     switch (message) {
-      case QuotaAsk ask -> asked(from, ask);
-      case QuotaGrant grant -> around.submit(new RelayEvent.QuotaGranted(around.now(), grant));
-      case QuotaLevels levels -> pool.heard(around.now(), levels);
+      case QuotaAsk request -> receivedRequest(from, request);
+      case QuotaGrant grant ->
+          environment.submit(new RelayEvent.QuotaGranted(environment.now(), grant));
+      case QuotaLevels levels -> localCoordinator.heard(environment.now(), levels);
     }
   }
 
-  private void ask(boolean heartbeat) {
+  private void request(boolean heartbeat) {
     if (router.isEmpty()) {
       return;
     }
-    router.get().quotaAsk(around.now(), heartbeat).ifPresent(this::send);
+    router.get().quotaAsk(environment.now(), heartbeat).ifPresent(this::send);
     if (router.get().awaitsQuota()) {
-      plan();
+      scheduleRequest();
     }
   }
 
-  private void send(QuotaAsk ask) {
-    sends = ask.sequence() == lastSequence ? sends + 1 : 1;
-    lastSequence = ask.sequence();
-    if (sends > MOST_SENDS) {
-      coordinator.ifPresent(this::avoid);
-      around.submit(new RelayEvent.QuotaCoordinatorChanged(around.now()));
+  private void send(QuotaAsk request) {
+    sendCount = request.sequence() == lastSequence ? sendCount + 1 : 1;
+    lastSequence = request.sequence();
+    if (sendCount > MAX_SENDS) {
+      coordinator.ifPresent(this::markUnanswered);
+      environment.submit(new RelayEvent.QuotaCoordinatorChanged(environment.now()));
       return;
     }
-    if (sends == 1) {
-      choose();
+    if (sendCount == 1) {
+      chooseCoordinator();
     }
-    plan();
+    scheduleRequest();
     if (coordinator.isEmpty()) {
       return;
     }
     Optional<PeerTable.Peer> peer = coordinator.get().peer();
     if (peer.isPresent()) {
-      channel.send(peer.get(), ask);
+      channel.send(peer.get(), request);
     } else {
-      around.submit(new RelayEvent.QuotaGranted(around.now(), grant(self, ask)));
+      environment.submit(new RelayEvent.QuotaGranted(environment.now(), grant(self, request)));
     }
   }
 
-  /** Looks again in a while: for an answer, or for calls whose tokens will have refilled. */
-  private void plan() {
-    if (!planned) {
-      planned = true;
-      around.after(
+  /**
+   * Schedules the next request: as a resend if there is no grant by then, or for calls whose tokens
+   * have refilled.
+   */
+  private void scheduleRequest() {
+    if (!requestScheduled) {
+      requestScheduled = true;
+      environment.after(
           QuotaHolder.RESEND_NANOS,
           () -> {
-            planned = false;
-            tell();
+            requestScheduled = false;
+            requestNeeded();
           });
     }
   }
 
-  private void avoid(PeerTable.Keeper lost) {
-    unansweredAt.put(lost.name(), around.now());
-    log.warn("event=quota_coordinator_lost coordinator={}", lost.name());
+  private void markUnanswered(PeerTable.Coordinator failed) {
+    unansweredNanos.put(failed.name(), environment.now());
+    log.warn("event=quota_coordinator_lost coordinator={}", failed.name());
   }
 
-  private void choose() {
-    Optional<PeerTable.Keeper> next =
-        peers.keepers(channel.state(), CANDIDATES, true).stream()
-            .filter(this::mayAnswer)
+  private void chooseCoordinator() {
+    Optional<PeerTable.Coordinator> next =
+        peers.coordinators(channel.state(), CANDIDATES, true).stream()
+            .filter(this::isEligible)
             .findFirst();
-    if (!next.map(PeerTable.Keeper::name).equals(coordinator.map(PeerTable.Keeper::name))) {
+    if (!next.map(PeerTable.Coordinator::name)
+        .equals(coordinator.map(PeerTable.Coordinator::name))) {
       log.info(
           "event=quota_coordinator coordinator={} before={}",
           next.map(k -> k.name().value()).orElse("none"),
@@ -181,32 +195,34 @@
     coordinator = next;
   }
 
-  private boolean mayAnswer(PeerTable.Keeper candidate) {
-    Long failedAt = unansweredAt.get(candidate.name());
-    if (failedAt == null || candidate.peer().isEmpty()) {
+  private boolean isEligible(PeerTable.Coordinator candidate) {
+    Long failedNanos = unansweredNanos.get(candidate.name());
+    if (failedNanos == null || candidate.peer().isEmpty()) {
       return true;
     }
     boolean answers =
-        around.now() - failedAt > AVOID_NANOS && candidate.peer().get().heardAt > failedAt;
+        environment.now() - failedNanos > COORDINATOR_RETRY_NANOS
+            && candidate.peer().get().lastReceivedNanos > failedNanos;
     if (answers) {
-      unansweredAt.remove(candidate.name());
+      unansweredNanos.remove(candidate.name());
     }
     return answers;
   }
 
-  private void asked(PeerTable.Peer from, QuotaAsk ask) {
+  private void receivedRequest(PeerTable.Peer from, QuotaAsk request) {
     if (router.isPresent()) {
-      channel.send(from, grant(from.name, ask));
+      channel.send(from, grant(from.name, request));
     }
   }
 
-  private QuotaGrant grant(HostName node, QuotaAsk ask) {
-    askedAt = around.now();
-    return pool.ask(askedAt, node, ask, peers.size() + 1, router.orElseThrow()::limit);
+  private QuotaGrant grant(HostName node, QuotaAsk request) {
+    lastRequestNanos = environment.now();
+    return localCoordinator.ask(
+        lastRequestNanos, node, request, peers.size() + 1, router.orElseThrow()::limit);
   }
 
-  /** The machine was suspended: what it has saved up is of no use any more. */
-  void resumed() {
-    pool.clear();
+  /** Discards the coordinator's state after the machine was suspended, because it is outdated. */
+  void discardState() {
+    localCoordinator.clear();
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayAdapter.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayAdapter.java
@@ -19,36 +19,36 @@
 import org.xnio.XnioWorker;
 
 /**
- * What a relay node needs translated from the surroundings in which it runs.
+ * Translates between a relay node and the platform on which it runs.
  *
- * <p>Implementations keep nothing and decide nothing, and are safe for use by several threads.
+ * <p>Implementations are stateless, make no decisions and are thread-safe.
  *
  * @since 0.1
  */
 public interface RelayAdapter {
-  /** The words of callers and upstreams. */
+  /** Returns the HTTP dialect of callers and upstreams. */
   RelayDialect dialect();
 
-  /** The store. */
+  /** Returns a client of the store. */
   ObjectApi store(HttpClientOptions options, XnioWorker worker, Scheduler scheduler);
 
-  /** The collection that holds the configuration. */
+  /** Returns the name of the collection that holds the configuration. */
   String configurationCollection();
 
-  /** The collection that holds the upstreams. */
+  /** Returns the name of the collection that holds the upstreams. */
   String upstreamCollection();
 
   /**
-   * The configuration among objects; empty if there is none.
+   * Reads the configuration; empty if there is none.
    *
-   * @param objects the objects of its collection
+   * @param objects the objects of the configuration collection
    */
   Optional<Reading<RelayConfiguration>> configuration(ImmutableCollection<StoredObject> objects);
 
   /**
-   * An upstream. Never throws: what can not be read says why.
+   * Reads an upstream. Never throws: an unreadable object is returned with its problem.
    *
-   * @param object an object of its collection
+   * @param object an object of the upstream collection
    */
   Reading<RelayUpstream> upstream(StoredObject object);
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFactLog.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFactLog.java
@@ -14,17 +14,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes one line of key=value pairs for each fact.
+ * Logs each fact as one line of key=value pairs.
  *
- * <p>Text that came from outside is quoted and cleaned, so that it can not look like another line.
- * Stateless and safe for use by several threads.
+ * <p>Text from outside the process is truncated, and quotes and all characters but printable ASCII
+ * are replaced, so that it can not forge another line or field. Stateless and thread-safe.
  *
  * @since 0.1
  */
 public final class RelayFactLog implements Consumer<RelayFact> {
   private static final Logger log = LoggerFactory.getLogger("relay");
-  private static final double MILLI = 1e6;
-  private static final int MAX_TEXT = 160;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final int MAX_TEXT_CHARS = 160;
 
   @Override
   public void accept(RelayFact fact) {
@@ -259,22 +259,22 @@
   }
 
   private static long millis(long nanos) {
-    return Math.round(nanos / MILLI);
+    return Math.round(nanos / NANOS_PER_MILLI);
   }
 
   private static double round(double value) {
     return Math.round(value * 100) / 100.0;
   }
 
-  /** A name from outside without what could end its field. */
+  /** Sanitizes a name from outside the process, so that it can not end its field. */
   static String id(String name) {
     return text(name).replace(' ', '?');
   }
 
-  /** Text from outside without what could end its line or its quotes. */
+  /** Sanitizes text from outside the process, so that it can not end its line or its quotes. */
   static String text(String text) {
-    String cut = text.length() > MAX_TEXT ? text.substring(0, MAX_TEXT) : text;
-    // Nearly all text is plain, and a regular expression is dear until it has been compiled.
+    String cut = text.length() > MAX_TEXT_CHARS ? text.substring(0, MAX_TEXT_CHARS) : text;
+    // Nearly all text is plain; a regular expression is slow until it has been JIT-compiled.
     for (int i = 0; i < cut.length(); i++) {
       if (!isPlain(cut.charAt(i))) {
         return cleaned(cut);
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFeed.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFeed.java
@@ -28,16 +28,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the router's configuration and upstreams up to date from the store.
+ * Follows the store and keeps the router's configuration and upstreams up to date.
  *
- * <p>What was read stays in force while the store can not be reached. A configuration that can not
- * be read is not taken; an upstream's entry that can not be read names no upstream, as if it had
- * been removed. Works on the scheduler.
+ * <p>The last state that was read stays in force while the store is unreachable. An unreadable
+ * configuration is ignored; an unreadable upstream entry is treated as removed. Runs on the
+ * scheduler.
  */
 final class RelayFeed implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(RelayFeed.class);
   private static final Duration FIRST_BACKOFF = Duration.ofMillis(250);
-  private static final Duration LONGEST_BACKOFF = Duration.ofMillis(1_200);
+  private static final Duration MAX_BACKOFF = Duration.ofMillis(1_200);
 
   private final RelayAdapter adapter;
   private final RelayLoop loop;
@@ -48,9 +48,9 @@
   private final UnreadableEntries configurationProblems;
   private final UnreadableEntries upstreamProblems;
   private final UpstreamEntries entries;
-  private Runnable restored = () -> {};
-  private Optional<RelayConfiguration> newest = Optional.empty();
-  private volatile FeedChanges changes = FeedChanges.NONE;
+  private Runnable restoredListener = () -> {};
+  private Optional<RelayConfiguration> newestConfiguration = Optional.empty();
+  private volatile FeedChanges newestVersions = FeedChanges.NONE;
 
   RelayFeed(
       RelayAdapter adapter,
@@ -88,17 +88,20 @@
             backoff(random),
             WatchTimes.spread(watchTime, random.split(), nodes, rank),
             this::upstreams);
-    meters.follow("configurations", configurations);
-    meters.follow("upstreams", upstreams);
+    meters.watchMirror("configurations", configurations);
+    meters.watchMirror("upstreams", upstreams);
   }
 
   private static Backoff backoff(SplittableRandom random) {
-    return new Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, random.split());
+    return new Backoff(FIRST_BACKOFF, MAX_BACKOFF, random.split());
   }
 
-  /** Sets what is to be done when the store has come back from a copy; before the start. */
+  /**
+   * Sets the action to run when the store was restored from a backup; to be called before {@link
+   * #start}.
+   */
   void onRestored(Runnable action) {
-    restored = action;
+    restoredListener = action;
   }
 
   void start() {
@@ -106,14 +109,14 @@
     upstreams.start();
   }
 
-  /** The newest changes that were seen; safe for use by several threads. */
-  FeedChanges changes() {
-    return changes;
+  /** Returns the versions of the newest changes that were seen; thread-safe. */
+  FeedChanges newestVersions() {
+    return newestVersions;
   }
 
-  /** Another node has seen changes; on any thread. */
-  void others(FeedChanges theirs) {
-    FeedChanges own = changes;
+  /** Handles the newest versions that a peer has seen; may be called on any thread. */
+  void onPeerVersions(FeedChanges theirs) {
+    FeedChanges own = newestVersions;
     if (theirs.configurations().isAfter(own.configurations())
         || theirs.upstreams().isAfter(own.upstreams())) {
       scheduler.execute(
@@ -124,19 +127,19 @@
     }
   }
 
-  private void noteChanges() {
-    changes = new FeedChanges(configurations.changeVersion(), upstreams.changeVersion());
+  private void updateVersions() {
+    newestVersions = new FeedChanges(configurations.changeVersion(), upstreams.changeVersion());
   }
 
   private void configuration(CollectionChange change) {
-    noteChanges();
+    updateVersions();
     Map<String, EntryProblem> problems = new TreeMap<>(configurations.unreadable());
     adapter
         .configuration(configurations.objects().values())
         .ifPresent(
             reading -> {
               switch (reading) {
-                case Reading.Readable<RelayConfiguration> r -> take(r.value());
+                case Reading.Readable<RelayConfiguration> r -> accept(r.value());
                 case Reading.Unreadable<RelayConfiguration> u ->
                     problems.put(adapter.configurationCollection(), u.problem());
               }
@@ -144,56 +147,58 @@
     configurationProblems.update(problems);
   }
 
-  private void take(RelayConfiguration c) {
-    newest = newest.filter(n -> n.revision() > c.revision()).or(() -> Optional.of(c));
+  private void accept(RelayConfiguration c) {
+    newestConfiguration =
+        newestConfiguration.filter(n -> n.revision() > c.revision()).or(() -> Optional.of(c));
     loop.submit(new RelayEvent.ConfigurationRead(loop.now(), c));
-    tellUpstreamProblems();
+    updateUpstreamProblems();
   }
 
   private void upstreams(CollectionChange change) {
-    noteChanges();
+    updateVersions();
     apply(entries.apply(scheduler.nanoTime(), change));
     if (change.isRestored()) {
-      scheduler.schedule(UpstreamEntries.HELD_BACK, this::release);
-      restored.run();
+      scheduler.schedule(UpstreamEntries.HOLD_BACK_TIME, this::releaseHeldBack);
+      restoredListener.run();
     }
   }
 
-  /** Lets entries count that have outlived what was known of their upstreams before. */
-  private void release() {
-    apply(entries.release(scheduler.nanoTime()));
+  /** Activates the entries that were held back and still exist. */
+  private void releaseHeldBack() {
+    apply(entries.releaseHeldBack(scheduler.nanoTime()));
   }
 
   private void apply(UpstreamEntries.Difference d) {
     stages.upstreams(d.changed(), d.removed());
     loop.submit(new RelayEvent.UpstreamsChanged(loop.now(), d.changed(), d.removed()));
-    tellUpstreamProblems();
+    updateUpstreamProblems();
   }
 
-  private void tellUpstreamProblems() {
+  private void updateUpstreamProblems() {
     Map<String, EntryProblem> problems = new TreeMap<>(upstreams.unreadable());
-    problems.putAll(entries.problems(s -> newest.isEmpty() || newest.get().names(s)));
+    problems.putAll(
+        entries.problems(s -> newestConfiguration.isEmpty() || newestConfiguration.get().names(s)));
     upstreamProblems.update(problems);
   }
 
-  /** Whether the store could not be reached at the last try. */
+  /** Returns whether the last attempt to reach the store failed. */
   boolean isFailing() {
     return configurations.isFailing() || upstreams.isFailing();
   }
 
-  /** What this node has read, of each collection that is newer than the versions given. */
+  /** Returns a copy of each collection that is newer than the given version. */
   FeedCopy copy(StoreVersion configurationsAfter, StoreVersion upstreamsAfter) {
     return new FeedCopy(
         FeedCopy.Part.of(configurations, configurationsAfter),
         FeedCopy.Part.of(upstreams, upstreamsAfter));
   }
 
-  /** The versions of what this node has read. */
+  /** Returns the versions of the collections as this node has read them. */
   FeedChanges versions() {
     return new FeedChanges(configurations.version(), upstreams.version());
   }
 
-  /** Takes over what another node has read, where it is newer. */
+  /** Accepts the collections that a peer has read, where they are newer. */
   void offer(FeedCopy copy) {
     FeedCopy.Part c = copy.configurations();
     if (configurations.offer(c.version(), c.objects(adapter.configurationCollection()))) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayMeters.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayMeters.java
@@ -24,17 +24,17 @@
 import org.larkkeel.time.BootClock;
 
 /**
- * Counts facts by rule and outcome, never by request.
+ * Records facts as metrics, by rule and outcome and never by request.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  *
  * @since 0.1
  */
 public final class RelayMeters implements Consumer<RelayFact> {
   private static final String RULE = "rule";
-  private static final Duration SMALLEST = Duration.ofMillis(1);
-  private static final Duration LARGEST = Duration.ofSeconds(30);
-  private static final Duration[] BOUNDS = {
+  private static final Duration MIN_LATENCY = Duration.ofMillis(1);
+  private static final Duration MAX_LATENCY = Duration.ofSeconds(30);
+  private static final Duration[] LATENCY_BUCKETS = {
     Duration.ofMillis(50),
     Duration.ofMillis(100),
     Duration.ofMillis(200),
@@ -47,9 +47,9 @@
 
   private final MeterRegistry registry;
   private final AtomicLong revision = new AtomicLong();
-  private final AtomicLong revisionAt = new AtomicLong();
+  private final AtomicLong revisionNanos = new AtomicLong();
 
-  /** Registers its gauges; names are listed in docs/OPERATIONS.md. */
+  /** Registers the gauges; the names of all metrics are listed in docs/OPERATIONS.md. */
   public RelayMeters(MeterRegistry registry) {
     this.registry = registry;
     Gauge.builder("larkkeel.relay.configuration.revision", revision, AtomicLong::get)
@@ -60,7 +60,7 @@
   }
 
   private double ageSeconds() {
-    long at = revisionAt.get();
+    long at = revisionNanos.get();
     return at == 0 ? 0 : (BootClock.SYSTEM.nanoTime() - at) / 1e9;
   }
 
@@ -137,7 +137,7 @@
       case RelayFact.Resumed f -> registry.counter("larkkeel.relay.suspensions").increment();
       case RelayFact.InForce f -> {
         revision.set(f.revision());
-        revisionAt.set(BootClock.SYSTEM.nanoTime());
+        revisionNanos.set(BootClock.SYSTEM.nanoTime());
       }
       case RelayFact.Waiting f ->
           registry.counter("larkkeel.relay.waiting", "service", f.service()).increment();
@@ -152,7 +152,7 @@
     }
   }
 
-  /** Counts an entry of the store that can not be read. */
+  /** Counts an unreadable entry of the store. */
   void unreadable(String collection, EntryProblem.Reason reason) {
     registry
         .counter(
@@ -164,8 +164,8 @@
         .increment();
   }
 
-  /** Watches what a node hears of a collection of the store. */
-  void follow(String collection, CollectionMirror mirror) {
+  /** Registers metrics of the mirror of a collection of the store. */
+  void watchMirror(String collection, CollectionMirror mirror) {
     Gauge.builder("larkkeel.relay.store.silence", mirror, m -> m.silence().toNanos() / 1e9)
         .baseUnit("seconds")
         .tag("collection", collection)
@@ -198,9 +198,9 @@
   private Timer latency(String name, String rule) {
     return Timer.builder(name)
         .tag(RULE, rule)
-        .minimumExpectedValue(SMALLEST)
-        .maximumExpectedValue(LARGEST)
-        .serviceLevelObjectives(BOUNDS)
+        .minimumExpectedValue(MIN_LATENCY)
+        .maximumExpectedValue(MAX_LATENCY)
+        .serviceLevelObjectives(LATENCY_BUCKETS)
         .register(registry);
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNode.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNode.java
@@ -40,8 +40,8 @@
 /**
  * A node that relays opaque requests.
  *
- * <p>One I/O thread carries connections and the router; another follows the store. Safe for use by
- * several threads.
+ * <p>One I/O thread serves the connections and the router; another thread follows the store.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -55,13 +55,13 @@
   private static final int BODY_MILLIS = 20_000;
   private static final int IDLE_MILLIS = 120_000;
   private static final int STALL_MILLIS = 10_000;
-  private static final UpstreamClientSettings CLIENT =
+  private static final UpstreamClientSettings CLIENT_SETTINGS =
       new UpstreamClientSettings(64, 4, 256, 4_000, 4 << 20, 256 << 10);
 
-  /** How long before the end of the grace the process ends. */
-  private static final Duration BEFORE_END = Duration.ofMillis(600);
+  /** The time between the end of draining and the end of the grace time. */
+  private static final Duration EXIT_MARGIN = Duration.ofMillis(600);
 
-  private static final Duration CHECK = Duration.ofMillis(50);
+  private static final Duration DRAIN_CHECK_PERIOD = Duration.ofMillis(50);
 
   private final RelayNodeSettings settings;
   private final Closer closer;
@@ -69,7 +69,7 @@
   private final RelayRouter router;
   private final RelayListener listener;
   private final CompletableFuture<Void> drained = new CompletableFuture<>();
-  private final LoadExchange loads;
+  private final LoadExchange loadExchange;
   private final RelayLoop loop;
   private final RelayExecutor executor;
   private final XnioIoThread thread;
@@ -83,8 +83,8 @@
   private RelayNode(RelayNodeSettings settings, RelayAdapter adapter, Closer closer) {
     this.settings = settings;
     this.closer = closer;
-    ExecutorScheduler steps = closer.add(new ExecutorScheduler("larkkeel-store"));
-    this.scheduler = steps;
+    ExecutorScheduler storeScheduler = closer.add(new ExecutorScheduler("larkkeel-store"));
+    this.scheduler = storeScheduler;
     HttpWorker worker = closer.add(new HttpWorker(IO_THREADS));
     this.router = new RelayRouter(settings.router());
     this.thread = worker.worker().getIoThread();
@@ -95,7 +95,7 @@
     RelayFactLog facts = new RelayFactLog();
     RelayDialect dialect = adapter.dialect();
     UpstreamClient client =
-        closer.add(new UpstreamClient(worker, CLIENT, BootClock.SYSTEM::nanoTime));
+        closer.add(new UpstreamClient(worker, CLIENT_SETTINGS, BootClock.SYSTEM::nanoTime));
     this.executor =
         new RelayExecutor(
             loop,
@@ -108,10 +108,10 @@
               meters.accept(fact);
             });
     loop.effects(executor);
-    this.loads = closer.add(new LoadExchange(settings, worker.worker(), loop));
-    executor.tells(loads::grant, this::tell);
-    thread.execute(() -> loads.suspects(() -> router.suspects(loop.now())));
-    thread.execute(() -> loads.quotas(router));
+    this.loadExchange = closer.add(new LoadExchange(settings, worker.worker(), loop));
+    executor.tells(loadExchange::grant, this::reportSuspect);
+    thread.execute(() -> loadExchange.suspects(() -> router.suspects(loop.now())));
+    thread.execute(() -> loadExchange.quotas(router));
     loop.afterEach(this::observe);
     this.status =
         closer.add(
@@ -121,10 +121,10 @@
                 settings.metrics(),
                 this::isReady,
                 meterRegistry::scrape,
-                new QuarantineDesk(loop, router),
-                new LimitDesk(loop, router)));
+                new QuarantineAdmin(loop, router),
+                new LimitAdmin(loop, router)));
     this.listener =
-        closer.add(RelayListener.start(callers(settings), worker, loop, executor, dialect));
+        closer.add(RelayListener.start(callerSettings(settings), worker, loop, executor, dialect));
     HttpClientOptions options =
         HttpClientOptions.of(settings.store()).withTimeout(settings.storeTimeout());
     ObjectApi store = adapter.store(options, worker.worker(), scheduler);
@@ -135,8 +135,8 @@
                 settings.host(),
                 store,
                 scheduler,
-                announced(new OrderSender(client, dialect, loop)),
-                loads::rank));
+                announcedOrders(new OrderSender(client, dialect, loop)),
+                loadExchange::rank));
     RelayFeed feed =
         closer.add(
             new RelayFeed(
@@ -145,21 +145,21 @@
                 scheduler,
                 settings.watchTime(),
                 new SplittableRandom(System.nanoTime()),
-                () -> loads.live().size() + 1,
-                loads::rank,
+                () -> loadExchange.livePeers().size() + 1,
+                loadExchange::rank,
                 loop,
                 stages,
                 meters));
-    loads.changes(feed::changes, feed::others);
+    loadExchange.storeVersions(feed::newestVersions, feed::onPeerVersions);
     closer.add(loop);
     scheduler.execute(feed::start);
     PeerFeed peerFeed =
-        closer.add(new PeerFeed(settings.peer(), feed, worker, scheduler, loads::live));
+        closer.add(new PeerFeed(settings.peer(), feed, worker, scheduler, loadExchange::livePeers));
     scheduler.execute(peerFeed::start);
     settings.seeds().stream()
         .map(seed -> new InetSocketAddress(seed.getAddress(), settings.peer().getPort()))
         .filter(seed -> !seed.equals(settings.peer()))
-        .forEach(loads::meet);
+        .forEach(loadExchange::addPeer);
     scheduler.execute(stages::start);
     this.registry =
         new NodeRegistry(
@@ -167,25 +167,28 @@
             scheduler,
             settings.host(),
             settings.peer(),
-            loads::meet,
+            loadExchange::addPeer,
             suspects -> loop.submit(new RelayEvent.SuspectsHeard(loop.now(), suspects)),
             meters::unreadable);
     scheduler.execute(() -> feed.onRestored(registry::restored));
     scheduler.execute(registry::start);
   }
 
-  /** What this node has found of a request is told to the others, and kept for those to come. */
-  private void tell(RelayEffect.TellSuspect news) {
-    loads.tellSuspect(news);
-    scheduler.execute(() -> registry.keep(news.suspect()));
+  /** Reports a suspect request to the peers and stores it for nodes that start later. */
+  private void reportSuspect(RelayEffect.TellSuspect news) {
+    loadExchange.reportSuspect(news);
+    scheduler.execute(() -> registry.storeSuspect(news.suspect()));
   }
 
-  /** Orders, of which the router is told so that no work is placed on whom they concern. */
-  private StageController.Orders announced(OrderSender sender) {
+  /**
+   * Returns orders that are announced to the router first, so that it places no work on the
+   * upstreams concerned.
+   */
+  private StageController.Orders announcedOrders(OrderSender sender) {
     return (upstream, stage, holder, fencing, allowed) -> {
       loop.submit(
           new RelayEvent.Ordered(
-              loop.now(), upstream.life(), StageController.LONGEST_ORDER.toNanos()));
+              loop.now(), upstream.life(), StageController.MAX_ORDER_TIME.toNanos()));
       return sender
           .send(upstream, stage, holder, fencing, allowed)
           .whenComplete((status, failure) -> refusedOrder(upstream.life(), status));
@@ -198,8 +201,8 @@
     }
   }
 
-  private static CallerSettings callers(RelayNodeSettings settings) {
-    return CallerSettings.on(settings.caller())
+  private static CallerSettings callerSettings(RelayNodeSettings settings) {
+    return CallerSettings.on(settings.callers())
         .withSizes(MAX_BODY_BYTES, MAX_BODIES_BYTES, MAX_PENDING_BYTES)
         .withTimeouts(HEADER_MILLIS, BODY_MILLIS, IDLE_MILLIS, STALL_MILLIS);
   }
@@ -207,8 +210,8 @@
   /**
    * Starts a node.
    *
-   * @param settings where it listens, and its bounds
-   * @param adapter translates its surroundings
+   * @param settings the settings of the node
+   * @param adapter the adapter to the platform
    */
   public static RelayNode start(RelayNodeSettings settings, RelayAdapter adapter) {
     Closer closer = new Closer();
@@ -217,8 +220,8 @@
       log.info(
           "event=started host={} data_centre={} caller={} store={}",
           settings.host(),
-          settings.place(),
-          settings.caller(),
+          settings.dataCentre(),
+          settings.callers(),
           settings.store());
       return node;
     } catch (RuntimeException e) {
@@ -233,8 +236,8 @@
 
   private void observe() {
     upstreams = router.upstreams();
-    long now = loop.now();
-    loads.tell(router.loads(), router.lapsing(now), router.asks(now));
+    long nowNanos = loop.now();
+    loadExchange.update(router.loads(), router.lapsing(nowNanos), router.asks(nowNanos));
     inProgress = router.inProgress();
     boolean isReady = router.isReady();
     if (isReady != ready) {
@@ -243,33 +246,34 @@
     }
   }
 
-  /** How many upstreams it knows. */
+  /** Returns the number of known upstreams. */
   public int upstreams() {
     return upstreams;
   }
 
-  /** How many calls it has in progress. */
+  /** Returns the number of calls in progress. */
   public int inProgress() {
     return inProgress;
   }
 
-  /** Whether it takes callers. */
+  /** Returns whether the node is ready for calls and not draining. */
   public boolean isReady() {
     return ready && !draining;
   }
 
-  /** Where metrics are read and operators ask. */
+  /** Returns the address of the metrics and operator endpoints. */
   public InetSocketAddress metricsAddress() {
     return status.metricsAddress();
   }
 
-  /** Where callers connect. */
+  /** Returns the address for callers. */
   public InetSocketAddress callerAddress() {
     return listener.address();
   }
 
   /**
-   * Takes no new callers any more, finishes what it has, and ends in time; see {@link #drained}.
+   * Stops accepting new callers, completes the calls in progress and ends within the grace time;
+   * see {@link #drained}.
    */
   public synchronized void drain() {
     if (!draining) {
@@ -277,43 +281,47 @@
       log.info(
           "event=drain_begun in_progress={} leave_ms={} grace_ms={}",
           inProgress,
-          settings.leave().toMillis(),
-          settings.grace().toMillis());
+          settings.leaveTime().toMillis(),
+          settings.graceTime().toMillis());
       listener.closeAfterAnswers();
-      loads.leave();
+      loadExchange.leave();
       loop.submit(new RelayEvent.Draining(loop.now()));
-      long begun = scheduler.nanoTime();
-      scheduler.schedule(settings.leave(), () -> finish(begun));
+      long beginNanos = scheduler.nanoTime();
+      scheduler.schedule(settings.leaveTime(), () -> refuseNewCalls(beginNanos));
     }
   }
 
-  /** Completes when the process may end. */
+  /** Returns a future that completes when the process may exit. */
   public CompletableFuture<Void> drained() {
     return drained.copy();
   }
 
   /**
-   * Takes no call any more. What was taken before is looked at only after a while, when the I/O
-   * thread has counted it: else a call could be taken while the process ends.
+   * Refuses new calls. The calls in progress are checked only after a delay, when the I/O thread
+   * has counted those accepted before; otherwise the process could exit with a call just accepted.
    */
-  private void finish(long begun) {
+  private void refuseNewCalls(long beginNanos) {
     listener.refuseNew();
     loop.submit(new RelayEvent.Ticked(loop.now()));
-    scheduler.schedule(CHECK.multipliedBy(2), () -> checkDrained(begun));
+    scheduler.schedule(DRAIN_CHECK_PERIOD.multipliedBy(2), () -> checkDrained(beginNanos));
   }
 
-  private void checkDrained(long begun) {
-    long left = settings.grace().minus(BEFORE_END).toNanos() - (scheduler.nanoTime() - begun);
-    if (inProgress == 0 || left <= 0) {
+  private void checkDrained(long beginNanos) {
+    long leftNanos =
+        settings.graceTime().minus(EXIT_MARGIN).toNanos() - (scheduler.nanoTime() - beginNanos);
+    if (inProgress == 0 || leftNanos <= 0) {
       log.info("event=drain_done in_progress={}", inProgress);
-      thread.execute(this::abandonRest);
+      thread.execute(this::abandonRemaining);
     } else {
-      scheduler.schedule(CHECK, () -> checkDrained(begun));
+      scheduler.schedule(DRAIN_CHECK_PERIOD, () -> checkDrained(beginNanos));
     }
   }
 
-  /** Ends what the grace was too short for while the ends can still be seen, and is done. */
-  private void abandonRest() {
+  /**
+   * Abandons the calls that exceed the grace time while their connections can still be reset, so
+   * that upstreams and callers notice, then completes the drain.
+   */
+  private void abandonRemaining() {
     loop.close();
     executor.abandonAll();
     thread.execute(() -> drained.complete(null));
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNodeSettings.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNodeSettings.java
@@ -18,30 +18,31 @@
 /**
  * The settings of a relay node.
  *
- * <p>Immutable and safe for use by several threads.
+ * <p>Immutable and thread-safe.
  *
  * @param host the name of the node
- * @param place its data centre
- * @param caller where callers connect
- * @param readiness where readiness is asked for
- * @param metrics where metrics are served
- * @param peer where other nodes tell their load
- * @param seeds where other nodes may be found
- * @param store the store's scheme, address and port
- * @param storeTimeout the longest time of a call to it
- * @param watchTime how long a watch waits
- * @param router what steers the router
- * @param prefillShare the part of the upstreams of a service that read prompts; 0 to order none
- * @param keeperFrom from how many nodes one of them gives room to the calls of all
- * @param leave how long the node still takes calls after it was told to stop
- * @param grace when it ends at the latest
- * @param logLevel what is logged
+ * @param dataCentre its data centre
+ * @param callers the listener address for callers
+ * @param readiness the listener address for readiness checks
+ * @param metrics the listener address for metrics and operators
+ * @param peer the address for messages from peers
+ * @param seeds addresses of hosts on which peers may run
+ * @param store the scheme, address and port of the store
+ * @param storeTimeout the maximum time of a call to the store
+ * @param watchTime the maximum time of a watch
+ * @param router the settings of the router
+ * @param prefillShare the share of the prefill upstreams in each service; 0 to give no orders
+ * @param coordinatorFrom the minimum number of nodes from which a coordinator grants reservations
+ *     to the calls of all
+ * @param leaveTime the time for which the node still accepts calls after it was told to stop
+ * @param graceTime the maximum time from the order to stop until the process exits
+ * @param logLevel the minimum level of log lines
  * @since 0.1
  */
 public record RelayNodeSettings(
     HostName host,
-    DataCentreName place,
-    InetSocketAddress caller,
+    DataCentreName dataCentre,
+    InetSocketAddress callers,
     InetSocketAddress readiness,
     InetSocketAddress metrics,
     InetSocketAddress peer,
@@ -51,7 +52,7 @@
     Duration watchTime,
     RelaySettings router,
     double prefillShare,
-    int keeperFrom,
-    Duration leave,
-    Duration grace,
+    int coordinatorFrom,
+    Duration leaveTime,
+    Duration graceTime,
     LogLevel logLevel) {}
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayProgram.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayProgram.java
@@ -17,14 +17,14 @@
 import sun.misc.Signal;
 
 /**
- * The program around a relay node: reads its settings, obeys signals, ends.
+ * Runs a relay node as a program: reads its settings, handles signals and returns the exit status.
  *
  * <p>Used by the main thread.
  *
  * @since 0.1
  */
 public final class RelayProgram {
-  /** The exit status after wrong usage or settings. */
+  /** The exit status after wrong usage or invalid settings. */
   public static final int USAGE = 2;
 
   private static final int OK = 0;
@@ -39,8 +39,8 @@
    * Runs a node until it has stopped.
    *
    * @param path the settings file
-   * @param adapter translates the node's surroundings
-   * @param err gets what is wrong with the settings
+   * @param adapter the adapter to the platform
+   * @param err the stream to which problems of the settings are printed
    * @return the exit status
    */
   public static int run(String path, RelayAdapter adapter, PrintStream err) {
@@ -83,7 +83,7 @@
     node.drain();
   }
 
-  /** Tells what changed; addresses and bounds of a running node stay until its next start. */
+  /** Logs whether the settings have changed; changes take effect only after a restart. */
   private static void reload(String path, RelayNodeSettings settings) {
     switch (read(path)) {
       case Checked.Invalid<RelayNodeSettings> invalid ->
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelaySettingsReader.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelaySettingsReader.java
@@ -29,15 +29,15 @@
 import org.larkkeel.relay.RelaySettings;
 
 /**
- * Reads the settings of a relay node: JSON with comments.
+ * Reads the settings of a relay node, in JSON with comments.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Stateless and thread-safe.
  *
  * @since 0.1
  */
 public final class RelaySettingsReader {
-  /** Within this time a node hears of a change of the list of upstreams. */
-  private static final long NEWS_MILLIS = 300;
+  /** The maximum time until a node receives a change of the discovery list. */
+  private static final long REMOVAL_DELAY_MILLIS = 300;
 
   private static final String ADDRESS_REMEDY = "write an IP number and a port, as 10.0.0.1:8080";
   private static final String SEEDS_REMEDY =
@@ -48,14 +48,14 @@
       "use letters, digits and . _ / -, beginning and ending with a letter or a digit";
   private static final long HOUR_MILLIS = Duration.ofHours(1).toMillis();
   private static final int MAX_NODES = 10_000;
-  private static final double NANOS = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private RelaySettingsReader() {}
 
   /**
-   * Reads.
+   * Reads settings.
    *
-   * @param source names the text in messages
+   * @param source the name of the text in messages
    * @param text the settings
    */
   public static Checked<RelayNodeSettings> read(String source, String text) {
@@ -67,7 +67,7 @@
     return Checked.of(settings, problems.build());
   }
 
-  /** What is said of a file that can not be read. */
+  /** Returns the problem of a file that can not be read. */
   static Checked<RelayNodeSettings> unreadable(String source, IOException cause) {
     ProblemCollector problems = new ProblemCollector(source, Severity.ERROR);
     problems.error(
@@ -81,14 +81,14 @@
 
   private static RelayNodeSettings settings(FieldReader top) {
     HostName host = required(top, RelaySettingsKeys.HOST, HostName::new, NAME_REMEDY);
-    DataCentreName place =
+    DataCentreName dataCentre =
         required(top, RelaySettingsKeys.DATA_CENTRE, DataCentreName::new, NAME_REMEDY);
     FieldReader listeners = top.child(RelaySettingsKeys.LISTENERS, RelaySettingsKeys.IN_LISTENERS);
     FieldReader store = top.child(RelaySettingsKeys.STORE, RelaySettingsKeys.IN_STORE);
     FieldReader stop = top.child(RelaySettingsKeys.STOP, RelaySettingsKeys.IN_STOP);
     return new RelayNodeSettings(
         host,
-        place,
+        dataCentre,
         required(listeners, RelaySettingsKeys.CALLER, RelaySettingsReader::address, ADDRESS_REMEDY),
         required(
             listeners, RelaySettingsKeys.READINESS, RelaySettingsReader::address, ADDRESS_REMEDY),
@@ -104,7 +104,7 @@
             ADDRESS_REMEDY),
         Duration.ofMillis(store.whole(RelaySettingsKeys.TIMEOUT_MILLIS, 1, HOUR_MILLIS, 1_000)),
         Duration.ofMillis(store.whole(RelaySettingsKeys.WATCH_MILLIS, 1, HOUR_MILLIS, 10_000)),
-        router(top, place, host),
+        router(top, dataCentre, host),
         number(top, RelaySettingsKeys.PREFILL_SHARE, 0),
         (int) top.whole(RelaySettingsKeys.KEEPER_FROM_NODES, 2, MAX_NODES, 16),
         Duration.ofMillis(stop.whole(RelaySettingsKeys.LEAVE_MILLIS, 0, HOUR_MILLIS, 3_000)),
@@ -112,16 +112,16 @@
         top.choice(RelaySettingsKeys.LOG_LEVEL, LogLevel.class, LogLevel.INFO));
   }
 
-  private static RelaySettings router(FieldReader top, DataCentreName place, HostName host) {
+  private static RelaySettings router(FieldReader top, DataCentreName dataCentre, HostName host) {
     FieldReader repeats = top.child(RelaySettingsKeys.REPEATS, RelaySettingsKeys.IN_REPEATS);
     return new RelaySettings(
-        place,
+        dataCentre,
         number(repeats, RelaySettingsKeys.SHARE, 0.1),
         number(repeats, RelaySettingsKeys.SLACK, 20),
         seconds(repeats, RelaySettingsKeys.WINDOW_SECONDS, Duration.ofSeconds(10)).toNanos(),
         (int) repeats.whole(RelaySettingsKeys.NODES, 1, MAX_NODES, 1),
         (int) top.whole(RelaySettingsKeys.STAGE_TOKENS, 1, Integer.MAX_VALUE, 512),
-        missing(top).toNanos(),
+        missingTime(top).toNanos(),
         host == null ? 0 : host.value().hashCode(),
         tolerance(top));
   }
@@ -129,18 +129,19 @@
   private static QuotaTolerance tolerance(FieldReader top) {
     FieldReader quotas = top.child(RelaySettingsKeys.QUOTAS, RelaySettingsKeys.IN_QUOTAS);
     return new QuotaTolerance(
-        seconds(quotas, RelaySettingsKeys.WINDOW_SECONDS, Duration.ofSeconds(1)).toNanos() / NANOS,
+        seconds(quotas, RelaySettingsKeys.WINDOW_SECONDS, Duration.ofSeconds(1)).toNanos()
+            / NANOS_PER_SECOND,
         number(quotas, RelaySettingsKeys.SHARE, 0),
         number(quotas, RelaySettingsKeys.SLACK, 0));
   }
 
   /**
-   * How long an upstream is used after this node has heard that it vanished: the time from then on
-   * less that in which the node hears of it.
+   * Returns the time for which an upstream is used after this node has received its removal from
+   * the discovery list: the configured time less the time that the removal may take to arrive.
    */
-  private static Duration missing(FieldReader top) {
+  private static Duration missingTime(FieldReader top) {
     long millis = top.whole(RelaySettingsKeys.MISSING_MILLIS, 0, HOUR_MILLIS, 1_500);
-    return Duration.ofMillis(Math.max(0, millis - NEWS_MILLIS));
+    return Duration.ofMillis(Math.max(0, millis - REMOVAL_DELAY_MILLIS));
   }
 
   private static <T> T required(
@@ -151,11 +152,11 @@
     return fields.parsed(key, parser, remedy).orElse(null);
   }
 
-  private static double number(FieldReader fields, String key, double absent) {
-    return fields.parsed(key, RelaySettingsReader::nonNegative, NUMBER_REMEDY).orElse(absent);
+  private static double number(FieldReader fields, String key, double defaultValue) {
+    return fields.parsed(key, RelaySettingsReader::nonNegative, NUMBER_REMEDY).orElse(defaultValue);
   }
 
-  private static Duration seconds(FieldReader fields, String key, Duration absent) {
+  private static Duration seconds(FieldReader fields, String key, Duration defaultValue) {
     Optional<Double> read =
         fields.parsed(
             key,
@@ -167,7 +168,7 @@
               return value;
             },
             SECONDS_REMEDY);
-    return read.map(s -> Duration.ofNanos((long) (s * NANOS))).orElse(absent);
+    return read.map(s -> Duration.ofNanos((long) (s * NANOS_PER_SECOND))).orElse(defaultValue);
   }
 
   private static double nonNegative(String text) {
--- /dev/null
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
@@ -0,0 +1,279 @@
+/*
+ * Copyright (C) 2026 The larkkeel authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+
+package org.larkkeel.daemon.relay;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableMap;
+import com.google.common.collect.ImmutableSet;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.LongSupplier;
+import org.larkkeel.lib.HostName;
+import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.relay.RelayEffect;
+
+/**
+ * The coordinator side of reservations: the load reports of the nodes, the total load of all nodes,
+ * and the grants that are still to be sent.
+ *
+ * <p>The router decides which calls get a reservation. Not thread-safe.
+ */
+final class ReservationServer {
+  /** The minimum interval between two reports of total loads. */
+  static final long TOTALS_NANOS = 60_000_000L;
+
+  /**
+   * The maximum interval between two reports of any kind; clients take their receipt as a sign of
+   * life.
+   */
+  private static final long MAX_INTERVAL_NANOS = 390_000_000L;
+
+  /** The maximum interval between two reports of all changed total loads. */
+  private static final long CHANGES_INTERVAL_NANOS = 750_000_000L;
+
+  /**
+   * The interval between two complete reports, which bounds how long a node that lost a message
+   * uses an outdated total. With 200 upstreams, 160 streams and 40 nodes, complete reports every
+   * time cost a node 11.2 KB per second; mostly sending changes costs below 5 KB per second.
+   */
+  private static final long COMPLETE_INTERVAL_NANOS = 1_500_000_000L;
+
+  /**
+   * The minimum change, in requests over all upstreams, that is reported without waiting for the
+   * maximum interval.
+   */
+  private static final long MIN_REPORTED_CHANGE = 6;
+
+  /** The time after which the load report of a node expires. */
+  private static final long REPORT_EXPIRY_NANOS = 1_500_000_000L;
+
+  private final LongSupplier clock;
+  private final BiConsumer<HostName, Answer> sender;
+  private final Map<HostName, Report> reports = new LinkedHashMap<>();
+  private final Map<HostName, ImmutableList.Builder<ReservationGrant>> grants =
+      new LinkedHashMap<>();
+
+  /** The total load of all nodes by their last reports. */
+  private final Map<UpstreamLife, Long> totalLoads = new HashMap<>();
+
+  /** The total load by the last report that was sent to the nodes. */
+  private final Map<UpstreamLife, Long> reportedLoads = new HashMap<>();
+
+  /** The upstreams whose total load has changed since the last report. */
+  private final Set<UpstreamLife> changedUpstreams = new LinkedHashSet<>();
+
+  private ImmutableMap<UpstreamLife, Long> ownLoads = ImmutableMap.of();
+  private long lastSentNanos;
+  private long lastChangesNanos;
+  private long lastCompleteNanos;
+  private boolean completeDue = true;
+
+  /** A message to a node that reports here. */
+  sealed interface Answer {
+    /**
+     * The total load without that of the receiver.
+     *
+     * @param loads the load at each upstream; if incomplete, at those where it has changed, with 0
+     *     for no load
+     * @param expiringUpstreams the upstreams at which prefill results expired prematurely
+     * @param isComplete true if {@code loads} covers all upstreams, false if it holds changes only
+     */
+    record TotalLoads(
+        ImmutableMap<UpstreamLife, Long> loads,
+        ImmutableSet<UpstreamLife> expiringUpstreams,
+        boolean isComplete)
+        implements Answer {}
+
+    /** Grants for calls of the receiver; without any, this only acknowledges its requests. */
+    record Grants(ImmutableList<ReservationGrant> grants) implements Answer {}
+  }
+
+  private record Report(long receivedNanos, PeerMessage message) {}
+
+  ReservationServer(LongSupplier clock, BiConsumer<HostName, Answer> sender) {
+    this.clock = clock;
+    this.sender = sender;
+  }
+
+  /** Updates the load of this node. */
+  void ownLoads(ImmutableMap<UpstreamLife, Long> loads) {
+    if (loads != ownLoads) {
+      updateTotals(ownLoads, loads);
+      ownLoads = loads;
+    }
+  }
+
+  /** Records the load report of another node. */
+  void received(PeerMessage message) {
+    Report previous = reports.put(message.sender().node(), new Report(clock.getAsLong(), message));
+    completeDue |= previous == null;
+    updateTotals(
+        previous == null ? ImmutableMap.of() : previous.message().loads(), message.loads());
+  }
+
+  /** Replaces one node's previous load by its current load in the totals. */
+  private void updateTotals(Map<UpstreamLife, Long> previous, Map<UpstreamLife, Long> current) {
+    current.forEach(
+        (incarnation, units) -> add(incarnation, units - previous.getOrDefault(incarnation, 0L)));
+    previous.forEach(
+        (incarnation, units) -> {
+          if (!current.containsKey(incarnation)) {
+            add(incarnation, -units);
+          }
+        });
+  }
+
+  private void add(UpstreamLife incarnation, long units) {
+    if (units == 0) {
+      return;
+    }
+    totalLoads.merge(incarnation, units, (a, b) -> a + b == 0 ? null : Long.valueOf(a + b));
+    if (totalLoads.containsKey(incarnation) || reportedLoads.containsKey(incarnation)) {
+      changedUpstreams.add(incarnation);
+    } else {
+      changedUpstreams.remove(incarnation);
+    }
+  }
+
+  /** Returns the number of upstream incarnations for which state is kept. */
+  int trackedIncarnations() {
+    Set<UpstreamLife> all = new LinkedHashSet<>(changedUpstreams);
+    all.addAll(totalLoads.keySet());
+    all.addAll(reportedLoads.keySet());
+    return all.size();
+  }
+
+  /** Returns whether other nodes report here, so that the load of each is known. */
+  boolean hasReports() {
+    dropUnresponsive();
+    return !reports.isEmpty();
+  }
+
+  private void dropUnresponsive() {
+    long nowNanos = clock.getAsLong();
+    for (Iterator<Report> i = reports.values().iterator(); i.hasNext(); ) {
+      Report r = i.next();
+      if (nowNanos - r.receivedNanos() > REPORT_EXPIRY_NANOS) {
+        i.remove();
+        updateTotals(r.message().loads(), ImmutableMap.of());
+      }
+    }
+  }
+
+  /** Adds the grant of a reservation, which is sent with the next {@link #sendGrants}. */
+  void grant(RelayEffect.GrantRoom grant) {
+    grants
+        .computeIfAbsent(grant.node(), n -> ImmutableList.builder())
+        .add(new ReservationGrant(grant.call(), grant.home(), grant.reader()));
+  }
+
+  /**
+   * Acknowledges the requests of a node with the next {@link #sendGrants}, also if none was
+   * granted.
+   */
+  void acknowledge(HostName node) {
+    grants.computeIfAbsent(node, n -> ImmutableList.builder());
+  }
+
+  /** Sends the collected grants and acknowledgements. */
+  void sendGrants() {
+    if (grants.isEmpty()) {
+      return;
+    }
+    Map<HostName, ImmutableList.Builder<ReservationGrant>> toSend = new LinkedHashMap<>(grants);
+    grants.clear();
+    toSend.forEach((node, granted) -> sender.accept(node, new Answer.Grants(granted.build())));
+  }
+
+  /**
+   * Sends the load of all other nodes to each node that reports here, if it has changed enough or
+   * the last report is old; to be called every {@link #TOTALS_NANOS}. Most reports hold changes
+   * only; a complete one is sent periodically, because messages may be lost.
+   */
+  void sendTotalLoads() {
+    dropUnresponsive();
+    long nowNanos = clock.getAsLong();
+    if (completeDue || nowNanos - lastCompleteNanos >= COMPLETE_INTERVAL_NANOS) {
+      completeDue = false;
+      lastCompleteNanos = nowNanos;
+      lastChangesNanos = nowNanos;
+      sendLoads(totalLoads.keySet(), true);
+      reportedLoads.clear();
+      reportedLoads.putAll(totalLoads);
+      changedUpstreams.clear();
+    } else if (nowNanos - lastChangesNanos >= CHANGES_INTERVAL_NANOS
+        || nowNanos - lastSentNanos >= MAX_INTERVAL_NANOS) {
+      lastChangesNanos = nowNanos;
+      sendChanged(ImmutableSet.copyOf(changedUpstreams));
+    } else {
+      ImmutableSet<UpstreamLife> changedRequests = changedRequestLoads();
+      if (changedRequests.stream().mapToLong(this::difference).sum() >= MIN_REPORTED_CHANGE) {
+        sendChanged(changedRequests);
+      }
+    }
+  }
+
+  private void sendChanged(ImmutableSet<UpstreamLife> selected) {
+    sendLoads(selected, false);
+    for (UpstreamLife incarnation : selected) {
+      reportedLoads.put(incarnation, totalLoads.getOrDefault(incarnation, 0L));
+      changedUpstreams.remove(incarnation);
+    }
+  }
+
+  /**
+   * Returns the changed upstreams whose load is counted in requests. Memory is reserved by this
+   * node, so the others need not know changes of memory loads at once.
+   */
+  private ImmutableSet<UpstreamLife> changedRequestLoads() {
+    return changedUpstreams.stream()
+        .filter(
+            incarnation -> totalLoads.getOrDefault(incarnation, 0L) < LoadChange.MIN_TOKEN_UNITS)
+        .filter(
+            incarnation -> reportedLoads.getOrDefault(incarnation, 0L) < LoadChange.MIN_TOKEN_UNITS)
+        .collect(ImmutableSet.toImmutableSet());
+  }
+
+  private long difference(UpstreamLife incarnation) {
+    return Math.abs(
+        totalLoads.getOrDefault(incarnation, 0L) - reportedLoads.getOrDefault(incarnation, 0L));
+  }
+
+  private void sendLoads(Set<UpstreamLife> selected, boolean isComplete) {
+    lastSentNanos = clock.getAsLong();
+    ImmutableSet.Builder<UpstreamLife> expiring = ImmutableSet.builder();
+    reports.values().forEach(r -> expiring.addAll(r.message().expiringUpstreams()));
+    final ImmutableSet<UpstreamLife> expiringUpstreams = expiring.build();
+    for (Report r : reports.values()) {
+      ImmutableMap<UpstreamLife, Long> loads =
+          loadsOfOthers(selected, r.message().loads(), isComplete);
+      sender.accept(
+          r.message().sender().node(), new Answer.TotalLoads(loads, expiringUpstreams, isComplete));
+    }
+  }
+
+  private ImmutableMap<UpstreamLife, Long> loadsOfOthers(
+      Set<UpstreamLife> selected,
+      ImmutableMap<UpstreamLife, Long> ownLoadsOfReceiver,
+      boolean isComplete) {
+    ImmutableMap.Builder<UpstreamLife, Long> loads = ImmutableMap.builder();
+    for (UpstreamLife incarnation : selected) {
+      long units =
+          totalLoads.getOrDefault(incarnation, 0L)
+              - ownLoadsOfReceiver.getOrDefault(incarnation, 0L);
+      if (units > 0 || !isComplete) {
+        loads.put(incarnation, Math.max(0, units));
+      }
+    }
+    return loads.buildOrThrow();
+  }
+}
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StageController.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StageController.java
@@ -37,48 +37,56 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the part of each service's upstreams that read prompts near the share that is wanted, by
- * orders to upstreams of the stage that has too many.
+ * Keeps the share of prefill upstreams in each service near its target, by ordering upstreams of
+ * the surplus stage to change it.
  *
- * <p>Only the holder of a lease orders, and the lease is sought only while an order is due, so that
- * a fleet in balance costs no call. Invariants: one order at a time; the lease is kept until the
- * order must have been carried out, so that no two holders order one upstream in turns; no order is
- * written once the upstream has started again, but one that is on its way may reach the new life,
- * so that the next order waits as long as after any other. Works on the scheduler.
+ * <p>Only the holder of a lease gives orders, and the lease is sought only while an order is due,
+ * so that a balanced cluster makes no calls to the store. Invariants: only one order is in progress
+ * at a time; the lease is kept until the order must have been carried out, so that no two holders
+ * give an upstream alternating orders; no order is sent once the upstream has restarted. An order
+ * on its way may still reach the new incarnation, so the next order waits as long as after any
+ * other. Runs on the scheduler.
  */
 final class StageController implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(StageController.class);
   private static final String LEASE = "stages";
   private static final Duration LEASE_TIME = Duration.ofSeconds(6);
-  private static final Duration LOOK = Duration.ofMillis(500);
+  private static final Duration CHECK_PERIOD = Duration.ofMillis(500);
 
-  /** How long an upstream may take to carry an order out, with the work that it has. */
-  static final Duration LONGEST_ORDER = Duration.ofSeconds(15);
+  /** The maximum time in which an upstream carries an order out, including the work that it has. */
+  static final Duration MAX_ORDER_TIME = Duration.ofSeconds(15);
 
-  /** How long the share must be wrong before the lease is sought, and for each rank longer. */
-  private static final Duration STEADY_AT_START = Duration.ofMillis(1_500);
+  /**
+   * The time for which the share must be off target before the lease is sought, until it was on
+   * target once; {@link #DELAY_PER_RANK} is added per rank.
+   */
+  private static final Duration INITIAL_STEADY_TIME = Duration.ofMillis(1_500);
 
   /**
-   * As the other, once it was right: an upstream that crashed may be back soon, and one that is
-   * ordered serves nothing for some time.
+   * The time for which the share must be off target before the lease is sought, once it was on
+   * target. It is longer, because an upstream that crashed may be back soon and one that changes
+   * its stage serves nothing for some time.
    */
-  private static final Duration STEADY = Duration.ofSeconds(5);
+  private static final Duration STEADY_TIME = Duration.ofSeconds(5);
 
-  /** How many upstreams must be left that run calls. */
-  private static final int LEAST_RUNNERS = 2;
+  /** The minimum number of upstreams that must keep running calls. */
+  private static final int MIN_RUNNERS = 2;
 
-  private static final Duration BY_RANK = Duration.ofMillis(2_500);
+  private static final Duration DELAY_PER_RANK = Duration.ofMillis(2_500);
 
-  /** How long an order may take to show; the lease is kept for as long. */
-  private static final Duration SETTLING = Duration.ofSeconds(12);
+  /** The maximum time until an order shows in the store; the lease is kept for as long. */
+  private static final Duration SETTLING_TIME = Duration.ofSeconds(12);
 
-  /** How long an upstream that was ordered in vain is left alone. */
-  private static final Duration AGAIN = Duration.ofSeconds(60);
+  /** The minimum time between two orders to the same upstream, if the first had no effect. */
+  private static final Duration REORDER_TIME = Duration.ofSeconds(60);
 
-  /** How much of the lease must be left for an order. */
-  private static final Duration LEAST_LEFT = Duration.ofSeconds(2);
+  /** The minimum remaining lease time for giving an order. */
+  private static final Duration MIN_LEASE_LEFT = Duration.ofSeconds(2);
 
-  /** What the share is rounded by, so that a little more than a whole number adds no upstream. */
+  /**
+   * Subtracted before rounding up, so that a fraction just above a whole number does not add an
+   * upstream.
+   */
   private static final double ROUNDING = 0.2;
 
   private final double prefillShare;
@@ -87,21 +95,21 @@
   private final Orders orders;
   private final IntSupplier rank;
   private final Lease lease;
-  private final Map<UpstreamLife, Long> ordered = new HashMap<>();
+  private final Map<UpstreamLife, Long> orderNanos = new HashMap<>();
 
-  /** Read on other threads too, right before an order is written. */
+  /** Also read on other threads, right before an order is sent. */
   private final ConcurrentMap<UpstreamName, RelayUpstream> upstreams = new ConcurrentHashMap<>();
 
-  private long wrongSince = Long.MAX_VALUE;
-  private long orderedAt = Long.MIN_VALUE;
-  private boolean seeking;
-  private boolean wasRight;
+  private long offTargetSinceNanos = Long.MAX_VALUE;
+  private long lastOrderNanos = Long.MIN_VALUE;
+  private boolean seekingLease;
+  private boolean wasOnTarget;
   private boolean closed;
 
-  /** What is to be ordered. */
+  /** An order that is due. */
   private record Change(RelayUpstream upstream, Stage stage) {}
 
-  /** Gives an order; see {@link org.larkkeel.http.relay.OrderSender#send}. */
+  /** Sends an order; see {@link org.larkkeel.http.relay.OrderSender#send}. */
   interface Orders {
     CompletableFuture<Integer> send(
         RelayUpstream upstream, Stage stage, String holder, long fencing, BooleanSupplier allowed);
@@ -119,127 +127,136 @@
     this.scheduler = scheduler;
     this.orders = orders;
     this.rank = rank;
-    Incarnation start = new Incarnation(Math.max(1, scheduler.wallMillis()));
+    Incarnation incarnation = new Incarnation(Math.max(1, scheduler.wallMillis()));
     this.lease =
         new Lease(
             store,
             LEASE,
-            new WriterId(self, start),
+            new WriterId(self, incarnation),
             scheduler,
-            new SplittableRandom(start.value()),
+            new SplittableRandom(incarnation.value()),
             LEASE_TIME);
   }
 
   void start() {
     if (prefillShare > 0) {
-      scheduler.schedule(LOOK, this::look);
+      scheduler.schedule(CHECK_PERIOD, this::check);
     }
   }
 
-  /** Takes over changes of the list of upstreams. */
+  /** Applies changes of the discovery list. */
   void upstreams(
       ImmutableMap<UpstreamName, RelayUpstream> changed, ImmutableSet<UpstreamName> removed) {
     upstreams.putAll(changed);
     removed.forEach(upstreams::remove);
   }
 
-  private void look() {
+  private void check() {
     if (closed) {
       return;
     }
-    scheduler.schedule(LOOK, this::look);
-    long now = scheduler.nanoTime();
-    Optional<Change> due = due(now);
-    if (due.isEmpty()) {
-      wasRight |= !upstreams.isEmpty();
-      wrongSince = Long.MAX_VALUE;
-      if (seeking && isSettled(now)) {
-        seeking = false;
+    scheduler.schedule(CHECK_PERIOD, this::check);
+    long nowNanos = scheduler.nanoTime();
+    Optional<Change> dueChange = dueChange(nowNanos);
+    if (dueChange.isEmpty()) {
+      wasOnTarget |= !upstreams.isEmpty();
+      offTargetSinceNanos = Long.MAX_VALUE;
+      if (seekingLease && isSettled(nowNanos)) {
+        seekingLease = false;
         lease.release();
       }
       return;
     }
-    wrongSince = Math.min(wrongSince, now);
-    Duration steady = wasRight ? STEADY : STEADY_AT_START;
-    Duration wait = steady.plus(BY_RANK.multipliedBy(rank.getAsInt()));
-    if (!seeking && now - wrongSince >= wait.toNanos()) {
-      seeking = true;
+    offTargetSinceNanos = Math.min(offTargetSinceNanos, nowNanos);
+    Duration steady = wasOnTarget ? STEADY_TIME : INITIAL_STEADY_TIME;
+    Duration wait = steady.plus(DELAY_PER_RANK.multipliedBy(rank.getAsInt()));
+    if (!seekingLease && nowNanos - offTargetSinceNanos >= wait.toNanos()) {
+      seekingLease = true;
       lease.start();
     }
-    if (seeking && isSettled(now)) {
-      lease.tenure().ifPresent(t -> order(now, due.get(), t));
+    if (seekingLease && isSettled(nowNanos)) {
+      lease.tenure().ifPresent(t -> order(nowNanos, dueChange.get(), t));
     }
   }
 
-  private boolean isSettled(long now) {
-    return orderedAt == Long.MIN_VALUE || now - orderedAt >= SETTLING.toNanos();
+  private boolean isSettled(long nowNanos) {
+    return lastOrderNanos == Long.MIN_VALUE || nowNanos - lastOrderNanos >= SETTLING_TIME.toNanos();
   }
 
-  /** What is to change; empty if the share is right. */
-  private Optional<Change> due(long now) {
+  /** Returns the order that is due; empty if all services are on target. */
+  private Optional<Change> dueChange(long nowNanos) {
     Map<ServiceName, List<RelayUpstream>> services =
         upstreams.values().stream()
             .filter(u -> u.stage() != Stage.WHOLE && !u.leaving())
             .collect(Collectors.groupingBy(RelayUpstream::service));
-    return services.values().stream().flatMap(all -> due(all, now).stream()).findFirst();
+    return services.values().stream()
+        .flatMap(serviceUpstreams -> dueChange(serviceUpstreams, nowNanos).stream())
+        .findFirst();
   }
 
-  private Optional<Change> due(List<RelayUpstream> all, long now) {
-    long prefills = prefills(all);
-    long wanted = wanted(all.size());
-    if (prefills > wanted) {
-      return surplusReader(all, now).map(u -> new Change(u, Stage.DECODE));
+  private Optional<Change> dueChange(List<RelayUpstream> serviceUpstreams, long nowNanos) {
+    long prefillCount = prefillCount(serviceUpstreams);
+    long wantedCount = wantedPrefills(serviceUpstreams.size());
+    if (prefillCount > wantedCount) {
+      return surplusPrefill(serviceUpstreams, nowNanos).map(u -> new Change(u, Stage.DECODE));
     }
-    if (prefills < wanted && all.size() - prefills > LEAST_RUNNERS) {
-      return surplusRunner(all, now).map(u -> new Change(u, Stage.PREFILL));
+    if (prefillCount < wantedCount && serviceUpstreams.size() - prefillCount > MIN_RUNNERS) {
+      return surplusDecode(serviceUpstreams, nowNanos).map(u -> new Change(u, Stage.PREFILL));
     }
     return Optional.empty();
   }
 
-  private static long prefills(List<RelayUpstream> all) {
+  private static long prefillCount(List<RelayUpstream> all) {
     return all.stream().filter(u -> u.stage() == Stage.PREFILL).count();
   }
 
-  private long wanted(int all) {
-    return Math.max(1, (long) Math.ceil(prefillShare * all - ROUNDING));
+  private long wantedPrefills(int upstreamCount) {
+    return Math.max(1, (long) Math.ceil(prefillShare * upstreamCount - ROUNDING));
   }
 
-  /** The reader in the data centre that runs least. */
-  private Optional<RelayUpstream> surplusReader(List<RelayUpstream> all, long now) {
+  /**
+   * Returns the prefill upstream to convert: one in the data centre with the fewest upstreams that
+   * run calls.
+   */
+  private Optional<RelayUpstream> surplusPrefill(List<RelayUpstream> all, long nowNanos) {
     return all.stream()
-        .filter(u -> u.stage() == Stage.PREFILL && mayBeOrdered(u, now))
-        .min(byRunners(all));
+        .filter(u -> u.stage() == Stage.PREFILL && mayBeOrdered(u, nowNanos))
+        .min(byRunnerCount(all));
   }
 
-  /** The runner in the data centre that runs most. */
-  private Optional<RelayUpstream> surplusRunner(List<RelayUpstream> all, long now) {
+  /**
+   * Returns the decode upstream to convert: one in the data centre with the most upstreams that run
+   * calls.
+   */
+  private Optional<RelayUpstream> surplusDecode(List<RelayUpstream> all, long nowNanos) {
     return all.stream()
-        .filter(u -> u.stage() == Stage.DECODE && mayBeOrdered(u, now))
-        .max(byRunners(all));
+        .filter(u -> u.stage() == Stage.DECODE && mayBeOrdered(u, nowNanos))
+        .max(byRunnerCount(all));
   }
 
-  private boolean mayBeOrdered(RelayUpstream u, long now) {
-    return now - ordered.getOrDefault(u.life(), now - AGAIN.toNanos()) >= AGAIN.toNanos();
+  private boolean mayBeOrdered(RelayUpstream u, long nowNanos) {
+    return nowNanos - orderNanos.getOrDefault(u.life(), nowNanos - REORDER_TIME.toNanos())
+        >= REORDER_TIME.toNanos();
   }
 
-  private static Comparator<RelayUpstream> byRunners(List<RelayUpstream> all) {
-    return Comparator.comparingLong((RelayUpstream u) -> runners(all, u))
+  private static Comparator<RelayUpstream> byRunnerCount(List<RelayUpstream> all) {
+    return Comparator.comparingLong((RelayUpstream u) -> runnerCount(all, u))
         .thenComparing(RelayUpstream::id);
   }
 
-  private static long runners(List<RelayUpstream> all, RelayUpstream near) {
+  private static long runnerCount(List<RelayUpstream> all, RelayUpstream near) {
     return all.stream().filter(u -> u.place().equals(near.place()) && u.stage().runs()).count();
   }
 
-  private void order(long now, Change change, Tenure tenure) {
-    if (tenure.until() - now < LEAST_LEFT.toNanos()) {
+  private void order(long nowNanos, Change change, Tenure term) {
+    if (term.until() - nowNanos < MIN_LEASE_LEFT.toNanos()) {
       return;
     }
-    orderedAt = now;
+    lastOrderNanos = nowNanos;
     RelayUpstream upstream = change.upstream();
-    ordered.values().removeIf(at -> now - at >= AGAIN.toNanos());
-    ordered.put(upstream.life(), now);
-    long fencing = tenure.fencing().value();
+    orderNanos.values().removeIf(at -> nowNanos - at >= REORDER_TIME.toNanos());
+    orderNanos.put(upstream.life(), nowNanos);
+    long fencing = term.fencing().value();
     log.info(
         "event=ordered upstream={} start={} stage={} fencing={} upstreams={}",
         upstream.id(),
@@ -253,7 +270,7 @@
             change.stage(),
             self.value(),
             fencing,
-            () -> tenure.isHeld(scheduler.nanoTime()) && isCurrent(upstream.life()))
+            () -> term.isHeld(scheduler.nanoTime()) && isCurrent(upstream.life()))
         .whenComplete(
             (status, failure) ->
                 log.info(
@@ -263,9 +280,9 @@
                     failure == null ? status : failure.getMessage()));
   }
 
-  private boolean isCurrent(UpstreamLife life) {
-    RelayUpstream now = upstreams.get(life.name());
-    return now != null && now.life().equals(life);
+  private boolean isCurrent(UpstreamLife incarnation) {
+    RelayUpstream current = upstreams.get(incarnation.name());
+    return current != null && current.life().equals(incarnation);
   }
 
   @Override
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StatusListener.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StatusListener.java
@@ -18,10 +18,9 @@
 import org.larkkeel.http.operator.OperatorPaths;
 
 /**
- * Tells whether the node takes callers, its metrics, which requests are quarantined, and which
- * limits upstreams name.
+ * Serves readiness, metrics, the quarantined requests and the announced rate limits of upstreams.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class StatusListener implements AutoCloseable {
   private static final String METRICS = "/metrics";
@@ -56,7 +55,10 @@
             .build();
   }
 
-  /** Listens at both addresses; the desks of operators answer at that of the metrics. */
+  /**
+   * Starts listening at both addresses; the operator endpoints are served at the address of the
+   * metrics.
+   */
   static StatusListener start(
       HttpWorker worker,
       InetSocketAddress readiness,
@@ -72,10 +74,10 @@
   }
 
   private void readiness(HttpServerExchange exchange) {
-    boolean now = ready.getAsBoolean();
-    exchange.setStatusCode(now ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
+    boolean isReady = ready.getAsBoolean();
+    exchange.setStatusCode(isReady ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; charset=utf-8");
-    exchange.getResponseSender().send(now ? "ready\n" : "not ready\n");
+    exchange.getResponseSender().send(isReady ? "ready\n" : "not ready\n");
   }
 
   private void metrics(HttpServerExchange exchange) throws Exception {
@@ -96,7 +98,7 @@
     exchange.getResponseSender().send(scrape.get());
   }
 
-  /** Where metrics are read. */
+  /** Returns the address of the metrics. */
   InetSocketAddress metricsAddress() {
     return (InetSocketAddress) server.getListenerInfo().getLast().getAddress();
   }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/SuspectSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/SuspectSharing.java
@@ -21,46 +21,53 @@
 import org.larkkeel.relay.Suspect;
 
 /**
- * Tells other nodes of requests under which upstreams ended.
+ * Shares suspect requests, which were in progress at upstreams that crashed, with the peers.
  *
- * <p>In a small fleet all are told at once of what a node finds out itself. In a larger one most
- * calls that an upstream had when it ended never come again, and to tell all of each would cost
- * messages with the square of the nodes: there a few nodes, which follow from the request, are
- * told, and tell all once ends of a request have met at them. What is told at once is told again a
- * little later in case a message is lost. All that is known is told to a few nodes in turn, time
- * and again, so that those that were cut off, stood still or started since learn of it as well. Not
- * safe for use by several threads.
+ * <p>In a small cluster each node reports its own findings to all peers at once. In a large cluster
+ * most calls that were in progress at a crash never come again, and reporting each to all would
+ * cost a number of messages that grows with the square of the nodes. There, findings go to a few
+ * collector nodes, chosen by a hash of the request; a collector reports a request to all once it
+ * has merged several crashes of it. Immediate reports are repeated a little later in case a message
+ * is lost. In addition, all known suspects are gossiped to a few peers in turn, so that nodes that
+ * were partitioned, suspended or started since receive them as well. Not thread-safe.
  */
 final class SuspectSharing {
-  private static final long MILLI = 1_000_000L;
-  private static final long[] AGAIN_NANOS = {300 * MILLI, 1_000 * MILLI};
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long[] RESEND_DELAYS_NANOS = {
+    300 * NANOS_PER_MILLI, 1_000 * NANOS_PER_MILLI
+  };
 
-  /** Up to so many other nodes, all are told of each end. */
-  private static final int FEW = 16;
+  /** The maximum number of peers with which every crash is reported to all. */
+  private static final int MAX_PEERS_FOR_BROADCAST = 16;
 
-  /** How many nodes are told of a single end in a larger fleet. */
+  /** The number of collectors of a request in a large cluster. */
   private static final int COLLECTORS = 3;
 
-  /** One of so many periods. */
-  private static final int PERIODS = 3;
+  /** The number of periods between two rounds of gossip. */
+  private static final int GOSSIP_PERIODS = 3;
 
-  private static final int PEERS_EACH = 3;
+  private static final int PEERS_PER_GOSSIP = 3;
 
-  /** So many fit a datagram, with all the ends that one may have. */
-  private static final int MOST_IN_MESSAGE = 100;
+  /**
+   * The maximum number of suspects in a message; they fit a datagram with the maximum number of
+   * crashes each.
+   */
+  private static final int MAX_IN_MESSAGE = 100;
 
-  private static final int MOST_REMEMBERED = 1_024;
+  private static final int MAX_REMEMBERED = 1_024;
 
   private final HostName self;
   private final PeerTable peers;
-  private final LoadSharing.Surroundings around;
-  private final BiConsumer<PeerTable.Peer, ImmutableList<Suspect>> send;
-  private final Map<Fingerprint, Extent> toldToAll = new HashMap<>();
-  private Supplier<ImmutableList<Suspect>> known = ImmutableList::of;
+  private final LoadSharing.Surroundings environment;
+  private final BiConsumer<PeerTable.Peer, ImmutableList<Suspect>> sender;
+  private final Map<Fingerprint, Extent> reportedToAll = new HashMap<>();
+  private Supplier<ImmutableList<Suspect>> knownSuspects = ImmutableList::of;
   private int periods;
-  private int turn;
+  private int nextPeer;
 
-  /** How much is known of a request. */
+  /**
+   * The amount of knowledge about a request: its clearance epoch and the number of crashes in it.
+   */
   private record Extent(int epoch, int ends) {
     static Extent of(Suspect s) {
       return new Extent(s.epoch(), s.ends().size());
@@ -68,93 +75,97 @@
   }
 
   /**
-   * Begins with nothing known.
+   * Creates an instance that knows no suspects.
    *
-   * @param self this node, from whose name the order of its turns follows
-   * @param peers the other nodes
-   * @param around what it works in
-   * @param send sends some suspects to a node
+   * @param self the name of this node, which determines where its gossip starts
+   * @param peers the peers
+   * @param environment the callbacks into the owner
+   * @param sender sends suspects to a peer
    */
   SuspectSharing(
       HostName self,
       PeerTable peers,
-      LoadSharing.Surroundings around,
-      BiConsumer<PeerTable.Peer, ImmutableList<Suspect>> send) {
+      LoadSharing.Surroundings environment,
+      BiConsumer<PeerTable.Peer, ImmutableList<Suspect>> sender) {
     this.self = self;
     this.peers = peers;
-    this.around = around;
-    this.send = send;
-    this.turn = Math.floorMod(self.hashCode(), Short.MAX_VALUE);
+    this.environment = environment;
+    this.sender = sender;
+    this.nextPeer = Math.floorMod(self.hashCode(), Short.MAX_VALUE);
   }
 
-  /** Sets where all that is known comes from. */
-  void known(Supplier<ImmutableList<Suspect>> supplier) {
-    known = supplier;
+  /** Sets the source of all known suspects. */
+  void knownSuspects(Supplier<ImmutableList<Suspect>> supplier) {
+    knownSuspects = supplier;
   }
 
-  /** Tells other nodes what this one has found out. */
-  void tell(Suspect suspect) {
-    if (peers.size() <= FEW || concernsAll(suspect)) {
-      tellAll(suspect);
+  /** Reports a finding of this node to the peers. */
+  void report(Suspect suspect) {
+    if (peers.size() <= MAX_PEERS_FOR_BROADCAST || needsBroadcast(suspect)) {
+      broadcast(suspect);
     } else {
-      collectors(suspect.request()).forEach(p -> tellOne(p, suspect));
-      again(suspect, now -> collectors(now.request()).forEach(p -> tellOne(p, now)));
+      collectors(suspect.request()).forEach(p -> sendTo(p, suspect));
+      scheduleResends(suspect, now -> collectors(now.request()).forEach(p -> sendTo(p, now)));
     }
   }
 
   /**
-   * Another node has told of requests. If more is known of one here than there, ends have met here,
-   * and one of the nodes at which they do tells all.
+   * Handles suspects received from a peer, after the router has merged them. If more is known here
+   * of a request than the peer reported, crashes from several nodes have been merged here, and a
+   * collector reports the request to all.
    */
-  void heard(ImmutableList<Suspect> some) {
-    if (peers.size() <= FEW) {
+  void received(ImmutableList<Suspect> suspects) {
+    if (peers.size() <= MAX_PEERS_FOR_BROADCAST) {
       return;
     }
-    for (Suspect told : some) {
-      find(told.request())
-          .filter(s -> !Extent.of(s).equals(Extent.of(told)))
-          .filter(s -> collects(s.request()) && concernsAll(s))
-          .ifPresent(this::tellAll);
+    for (Suspect fromPeer : suspects) {
+      find(fromPeer.request())
+          .filter(s -> !Extent.of(s).equals(Extent.of(fromPeer)))
+          .filter(s -> isCollector(s.request()) && needsBroadcast(s))
+          .ifPresent(this::broadcast);
     }
   }
 
-  /** Whether all are to be told of a request, of which they do not know as much yet. */
-  private boolean concernsAll(Suspect s) {
-    Extent before = toldToAll.get(s.request());
-    return !Extent.of(s).equals(before) && (s.ends().size() > 1 || before != null);
+  /**
+   * Returns whether a request must be reported to all peers: it has several crashes or was reported
+   * to all before, and its state has changed since.
+   */
+  private boolean needsBroadcast(Suspect s) {
+    Extent previous = reportedToAll.get(s.request());
+    return !Extent.of(s).equals(previous) && (s.ends().size() > 1 || previous != null);
   }
 
-  private void tellAll(Suspect suspect) {
-    if (toldToAll.size() >= MOST_REMEMBERED) {
-      toldToAll.clear();
+  private void broadcast(Suspect suspect) {
+    if (reportedToAll.size() >= MAX_REMEMBERED) {
+      reportedToAll.clear();
     }
-    toldToAll.put(suspect.request(), Extent.of(suspect));
-    peers.all().forEach(p -> tellOne(p, suspect));
-    again(suspect, now -> peers.all().forEach(p -> tellOne(p, now)));
+    reportedToAll.put(suspect.request(), Extent.of(suspect));
+    peers.all().forEach(p -> sendTo(p, suspect));
+    scheduleResends(suspect, now -> peers.all().forEach(p -> sendTo(p, now)));
   }
 
-  private void tellOne(PeerTable.Peer peer, Suspect suspect) {
-    send.accept(peer, ImmutableList.of(suspect));
+  private void sendTo(PeerTable.Peer peer, Suspect suspect) {
+    sender.accept(peer, ImmutableList.of(suspect));
   }
 
-  private void again(Suspect suspect, Consumer<Suspect> tell) {
-    for (long nanos : AGAIN_NANOS) {
-      around.after(nanos, () -> find(suspect.request()).ifPresent(tell));
+  private void scheduleResends(Suspect suspect, Consumer<Suspect> resend) {
+    for (long nanos : RESEND_DELAYS_NANOS) {
+      environment.after(nanos, () -> find(suspect.request()).ifPresent(resend));
     }
   }
 
   private Optional<Suspect> find(Fingerprint request) {
-    return known.get().stream().filter(s -> s.request().equals(request)).findFirst();
+    return knownSuspects.get().stream().filter(s -> s.request().equals(request)).findFirst();
   }
 
-  /** The other nodes at which ends of a request meet. */
+  /** Returns the peers that collect the crashes of a request. */
   private List<PeerTable.Peer> collectors(Fingerprint request) {
-    return peers.least(COLLECTORS, p -> rank(p.name, request));
+    return peers.lowestRanked(COLLECTORS, p -> rank(p.name, request));
   }
 
-  private boolean collects(Fingerprint request) {
-    long own = rank(self, request);
-    return collectors(request).stream().filter(p -> rank(p.name, request) < own).count()
+  private boolean isCollector(Fingerprint request) {
+    long ownRank = rank(self, request);
+    return collectors(request).stream().filter(p -> rank(p.name, request) < ownRank).count()
         < COLLECTORS;
   }
 
@@ -162,21 +173,21 @@
     return Hashing.murmur3_128().hashUnencodedChars(node.value()).asLong() * (request.low() | 1);
   }
 
-  /** Tells a node all that is known. */
-  void tellAllTo(PeerTable.Peer peer) {
-    for (var part : Lists.partition(known.get(), MOST_IN_MESSAGE)) {
-      send.accept(peer, ImmutableList.copyOf(part));
+  /** Sends all known suspects to a peer. */
+  void sendAllTo(PeerTable.Peer peer) {
+    for (var part : Lists.partition(knownSuspects.get(), MAX_IN_MESSAGE)) {
+      sender.accept(peer, ImmutableList.copyOf(part));
     }
   }
 
-  /** To be called every {@link LoadSharing#PERIOD_NANOS}. */
+  /** Gossips the known suspects; to be called every {@link LoadSharing#PERIOD_NANOS}. */
   void periodic() {
-    if (++periods % PERIODS != 0 || known.get().isEmpty()) {
+    if (++periods % GOSSIP_PERIODS != 0 || knownSuspects.get().isEmpty()) {
       return;
     }
-    for (PeerTable.Peer peer : peers.inTurn(turn, PEERS_EACH)) {
-      tellAllTo(peer);
+    for (PeerTable.Peer peer : peers.nextPeers(nextPeer, PEERS_PER_GOSSIP)) {
+      sendAllTo(peer);
     }
-    turn += PEERS_EACH;
+    nextPeer += PEERS_PER_GOSSIP;
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/UnreadableEntries.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/UnreadableEntries.java
@@ -17,11 +17,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells of the entries of a collection that can not be read: each once, until it changes.
+ * Logs and counts the unreadable entries of a collection, each once until its problem changes.
  *
- * <p>Invariants: every new problem is counted; at most {@value #MAX_LINES} are logged in {@link
- * #PERIOD}, and how many were left out is told with the next one. It remembers what is unreadable
- * now and nothing else. Confined to one thread.
+ * <p>Invariants: every new problem is counted; at most {@value #MAX_LINES} lines are logged per
+ * {@link #PERIOD}, and the number of suppressed lines is logged with the next one. Only the current
+ * problems are kept. Confined to one thread.
  */
 final class UnreadableEntries {
   static final int MAX_LINES = 20;
@@ -32,52 +32,53 @@
   private final String collection;
   private final LongSupplier nanoTime;
   private final BiConsumer<String, Reason> counter;
-  private ImmutableMap<String, EntryProblem> told = ImmutableMap.of();
-  private long periodBegan;
-  private int lines;
-  private int leftOut;
+  private ImmutableMap<String, EntryProblem> reportedProblems = ImmutableMap.of();
+  private long periodStartNanos;
+  private int linesInPeriod;
+  private int suppressedLines;
 
   /**
-   * Creates one that has told nothing.
+   * Creates an instance without any known problem.
    *
-   * @param collection names the collection, in lines and to the counter
-   * @param nanoTime the steady clock
+   * @param collection the name of the collection in log lines and for the counter
+   * @param nanoTime the monotonic clock
    * @param counter counts each new problem
    */
   UnreadableEntries(String collection, LongSupplier nanoTime, BiConsumer<String, Reason> counter) {
     this.collection = collection;
     this.nanoTime = nanoTime;
     this.counter = counter;
-    this.periodBegan = nanoTime.getAsLong();
+    this.periodStartNanos = nanoTime.getAsLong();
   }
 
   /**
-   * Tells what is new.
+   * Logs and counts the new problems.
    *
-   * @param problems those of all entries that can not be read now, by the entries' names
+   * @param problems the problems of all entries that are unreadable now, by entry name
    */
   void update(Map<String, EntryProblem> problems) {
-    if (problems.equals(told)) {
+    if (problems.equals(reportedProblems)) {
       return;
     }
     problems.forEach(
         (name, problem) -> {
-          if (!problem.equals(told.get(name))) {
+          if (!problem.equals(reportedProblems.get(name))) {
             counter.accept(collection, problem.reason());
-            tell(name, problem);
+            logProblem(name, problem);
           }
         });
-    told = ImmutableMap.copyOf(problems);
+    reportedProblems = ImmutableMap.copyOf(problems);
   }
 
-  private void tell(String name, EntryProblem problem) {
+  private void logProblem(String name, EntryProblem problem) {
     if (!mayLog()) {
-      leftOut++;
+      suppressedLines++;
       return;
     }
-    if (leftOut > 0) {
-      log.warn("event=entries_unreadable_left_out collection={} lines={}", collection, leftOut);
-      leftOut = 0;
+    if (suppressedLines > 0) {
+      log.warn(
+          "event=entries_unreadable_left_out collection={} lines={}", collection, suppressedLines);
+      suppressedLines = 0;
     }
     log.warn(
         "event=entry_unreadable collection={} name=\"{}\" reason={} field={} found=\"{}\""
@@ -91,11 +92,11 @@
   }
 
   private boolean mayLog() {
-    long now = nanoTime.getAsLong();
-    if (now - periodBegan >= PERIOD.toNanos()) {
-      periodBegan = now;
-      lines = 0;
+    long nowNanos = nanoTime.getAsLong();
+    if (nowNanos - periodStartNanos >= PERIOD.toNanos()) {
+      periodStartNanos = nowNanos;
+      linesInPeriod = 0;
     }
-    return lines++ < MAX_LINES;
+    return linesInPeriod++ < MAX_LINES;
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/UpstreamEntries.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/UpstreamEntries.java
@@ -32,162 +32,180 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The upstreams that entries of the store name, kept by difference: a change costs what the entries
- * that have changed cost, however many there are.
+ * The active upstreams according to the entries of the store, updated incrementally: the cost of a
+ * change depends on the number of changed entries and not on the number of all entries.
  *
- * <p>Invariant: an upstream counts if its entry can be read and does not lack a start that most
- * entries have ({@link MissingStarts}). What a store that came back from a copy says against what
- * was seen before is corrected ({@link PastLives}). Not safe for use by several threads.
+ * <p>Invariant: an upstream is active if its entry is readable and does not lack an incarnation
+ * that most entries have ({@link MissingIncarnations}). Entries of a restored store that contradict
+ * earlier observations are corrected ({@link IncarnationHistory}). Not thread-safe.
  */
 final class UpstreamEntries {
   private static final Logger log = LoggerFactory.getLogger(UpstreamEntries.class);
 
-  /** After this time the store has removed the entries of upstreams that are silent. */
-  static final Duration HELD_BACK = Duration.ofSeconds(6);
+  /**
+   * The time for which entries of ended upstreams are held back after the store was restored; by
+   * then the store has removed the entries of unresponsive upstreams.
+   */
+  static final Duration HOLD_BACK_TIME = Duration.ofSeconds(6);
 
-  private final Function<StoredObject, Reading<RelayUpstream>> reader;
+  private final Function<StoredObject, Reading<RelayUpstream>> parser;
   private final Map<String, RelayUpstream> readable = new HashMap<>();
   private final Map<String, EntryProblem> unreadable = new TreeMap<>();
-  private final Set<String> withoutStart = new LinkedHashSet<>();
+  private final Set<String> withoutIncarnation = new LinkedHashSet<>();
 
-  /** Those that count, by the names of their entries and by service. */
-  private final Map<String, RelayUpstream> counted = new HashMap<>();
+  /**
+   * The active upstreams, by the names of their entries; {@link #byService} has their names by
+   * service.
+   */
+  private final Map<String, RelayUpstream> active = new HashMap<>();
 
   private final Map<ServiceName, Set<UpstreamName>> byService = new HashMap<>();
-  private final PastLives past = new PastLives();
+  private final IncarnationHistory history = new IncarnationHistory();
 
-  /** Entries of a copy whose upstreams were seen to end before it. */
+  /** Entries of a restored store whose upstreams were observed to end before it was restored. */
   private final Map<String, StoredObject> heldBack = new HashMap<>();
 
-  private boolean startsExpected;
+  private boolean incarnationsExpected;
 
   /**
-   * By what the upstreams that count differ from those before.
+   * The difference between the active upstreams before and after a change.
    *
-   * @param changed those that are new or differ, by name
-   * @param removed names of those that count no longer
+   * @param changed the upstreams that are new or differ, by name
+   * @param removed the names of the upstreams that are no longer active
    */
   record Difference(
       ImmutableMap<UpstreamName, RelayUpstream> changed, ImmutableSet<UpstreamName> removed) {}
 
-  /** Begins without entries; what can be read decides the reader. */
-  UpstreamEntries(Function<StoredObject, Reading<RelayUpstream>> reader) {
-    this.reader = reader;
+  /**
+   * Creates an instance without entries.
+   *
+   * @param parser reads the upstream of an entry
+   */
+  UpstreamEntries(Function<StoredObject, Reading<RelayUpstream>> parser) {
+    this.parser = parser;
   }
 
-  /** Takes over changes of entries. */
-  Difference apply(long at, CollectionChange change) {
+  /**
+   * Applies changes of entries.
+   *
+   * @param nowNanos the time in nanoseconds
+   */
+  Difference apply(long nowNanos, CollectionChange change) {
     if (change.isRestored()) {
-      past.restored(readable.values());
+      history.restored(readable.values());
     }
-    Set<String> touched = new LinkedHashSet<>();
+    Set<String> changedNames = new LinkedHashSet<>();
     for (StoredObject o : change.changed()) {
-      touched.add(o.key().name());
+      changedNames.add(o.key().name());
       heldBack.remove(o.key().name());
-      if (change.isRestored() && isPast(at, o)) {
-        hold(o);
+      if (change.isRestored() && hasEnded(nowNanos, o)) {
+        holdBack(o);
       } else {
-        read(at, o);
+        read(nowNanos, o);
       }
     }
     for (String name : change.removed()) {
-      touched.add(name);
+      changedNames.add(name);
       heldBack.remove(name);
       if (!change.isRestored()) {
-        past.ended(at, readable.get(name));
+        history.ended(nowNanos, readable.get(name));
       }
-      forget(name);
+      remove(name);
     }
-    return difference(at, touched);
+    return difference(nowNanos, changedNames);
   }
 
   /**
-   * Lets entries count that are still there although their upstreams were seen to end: those of
-   * upstreams that are silent have been removed by now.
+   * Activates the entries that were held back and still exist: the store has removed those of
+   * unresponsive upstreams by now.
    */
-  Difference release(long at) {
-    Set<String> touched = new LinkedHashSet<>(heldBack.keySet());
-    ImmutableList.copyOf(heldBack.values()).forEach(o -> read(at, o));
+  Difference releaseHeldBack(long nowNanos) {
+    Set<String> changedNames = new LinkedHashSet<>(heldBack.keySet());
+    ImmutableList.copyOf(heldBack.values()).forEach(o -> read(nowNanos, o));
     heldBack.clear();
-    return difference(at, touched);
+    return difference(nowNanos, changedNames);
   }
 
-  private boolean isPast(long at, StoredObject o) {
-    return reader.apply(o) instanceof Reading.Readable<RelayUpstream> r
-        && past.isEnded(at, r.value().life());
+  private boolean hasEnded(long nowNanos, StoredObject o) {
+    return parser.apply(o) instanceof Reading.Readable<RelayUpstream> r
+        && history.isEnded(nowNanos, r.value().life());
   }
 
-  /** Keeps to what was known: that the upstream is gone, or the life that has followed. */
-  private void hold(StoredObject o) {
+  /**
+   * Holds back an entry, so that the earlier state stays: the upstream has ended or has a newer
+   * incarnation.
+   */
+  private void holdBack(StoredObject o) {
     log.warn("event=entry_held_back entry={} version={}", o.key().name(), o.resourceVersion());
     heldBack.put(o.key().name(), o);
   }
 
-  private Difference difference(long at, Set<String> changed) {
-    Set<String> touched = new LinkedHashSet<>(changed);
-    boolean before = startsExpected;
-    startsExpected = MissingStarts.areExpected(withoutStart.size(), readable.size());
-    if (before != startsExpected) {
-      touched.addAll(withoutStart);
+  private Difference difference(long nowNanos, Set<String> changed) {
+    Set<String> changedNames = new LinkedHashSet<>(changed);
+    boolean wereExpected = incarnationsExpected;
+    incarnationsExpected =
+        MissingIncarnations.areProblems(withoutIncarnation.size(), readable.size());
+    if (wereExpected != incarnationsExpected) {
+      changedNames.addAll(withoutIncarnation);
     }
-    return compare(touched);
+    return computeDifference(changedNames);
   }
 
-  private void read(long at, StoredObject o) {
+  private void read(long nowNanos, StoredObject o) {
     String name = o.key().name();
-    RelayUpstream before = readable.get(name);
-    forget(name);
-    switch (reader.apply(o)) {
+    RelayUpstream previous = readable.get(name);
+    remove(name);
+    switch (parser.apply(o)) {
       case Reading.Readable<RelayUpstream> r -> {
-        past.replaced(at, before, r.value());
-        readable.put(name, past.correct(r.value()));
+        history.replaced(nowNanos, previous, r.value());
+        readable.put(name, history.withObservedState(r.value()));
         if (!r.value().life().hasStart()) {
-          withoutStart.add(name);
+          withoutIncarnation.add(name);
         }
       }
       case Reading.Unreadable<RelayUpstream> u -> unreadable.put(name, u.problem());
     }
   }
 
-  private void forget(String name) {
+  private void remove(String name) {
     readable.remove(name);
     unreadable.remove(name);
-    withoutStart.remove(name);
+    withoutIncarnation.remove(name);
   }
 
-  private Difference compare(Set<String> touched) {
+  private Difference computeDifference(Set<String> names) {
     ImmutableMap.Builder<UpstreamName, RelayUpstream> changed = ImmutableMap.builder();
     ImmutableSet.Builder<UpstreamName> removed = ImmutableSet.builder();
-    for (String name : touched) {
-      RelayUpstream before = counted.get(name);
-      RelayUpstream now = counts(name) ? readable.get(name) : null;
-      if (Objects.equals(before, now)) {
+    for (String name : names) {
+      RelayUpstream previous = active.get(name);
+      RelayUpstream current = isActive(name) ? readable.get(name) : null;
+      if (Objects.equals(previous, current)) {
         continue;
       }
-      if (before != null) {
-        uncount(name, before);
+      if (previous != null) {
+        deactivate(name, previous);
       }
-      if (now != null) {
-        count(name, now);
-        changed.put(now.id(), now);
+      if (current != null) {
+        activate(name, current);
+        changed.put(current.id(), current);
       } else {
-        removed.add(before.id());
+        removed.add(previous.id());
       }
     }
     return new Difference(changed.buildOrThrow(), removed.build());
   }
 
-  private boolean counts(String name) {
-    return !(startsExpected && withoutStart.contains(name));
+  private boolean isActive(String name) {
+    return !(incarnationsExpected && withoutIncarnation.contains(name));
   }
 
-  private void count(String name, RelayUpstream u) {
-    counted.put(name, u);
+  private void activate(String name, RelayUpstream u) {
+    active.put(name, u);
     byService.computeIfAbsent(u.service(), s -> new HashSet<>()).add(u.id());
   }
 
-  private void uncount(String name, RelayUpstream u) {
-    counted.remove(name);
+  private void deactivate(String name, RelayUpstream u) {
+    active.remove(name);
     Set<UpstreamName> others = byService.get(u.service());
     others.remove(u.id());
     if (others.isEmpty()) {
@@ -196,29 +214,29 @@
   }
 
   /**
-   * What is wrong with entries, by their names.
+   * Returns the problems of the entries, by entry name.
    *
-   * <p>Services that no configuration names are told as well: no rule leads to those. Their entries
-   * are kept, as they may come before the configuration that names them, and calls in progress may
-   * end after the one that did.
+   * <p>Upstreams of services that no configuration names are included, because no rule leads to
+   * them. They stay active, as an entry may arrive before the configuration that names its service,
+   * and calls in progress may outlast the configuration that named it.
    *
-   * @param isNamed whether a configuration names a service
+   * @param isNamed returns whether a configuration names a service
    */
   Map<String, EntryProblem> problems(Predicate<ServiceName> isNamed) {
     Map<String, EntryProblem> problems = new TreeMap<>(unreadable);
-    if (startsExpected) {
-      withoutStart.forEach(name -> problems.put(name, MissingStarts.PROBLEM));
+    if (incarnationsExpected) {
+      withoutIncarnation.forEach(name -> problems.put(name, MissingIncarnations.PROBLEM));
     }
     byService.forEach(
         (service, names) -> {
           if (!isNamed.test(service)) {
-            names.forEach(name -> problems.put(name.value(), unnamed(service)));
+            names.forEach(name -> problems.put(name.value(), unnamedService(service)));
           }
         });
     return Collections.unmodifiableMap(problems);
   }
 
-  private static EntryProblem unnamed(ServiceName service) {
+  private static EntryProblem unnamedService(ServiceName service) {
     return new EntryProblem(
         Reason.UNNAMED_SERVICE,
         "service",
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/package-info.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** A node that relays opaque requests: its settings, its feed from the store, and its wiring. */
+/** A relay node: its settings, its synchronization with the store, and the wiring of its parts. */
 package org.larkkeel.daemon.relay;
