--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/Defects.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/Defects.java
@@ -44,14 +44,14 @@
             "cancel not repeated",
             inRouter(
                 "CancelTracker",
-                "if (outcome == CancelOutcome.ACKNOWLEDGED || isHopeless(cancel)) {",
+                "if (outcome == CancelOutcome.ACKNOWLEDGED || isExhausted(cancel)) {",
                 "if (outcome != null) {")),
         Defect.of(
             "caller's leaving ignored",
             new Patch(
                 "org.larkkeel/src/main/java/org/larkkeel/router/Router.java",
                 "core.endings.callerGone(request);",
-                "request.reached |= false;")),
+                "request.reachedUpstream |= false;")),
         Defect.of(
             "claimed run repeated after it may have run",
             inRouter("Failures", "return !request.mayHaveRun;", "return true;")),
@@ -59,7 +59,7 @@
             "run without a key repeated after bytes were sent",
             inRouter(
                 "Failures",
-                "return exposure == Exposure.NOT_SENT && !request.reached;",
+                "return exposure == Exposure.NOT_SENT && !request.reachedUpstream;",
                 "return true;")),
         Defect.of(
             "exposure of a failed attempt ignored",
@@ -71,7 +71,7 @@
             "run sent without a claim",
             inRouter(
                 "Arrivals",
-                "if (request.once && request.call.runKey().isPresent()) {",
+                "if (request.atMostOnce && request.call.runKey().isPresent()) {",
                 "if (core == null) {")),
         Defect.of(
             "recorded run run again",
@@ -111,27 +111,29 @@
         Defect.of(
             "slot never given back",
             inRouter(
-                "Fleet",
+                "UpstreamTable",
                 "attempt.upstream.slots.release(context.now());",
                 "attempt.upstream.slots.limit();")),
         Defect.of(
             "stream resumed one token too late",
             inRouter(
                 "DecodeFlow",
-                "attempt.resumeFrom = request.tokens;",
-                "attempt.resumeFrom = request.tokens == 0 ? 0 : request.tokens + 1;")),
+                "attempt.resumeFrom = request.deliveredTokens;",
+                "attempt.resumeFrom ="
+                    + " request.deliveredTokens == 0 ? 0 : request.deliveredTokens + 1;")),
         Defect.of(
             "tokens passed on forgotten after a failure",
             inRouter(
                 "Failures",
-                "request.tokens = Math.max(request.tokens, tokens);",
-                "request.tokens = Math.max(request.tokens, tokens) + (tokens > 0 ? 2 : 0);")),
+                "request.deliveredTokens = Math.max(request.deliveredTokens, tokens);",
+                "request.deliveredTokens ="
+                    + " Math.max(request.deliveredTokens, tokens) + (tokens > 0 ? 2 : 0);")),
         Defect.of(
             "stop refuses what is in progress",
             inRouter(
                 "Arrivals",
-                "    stopping = true;",
-                "    stopping = true;\n    java.util.List.copyOf(core.requests.values())\n"
+                "    draining = true;",
+                "    draining = true;\n    java.util.List.copyOf(core.requests.values())\n"
                     + "        .forEach(r -> core.endings.refuse("
                     + "r, ErrorKind.NOT_READY, 0, \"This node stops.\"));")),
         Defect.of(
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/AtMostOnceTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/AtMostOnceTest.java
@@ -27,7 +27,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Calls that may run only once. */
+/**
+ * Guards against a second run of an at-most-once call, and against an error that says the call did
+ * not run although it may have.
+ */
 public class AtMostOnceTest {
   private static Script ready() {
     return new Script()
@@ -36,24 +39,24 @@
 
   private static Script claimed() {
     Script script = ready().arrive(plain(1, "/order", key("k")));
-    return settle(script, script.only(Effect.ClaimRun.class).attempt(), ClaimOutcome.CLAIMED);
+    return answerClaim(script, script.only(Effect.ClaimRun.class).attempt(), ClaimOutcome.CLAIMED);
   }
 
-  private static Script settle(Script script, AttemptId attempt, ClaimOutcome outcome) {
+  private static Script answerClaim(Script script, AttemptId attempt, ClaimOutcome outcome) {
     return script.apply(new Event.ClaimSettled(script.now, attempt, outcome));
   }
 
-  /** With a key. */
+  /** Calls with an idempotency key, whose run is claimed first. */
   public static class WithKeyTest {
     @Test
     public void nothingIsSentBeforeTheClaimIsDurable() {
       Script script = ready().arrive(plain(1, "/order", key("k")));
       assertTrue(script.all(Effect.SendPlain.class).isEmpty());
-      settle(script, script.only(Effect.ClaimRun.class).attempt(), ClaimOutcome.CLAIMED);
+      answerClaim(script, script.only(Effect.ClaimRun.class).attempt(), ClaimOutcome.CLAIMED);
       script.only(Effect.SendPlain.class);
     }
 
-    /** Outcomes of a claim and the refusals that follow. */
+    /** The outcomes of a claim that refuse the call, with the resulting error kinds. */
     @DataProvider
     public Object[][] refusedClaims() {
       return new Object[][] {
@@ -67,7 +70,7 @@
     @Test(dataProvider = "refusedClaims")
     public void refusedClaimSendsNothing(ClaimOutcome outcome, ErrorKind kind) {
       Script script = ready().arrive(plain(1, "/order", key("k")));
-      settle(script, script.only(Effect.ClaimRun.class).attempt(), outcome);
+      answerClaim(script, script.only(Effect.ClaimRun.class).attempt(), outcome);
       assertEquals(script.refusal(1), kind);
       assertTrue(script.all(Effect.SendPlain.class).isEmpty());
       script.assertIdle();
@@ -76,8 +79,8 @@
     @Test
     public void earlierAnswerIsReplayed() {
       Script script = ready().arrive(plain(1, "/order", key("k")));
-      settle(script, script.only(Effect.ClaimRun.class).attempt(), ClaimOutcome.ALREADY_DONE);
-      assertTrue(script.ending(1) instanceof Effect.Replay);
+      answerClaim(script, script.only(Effect.ClaimRun.class).attempt(), ClaimOutcome.ALREADY_DONE);
+      assertTrue(script.lastEffect(1) instanceof Effect.Replay);
     }
 
     @Test
@@ -86,14 +89,14 @@
       AttemptId attempt = script.only(Effect.SendPlain.class).attempt();
       script.apply(new Event.PlainDone(script.now, attempt));
       assertEquals(script.only(Effect.RecordRun.class).result(), RunResult.DONE);
-      assertEquals(script.ending(1), null);
+      assertEquals(script.lastEffect(1), null);
       script.apply(new Event.RecordSettled(script.now, attempt, RecordOutcome.FAILED));
-      assertTrue(script.ending(1) instanceof Effect.Complete);
+      assertTrue(script.lastEffect(1) instanceof Effect.Complete);
       script.assertIdle();
     }
 
     @Test
-    public void callThatLeftNothingBehindIsRepeatedUnderTheSameClaim() {
+    public void unsentCallIsRetriedUnderTheSameClaim() {
       Script script = claimed();
       Effect.SendPlain first = script.only(Effect.SendPlain.class);
       script.fail(first.attempt(), FailureCause.CONNECT_FAILED, Exposure.NOT_SENT);
@@ -103,7 +106,7 @@
     }
 
     @Test
-    public void unknownOutcomeIsRecordedAndNeverRunAgain() {
+    public void callWithUnknownOutcomeIsRecordedAndNotRunAgain() {
       Script script = claimed();
       AttemptId attempt = script.only(Effect.SendPlain.class).attempt();
       script.fail(attempt, FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN);
@@ -114,7 +117,7 @@
     }
 
     @Test
-    public void runGoesOnWhenItsCallerIsGoneAndIsRecorded() {
+    public void runContinuesAfterItsCallerLeftAndIsRecorded() {
       Script script = claimed();
       AttemptId attempt = script.only(Effect.SendPlain.class).attempt();
       script.apply(new Event.CallerGone(script.now, new RequestId(1)));
@@ -122,30 +125,30 @@
       script.apply(new Event.PlainDone(script.now, attempt));
       assertEquals(script.only(Effect.RecordRun.class).result(), RunResult.DONE);
       script.apply(new Event.RecordSettled(script.now, attempt, RecordOutcome.RECORDED));
-      assertTrue(script.ending(1) instanceof Effect.Forget);
+      assertTrue(script.lastEffect(1) instanceof Effect.Forget);
       script.assertIdle();
     }
 
     @Test
-    public void claimThatComesAfterTheCallerLeftIsGivenBack() {
+    public void claimGrantedAfterTheCallerLeftIsReleased() {
       Script script = ready().arrive(plain(1, "/order", key("k")));
       AttemptId claim = script.only(Effect.ClaimRun.class).attempt();
       script.apply(new Event.CallerGone(script.now, new RequestId(1)));
-      settle(script, claim, ClaimOutcome.CLAIMED);
+      answerClaim(script, claim, ClaimOutcome.CLAIMED);
       assertEquals(script.only(Effect.RecordRun.class).result(), RunResult.NOT_RUN);
     }
 
     @Test
-    public void claimOpenAtTheDeadlineIsNotCalledNotRun() {
+    public void claimPendingAtTheDeadlineIsNotReportedAsNotRun() {
       Script script = ready().arrive(plain(1, "/order", key("k")));
       script.pass(11_000);
       assertEquals(script.refusal(1), ErrorKind.DEADLINE_EXCEEDED);
     }
   }
 
-  /** Without a key. */
+  /** Calls without an idempotency key, which can't be claimed. */
   public static class WithoutKeyTest {
-    /** Failures and the refusals that follow; null for another attempt. */
+    /** Failures with the resulting error kinds; null if the call is retried. */
     @DataProvider
     public Object[][] failures() {
       return new Object[][] {
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/CancelTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/CancelTest.java
@@ -24,7 +24,9 @@
 import org.larkkeel.lib.UpstreamName;
 import org.testng.annotations.Test;
 
-/** Callers that leave, in every stage. */
+/**
+ * Guards against work that upstreams keep for a caller that has left, in every stage of a request.
+ */
 public class CancelTest {
   private static Script ready(int decodeSlots) {
     return new Script()
@@ -32,7 +34,7 @@
             configuration(1, engine("p1", "prefill", 4), engine("d1", "decode", decodeSlots)));
   }
 
-  private static Script leave(Script script, long request) {
+  private static Script callerLeaves(Script script, long request) {
     return script.apply(new Event.CallerGone(script.now, new RequestId(request)));
   }
 
@@ -46,15 +48,15 @@
     script.apply(new Event.LoadReported(script.now, new UpstreamName(upstream), report));
   }
 
-  /** Nothing stays held. */
+  /** Callers that leave in each stage; no slot or KV cache stays held. */
   public static class StageTest {
     @Test
     public void queued() {
       Script script = ready(1);
       script.arrive(completion(1)).arrive(completion(2));
-      assertTrue(script.all(Effect.StartPrefill.class).isEmpty(), "the slot is promised");
-      leave(script, 2);
-      assertTrue(script.ending(2) instanceof Effect.Forget);
+      assertTrue(script.all(Effect.StartPrefill.class).isEmpty(), "the only slot is reserved");
+      callerLeaves(script, 2);
+      assertTrue(script.lastEffect(2) instanceof Effect.Forget);
       assertEquals(script.router.status().queued(), 0);
     }
 
@@ -62,9 +64,9 @@
     public void prefilling() {
       Script script = ready(1).arrive(completion(1));
       AttemptId prefill = script.only(Effect.StartPrefill.class).attempt();
-      leave(script, 1);
+      callerLeaves(script, 1);
       assertEquals(script.only(Effect.Cancel.class).attempt(), prefill);
-      assertTrue(script.ending(1) instanceof Effect.Forget);
+      assertTrue(script.lastEffect(1) instanceof Effect.Forget);
       script.assertIdle();
     }
 
@@ -74,7 +76,7 @@
       AttemptId prefill = script.only(Effect.StartPrefill.class).attempt();
       script.prefilled(prefill);
       AttemptId decode = script.only(Effect.StartTransfer.class).attempt();
-      leave(script, 1);
+      callerLeaves(script, 1);
       assertEquals(
           script.all(Effect.Cancel.class).stream().map(Effect.Cancel::attempt).toList(),
           List.of(decode, prefill));
@@ -85,19 +87,19 @@
     public void decoding() {
       Script script = ready(1);
       AttemptId decode = script.toDecode(completion(1)).attempt();
-      leave(script, 1);
+      callerLeaves(script, 1);
       assertEquals(script.only(Effect.Cancel.class).attempt(), decode);
       script.assertIdle();
     }
   }
 
-  /** A cancel is not believed before it is acknowledged. */
-  public static class RepeatTest {
+  /** Retries of a cancel until the upstream acknowledges it or has restarted. */
+  public static class RetryTest {
     @Test
-    public void cancelIsRepeatedUntilAcknowledged() {
+    public void cancelIsRetriedUntilAcknowledged() {
       Script script = ready(1);
       AttemptId decode = script.toDecode(completion(1)).attempt();
-      leave(script, 1);
+      callerLeaves(script, 1);
       for (int i = 0; i < 3; i++) {
         script.cancelSettled(decode, CancelOutcome.FAILED);
         script.pass(2_000);
@@ -114,7 +116,7 @@
       Script script = ready(1);
       report(script, "d1", 1);
       AttemptId decode = script.toDecode(completion(1)).attempt();
-      leave(script, 1);
+      callerLeaves(script, 1);
       script.cancelSettled(decode, CancelOutcome.FAILED);
       report(script, "d1", 2);
       assertEquals(script.router.status().cancels(), 0);
@@ -123,34 +125,34 @@
     }
 
     @Test
-    public void cancelEndsThoughTheClockOfTheUpstreamWasSetBack() {
+    public void cancelEndsThoughTheIncarnationDecreasedWithTheClock() {
       Script script = ready(1);
       report(script, "d1", 2);
       script.toDecode(completion(1));
-      leave(script, 1);
+      callerLeaves(script, 1);
       script.pass(10);
       report(script, "d1", 1);
       assertEquals(script.router.status().cancels(), 0);
     }
 
     @Test
-    public void cancelGoesOnThoughReportOfEarlierLifeComesLate() {
+    public void lateReportOfEarlierIncarnationDoesNotEndTheCancel() {
       Script script = ready(1);
       final long before = script.now;
       script.pass(10);
       report(script, "d1", 2);
       script.toDecode(completion(1));
-      leave(script, 1);
+      callerLeaves(script, 1);
       report(script, "d1", 1, before);
       report(script, "d1", 3, before);
       assertEquals(script.router.status().cancels(), 1);
     }
 
     @Test
-    public void resultThatComesAfterTheCancelIsCancelledToo() {
+    public void resultThatArrivesAfterTheCancelIsCancelledAgain() {
       Script script = ready(1).arrive(completion(1));
       AttemptId prefill = script.only(Effect.StartPrefill.class).attempt();
-      leave(script, 1);
+      callerLeaves(script, 1);
       script.cancelSettled(prefill, CancelOutcome.ACKNOWLEDGED);
       script.prefilled(prefill);
       assertEquals(script.only(Effect.Cancel.class).attempt(), prefill);
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/ChaosTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/ChaosTest.java
@@ -42,15 +42,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Random histories in which every effect may end in any way, twice or out of order. */
+/**
+ * Random histories in which each effect can end in any way, and each event can arrive twice or out
+ * of order. Guards against a request without an end, a second run of an at-most-once call, an error
+ * that says a request did not run although it may have, and work left at upstreams.
+ */
 public class ChaosTest {
   private static final int SEEDS = 60;
   private static final int STEPS = 400;
   private static final List<Exposure> EXPOSURES = List.of(Exposure.values());
 
-  /** The promises that hold in every history. */
-  public static class PromisesTest {
-    /** Every policy known by name. */
+  /** The invariants that must hold in every history. */
+  public static class InvariantsTest {
+    /** The names of all sets of policies. */
     @DataProvider
     public Object[][] policies() {
       return RouterSettings.NAMES.stream().map(n -> new Object[] {n}).toArray(Object[][]::new);
@@ -68,11 +72,11 @@
   private static final class History {
     private final SplittableRandom random;
     private final Script script;
-    private final List<Effect> open = new ArrayList<>();
-    private final Map<AttemptId, RequestId> heldUpstream = new HashMap<>();
+    private final List<Effect> openEffects = new ArrayList<>();
+    private final Map<AttemptId, RequestId> heldAttempts = new HashMap<>();
     private final Set<RequestId> mayHaveRun = new HashSet<>();
-    private final Map<RequestId, Integer> runsOfOnce = new HashMap<>();
-    private final Set<RequestId> once = new HashSet<>();
+    private final Map<RequestId, Integer> runsOfAtMostOnce = new HashMap<>();
+    private final Set<RequestId> atMostOnce = new HashSet<>();
     private final Set<RequestId> claimed = new HashSet<>();
     private final List<Event> delivered = new ArrayList<>();
     private final String name;
@@ -92,21 +96,21 @@
         step();
       }
       for (int i = 0; i < 20_000 && isUnfinished(); i++) {
-        if (open.isEmpty()) {
+        if (openEffects.isEmpty()) {
           pass(500);
         } else {
           answer(true);
         }
       }
-      assertEquals(script.endings.size(), requests, name + ": requests without an end");
-      assertEquals(heldUpstream.keySet(), Set.of(), name + ": held by engines for nobody");
-      assertEquals(script.router.status().cancels(), 0, name + ": cancels left");
+      assertEquals(script.lastEffects.size(), requests, name + ": requests without a last effect");
+      assertEquals(heldAttempts.keySet(), Set.of(), name + ": attempts still held by engines");
+      assertEquals(script.router.status().cancels(), 0, name + ": cancels not acknowledged");
       script.assertIdle();
     }
 
     private boolean isUnfinished() {
-      return !open.isEmpty()
-          || script.endings.size() < requests
+      return !openEffects.isEmpty()
+          || script.lastEffects.size() < requests
           || script.router.status().cancels() > 0;
     }
 
@@ -122,7 +126,7 @@
     private void step() {
       switch (random.nextInt(12)) {
         case 0, 1, 2 -> arrive();
-        case 3 -> leave();
+        case 3 -> callerLeaves();
         case 4 -> pass(random.nextInt(200));
         case 5 -> report();
         case 6 -> reconfigure();
@@ -137,18 +141,18 @@
       switch (random.nextInt(4)) {
         case 0 -> apply(new Event.RequestArrived(script.now, plain(id, "/read", Optional.empty())));
         case 1 -> {
-          once.add(request);
+          atMostOnce.add(request);
           apply(new Event.RequestArrived(script.now, plain(id, "/order", key("k" + id))));
         }
         case 2 -> {
-          once.add(request);
+          atMostOnce.add(request);
           apply(new Event.RequestArrived(script.now, plain(id, "/order", Optional.empty())));
         }
         default -> apply(new Event.RequestArrived(script.now, completion(id)));
       }
     }
 
-    private void leave() {
+    private void callerLeaves() {
       if (requests > 0) {
         apply(new Event.CallerGone(script.now, new RequestId(1 + random.nextLong(requests))));
       }
@@ -190,7 +194,7 @@
       }
     }
 
-    /** Delivers an event of the past again. */
+    /** Delivers an earlier event again. */
     private void repeat() {
       if (!delivered.isEmpty()) {
         apply(delivered.get(random.nextInt(delivered.size())));
@@ -199,33 +203,34 @@
 
     private void apply(Event event) {
       script.apply(event);
-      script.effects.forEach(this::look);
+      script.effects.forEach(this::checkEffect);
     }
 
-    private void look(Effect effect) {
+    private void checkEffect(Effect effect) {
       switch (effect) {
         case Effect.Refuse refuse -> {
-          boolean toldNotRun = refuse.kind().execution() == Execution.NOT_RUN;
+          boolean saysNotRun = refuse.kind().execution() == Execution.NOT_RUN;
           assertFalse(
-              toldNotRun && mayHaveRun.contains(refuse.request()),
-              name + ": " + refuse + " though it may have run");
+              saysNotRun && mayHaveRun.contains(refuse.request()),
+              name + ": " + refuse + " although it may have run");
         }
         case Effect.SendPlain send -> {
-          if (once.contains(send.request())) {
-            assertEquals(runsOfOnce.getOrDefault(send.request(), 0), 0, name + ": second run");
+          if (atMostOnce.contains(send.request())) {
+            assertEquals(
+                runsOfAtMostOnce.getOrDefault(send.request(), 0), 0, name + ": second run");
           }
-          open.add(effect);
+          openEffects.add(effect);
         }
-        case Effect.OfAttempt other -> open.add(effect);
+        case Effect.OfAttempt other -> openEffects.add(effect);
         default -> {}
       }
     }
 
     private void answer(boolean wellBehaved) {
-      if (open.isEmpty()) {
+      if (openEffects.isEmpty()) {
         return;
       }
-      Effect effect = open.remove(random.nextInt(open.size()));
+      Effect effect = openEffects.remove(random.nextInt(openEffects.size()));
       boolean fails = !wellBehaved && random.nextInt(3) == 0;
       switch (effect) {
         case Effect.StartPrefill start -> work(start, fails);
@@ -240,7 +245,7 @@
                     script.now,
                     run.attempt(),
                     fails ? RecordOutcome.FAILED : RecordOutcome.RECORDED));
-        default -> throw new IllegalStateException("not answered: " + effect);
+        default -> throw new IllegalStateException("effect without an answer: " + effect);
       }
     }
 
@@ -253,21 +258,21 @@
       AttemptId attempt = effect.attempt();
       switch (effect) {
         case Effect.StartPrefill start -> {
-          heldUpstream.put(attempt, effect.request());
+          heldAttempts.put(attempt, effect.request());
           deliver(new Event.PrefillDone(script.now, attempt, 1_000_000, 0));
         }
         case Effect.StartTransfer start -> {
-          heldUpstream.remove(start.prefill());
-          heldUpstream.put(attempt, effect.request());
+          heldAttempts.remove(start.prefill());
+          heldAttempts.put(attempt, effect.request());
           deliver(new Event.TransferDone(script.now, attempt));
         }
         case Effect.StartDecode start -> {
           deliver(new Event.FirstToken(script.now, attempt));
-          heldUpstream.remove(attempt);
+          heldAttempts.remove(attempt);
           deliver(new Event.DecodeDone(script.now, attempt, start.resumeFrom() + 10));
         }
         default -> {
-          runsOfOnce.merge(effect.request(), 1, Integer::sum);
+          runsOfAtMostOnce.merge(effect.request(), 1, Integer::sum);
           deliver(new Event.PlainDone(script.now, attempt));
         }
       }
@@ -287,9 +292,9 @@
           };
       if (exposure == Exposure.MAY_HAVE_RUN) {
         mayHaveRun.add(effect.request());
-        heldUpstream.put(effect.attempt(), effect.request());
+        heldAttempts.put(effect.attempt(), effect.request());
         if (effect instanceof Effect.SendPlain) {
-          runsOfOnce.merge(effect.request(), 1, Integer::sum);
+          runsOfAtMostOnce.merge(effect.request(), 1, Integer::sum);
         }
       }
       FailureCause cause = causes[random.nextInt(causes.length)];
@@ -298,7 +303,7 @@
 
     private void cancel(Effect.Cancel cancel, boolean fails) {
       if (!fails) {
-        heldUpstream.remove(cancel.attempt());
+        heldAttempts.remove(cancel.attempt());
       }
       deliver(
           new Event.CancelSettled(
@@ -314,7 +319,8 @@
     }
 
     private void deliver(Event event) {
-      // One answer of a cancel can't stand for the next: each try is answered exactly once.
+      // Each try to cancel is answered exactly once, so its answer must not be repeated for the
+      // next.
       if (!(event instanceof Event.CancelSettled)) {
         delivered.add(event);
       }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/EstimateTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/EstimateTest.java
@@ -23,11 +23,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A wrong estimate of the time of plain calls must not outlive the calls that show it wrong. */
+/**
+ * Guards against a wrong estimate of the duration of plain calls that is never corrected, because
+ * it keeps the router from sending the calls that would correct it.
+ */
 public class EstimateTest {
   private static final long LONG_DEADLINE_MILLIS = 60_000;
 
-  /** A node that is paused while a call runs, so that it takes the pause for the call's time. */
+  /** Pauses the node while a call runs, so that the pause counts as the duration of the call. */
   private static Script pausedDuringCall(Urgency urgency, long pauseMillis) {
     Script script =
         new Script()
@@ -47,9 +50,9 @@
     return script.apply(new Event.PlainDone(script.now, send.attempt()));
   }
 
-  /** Estimates past the target or the deadline. */
+  /** Estimates beyond the target or the deadline. */
   public static class Pause {
-    /** Pauses past the target of 2 s and past the deadline of 10 s. */
+    /** Pauses longer than the target of 2 s and longer than the deadline of 10 s. */
     @DataProvider
     public Object[][] pauses() {
       return new Object[][] {
@@ -67,7 +70,7 @@
       assertEquals(script.only(Effect.SendPlain.class).request(), new RequestId(2));
     }
 
-    /** Full decode engines are no reason to keep a late plain call waiting. */
+    /** A late plain call must not wait for free decode slots, which it does not need. */
     @Test
     public void latePlainCallNeedsNoDecodeSlot() {
       Script script = pausedDuringCall(Urgency.PATIENT, 5_000);
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/LeavingUpstreamTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/LeavingUpstreamTest.java
@@ -26,7 +26,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** An upstream whose label says that it leaves gets no new work. */
+/** Guards against placing new work at an upstream whose phase label says that it is leaving. */
 public class LeavingUpstreamTest {
   private static Upstream leaving(String name, String role) {
     Upstream u = engine(name, role, 4);
@@ -37,10 +37,10 @@
         u.name(), u.address(), labels, u.models(), u.slots(), u.fencing(), u.linkBytesPerSecond());
   }
 
-  /** New work. */
+  /** New requests with a leaving upstream in each role. */
   public static class NewWork {
     @Test
-    public void goesElsewhere() {
+    public void goesToOtherUpstreams() {
       Script script =
           new Script()
               .configure(
@@ -64,10 +64,10 @@
     }
   }
 
-  /** Work in progress. */
+  /** Requests in progress at an upstream that starts to leave. */
   public static class WorkInProgress {
     @Test
-    public void comesToItsEnd() {
+    public void isCompleted() {
       Script script =
           new Script()
               .configure(configuration(1, engine("p1", "prefill", 4), engine("d1", "decode", 4)));
@@ -75,13 +75,13 @@
       script.configure(configuration(2, engine("p1", "prefill", 4), leaving("d1", "decode")));
       assertTrue(script.all(Effect.Cancel.class).isEmpty());
       script.apply(new Event.DecodeDone(script.now, decode.attempt(), 20));
-      assertTrue(script.ending(1) instanceof Effect.Complete);
+      assertTrue(script.lastEffect(1) instanceof Effect.Complete);
     }
   }
 
-  /** Routes whose upstreams all leave. */
+  /** Routes whose upstreams are all leaving. */
   public static class AllLeaving {
-    /** Urgencies. */
+    /** Both urgencies of a rule. */
     @DataProvider
     public Object[][] urgencies() {
       return new Object[][] {{Urgency.PATIENT}, {Urgency.INTERACTIVE}};
@@ -126,7 +126,7 @@
 
     private static void assertRefused(Script script, long request) {
       assertEquals(script.refusal(request), ErrorKind.NO_UPSTREAM);
-      assertTrue(((Effect.Refuse) script.ending(request)).retryAfterMillis() > 0);
+      assertTrue(((Effect.Refuse) script.lastEffect(request)).retryAfterMillis() > 0);
     }
   }
 }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/QueueTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/QueueTest.java
@@ -32,51 +32,53 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Who waits, who goes first and who is refused. */
+/**
+ * The order of waiting requests, their targets and deadlines, reservations, ejection and limits.
+ */
 public class QueueTest {
-  private static Script one(Urgency urgency, int slots) {
+  private static Script withOnePair(Urgency urgency, int slots) {
     return new Script()
         .configure(
             configuration(
                 1, urgency, List.of(engine("p1", "prefill", 4), engine("d1", "decode", slots))));
   }
 
-  /** Ends the request that decodes and tells which one starts its prefill then. */
-  private static long next(Script script, Effect.StartDecode decode) {
+  /** Ends the request that decodes and returns the id of the one that starts its prefill then. */
+  private static long nextPrefill(Script script, Effect.StartDecode decode) {
     script.apply(new Event.FirstToken(script.now, decode.attempt()));
     script.apply(new Event.DecodeDone(script.now, decode.attempt(), 10));
     return script.only(Effect.StartPrefill.class).request().value();
   }
 
-  /** Deadlines. */
+  /** Requests that miss their target while they wait. */
   public static class DeadlineTest {
     @Test
-    public void interactiveRequestIsRefusedOnceItsTargetIsOutOfReach() {
-      Script script = one(Urgency.INTERACTIVE, 1);
+    public void interactiveRequestIsRefusedOnceItCannotMeetItsTarget() {
+      Script script = withOnePair(Urgency.INTERACTIVE, 1);
       script.toDecode(completion(1));
       script.arrive(completion(2));
       script.pass(2_000);
       assertEquals(script.refusal(2), ErrorKind.OVERLOADED);
-      assertTrue(((Effect.Refuse) script.ending(2)).retryAfterMillis() > 0);
+      assertTrue(((Effect.Refuse) script.lastEffect(2)).retryAfterMillis() > 0);
     }
 
     @Test
     public void patientRequestWaitsForItsDeadlineAndIsNotRunAfterIt() {
-      Script script = one(Urgency.PATIENT, 1);
+      Script script = withOnePair(Urgency.PATIENT, 1);
       final Effect.StartDecode first = script.toDecode(completion(1));
       script.arrive(completion(2));
       script.pass(5_000);
-      assertEquals(script.ending(2), null);
+      assertEquals(script.lastEffect(2), null);
       script.fail(first.attempt(), FailureCause.REJECTED, Exposure.REFUSED);
       assertEquals(script.only(Effect.StartPrefill.class).request().value(), 2);
     }
   }
 
-  /** Order. */
+  /** The order in which waiting requests are served. */
   public static class OrderTest {
     @Test
-    public void workspaceThatFloodsDoesNotHoldUpAnother() {
-      Script script = one(Urgency.PATIENT, 1);
+    public void workspaceWithManyRequestsDoesNotDelayAnother() {
+      Script script = withOnePair(Urgency.PATIENT, 1);
       Effect.StartDecode first = script.toDecode(completion(1));
       for (int i = 2; i < 40; i++) {
         script.arrive(completion(i));
@@ -84,7 +86,7 @@
       script.arrive(completion(40, new WorkspaceName("potters"), 4_000, PrefixKeys.NONE));
       List<Long> served = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
-        served.add(next(script, first));
+        served.add(nextPrefill(script, first));
         script.prefilled(script.only(Effect.StartPrefill.class).attempt());
         script.transferred(script.only(Effect.StartTransfer.class).attempt());
         first = script.only(Effect.StartDecode.class);
@@ -93,27 +95,27 @@
     }
 
     @Test
-    public void smallPromptPassesLongOnes() {
-      Script script = one(Urgency.PATIENT, 1);
+    public void smallPromptIsServedBeforeLongOnes() {
+      Script script = withOnePair(Urgency.PATIENT, 1);
       final Effect.StartDecode first = script.toDecode(completion(1));
       for (int i = 2; i < 6; i++) {
         script.arrive(completion(i, WORKSPACE, 30_000, PrefixKeys.NONE));
       }
       script.arrive(completion(6, WORKSPACE, 50, PrefixKeys.NONE));
-      assertEquals(next(script, first), 6);
+      assertEquals(nextPrefill(script, first), 6);
     }
   }
 
-  /** Slots. */
+  /** Reservations of decode slots. */
   public static class ReservationTest {
-    /** Policies and the prefills that they start for two requests and one slot. */
+    /** Policies, with the number of prefills that they start for two requests and one slot. */
     @DataProvider
     public Object[][] policies() {
       return new Object[][] {{RouterSettings.STRICT, 1}, {RouterSettings.UNRESERVED, 2}};
     }
 
     @Test(dataProvider = "policies")
-    public void strictStartsNoPrefillWithoutSlot(String policy, int prefills) {
+    public void strictPolicyStartsNoPrefillWithoutSlot(String policy, int prefills) {
       Script script = new Script(RouterSettings.named(policy).build());
       script.configure(configuration(1, engine("p1", "prefill", 4), engine("d1", "decode", 1)));
       int started = 0;
@@ -124,7 +126,7 @@
     }
 
     @Test
-    public void heldKvCacheGetsTheSlotThatComesFree() {
+    public void heldKvCacheGetsTheNextFreeSlot() {
       Script script = new Script(RouterSettings.named(RouterSettings.UNRESERVED).build());
       script.configure(configuration(1, engine("p1", "prefill", 4), engine("d1", "decode", 1)));
       final Effect.StartDecode first = script.toDecode(completion(1));
@@ -136,35 +138,37 @@
     }
   }
 
-  /** Upstreams that come, fail and go. */
+  /** Ejected and removed upstreams, older configurations and a draining node. */
   public static class UpstreamTest {
     @Test
-    public void failingUpstreamGetsNothingUntilItIsProbed() {
+    public void failingUpstreamGetsNoRequestsUntilItIsProbed() {
       Upstream[] both = {engine("s1", "service", 8), engine("s2", "service", 8)};
       Script script = new Script().configure(configuration(1, both));
-      String bad = "s1";
+      String failing = "s1";
       for (int i = 1; i <= 40; i++) {
         script.arrive(Fixtures.plain(i, "/read", Optional.empty()));
         Effect.SendPlain send = script.only(Effect.SendPlain.class);
-        if (send.upstream().value().equals(bad)) {
+        if (send.upstream().value().equals(failing)) {
           script.fail(send.attempt(), FailureCause.CONNECT_FAILED, Exposure.NOT_SENT);
         } else {
           script.apply(new Event.PlainDone(script.now, send.attempt()));
         }
       }
       RouterStatus.UpstreamStatus status = script.router.status().upstreams().getFirst();
-      assertTrue(status.ejected(), "three failures in a row eject");
+      assertTrue(status.ejected(), "three consecutive failures eject the upstream");
       script.pass(1_200);
       for (int i = 41; i <= 60; i++) {
         script.arrive(Fixtures.plain(i, "/read", Optional.empty()));
       }
       status = script.router.status().upstreams().getFirst();
-      assertTrue(status.outstanding() <= 1, "one request probes it: " + status.outstanding());
+      assertTrue(
+          status.outstanding() <= 1,
+          "more than one request probes the upstream: " + status.outstanding());
     }
 
     @Test
-    public void leavingUpstreamGetsNothingNewAndItsKvCacheMoves() {
-      Script script = one(Urgency.PATIENT, 4).arrive(completion(1));
+    public void removedUpstreamGetsNoNewWorkAndItsKvCacheIsTransferred() {
+      Script script = withOnePair(Urgency.PATIENT, 4).arrive(completion(1));
       Effect.StartPrefill prefill = script.only(Effect.StartPrefill.class);
       script.configure(configuration(2, engine("p2", "prefill", 4), engine("d1", "decode", 4)));
       script.prefilled(prefill.attempt());
@@ -175,40 +179,40 @@
 
     @Test
     public void olderConfigurationIsIgnored() {
-      Script script = one(Urgency.PATIENT, 4);
+      Script script = withOnePair(Urgency.PATIENT, 4);
       script.configure(configuration(0));
       assertEquals(script.router.status().revision(), new Revision(1));
     }
 
     @Test
-    public void stoppingNodeFinishesWhatItHasAndRefusesTheRest() {
-      Script script = one(Urgency.PATIENT, 4);
+    public void drainingNodeFinishesItsRequestsAndRefusesNewOnes() {
+      Script script = withOnePair(Urgency.PATIENT, 4);
       final Effect.StartDecode decode = script.toDecode(completion(1));
       script.apply(new Event.StopRequested(script.now));
       script.arrive(completion(2));
       assertEquals(script.refusal(2), ErrorKind.NOT_READY);
       script.apply(new Event.DecodeDone(script.now, decode.attempt(), 10));
-      assertTrue(script.ending(1) instanceof Effect.Complete);
+      assertTrue(script.lastEffect(1) instanceof Effect.Complete);
     }
   }
 
-  /** Limits of workspaces. */
+  /** The limits of workspaces, divided among nodes. */
   public static class LimitTest {
-    /** Numbers of nodes. */
+    /** The numbers of nodes that share the limit. */
     @DataProvider
     public Object[][] nodes() {
       return new Object[][] {{1}, {8}, {330}};
     }
 
     @Test(dataProvider = "nodes")
-    public void sharesTogetherKeepTheLimit(int nodes) {
+    public void sharesOfAllNodesTogetherKeepTheLimit(int nodes) {
       int limit = 660;
       int accepted = 0;
       for (int node = 0; node < nodes; node++) {
         accepted += acceptedInTenSeconds((double) limit / nodes, limit);
       }
-      double over = (double) accepted / (10 * limit) - 1;
-      assertTrue(over > -0.01 && over < 0.06, nodes + " nodes: " + over);
+      double excess = (double) accepted / (10 * limit) - 1;
+      assertTrue(excess > -0.01 && excess < 0.06, nodes + " nodes: " + excess);
     }
 
     private static int acceptedInTenSeconds(double share, int limit) {
@@ -226,7 +230,7 @@
       for (long i = 2; script.now < end; i++) {
         script.now += step * Script.MILLI;
         script.arrive(Fixtures.plain(i, "/read", Optional.empty()));
-        accepted += script.endings.containsKey(new RequestId(i)) ? 0 : 1;
+        accepted += script.lastEffects.containsKey(new RequestId(i)) ? 0 : 1;
       }
       return accepted;
     }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/RouterTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/RouterTest.java
@@ -22,7 +22,7 @@
 import org.larkkeel.lib.UpstreamName;
 import org.testng.annotations.Test;
 
-/** The router as a whole, one request at a time. */
+/** The router from event to effect, with one request at a time. */
 public class RouterTest {
   private static Script ready() {
     return new Script()
@@ -37,21 +37,21 @@
                 engine("s2", "service", 2)));
   }
 
-  /** Without failures. */
-  public static class UndisturbedTest {
+  /** Requests without failures. */
+  public static class WithoutFailuresTest {
     @Test
-    public void completionRunsThroughBothPoolsAndEndsOnce() {
+    public void completionRunsInBothPoolsAndEndsOnce() {
       Script script = ready();
       Effect.StartDecode decode = script.toDecode(completion(1));
       script.apply(new Event.FirstToken(script.now, decode.attempt()));
       assertEquals(script.facts(Fact.PrefillUsed.class).size(), 1);
       script.apply(new Event.DecodeDone(script.now, decode.attempt(), 20));
-      assertTrue(script.ending(1) instanceof Effect.Complete);
+      assertTrue(script.lastEffect(1) instanceof Effect.Complete);
       script.assertIdle();
     }
 
     @Test
-    public void unknownModelIsRefusedWithoutTrace() {
+    public void unknownModelIsRefusedAndNothingIsKept() {
       Script script = new Script().configure(configuration(1));
       script.arrive(completion(1));
       assertEquals(script.refusal(1), ErrorKind.NO_UPSTREAM);
@@ -59,7 +59,7 @@
     }
   }
 
-  /** What operators are told. */
+  /** Explanations of placement for operators. */
   public static class ExplanationTest {
     @Test
     public void everyCandidateHasItsVerdictAndNothingChanges() {
@@ -97,17 +97,19 @@
     }
   }
 
-  /** Failures of decode engines. */
+  /** Failures of transfers and of decode engines. */
   public static class DecodeFailureTest {
     @Test
-    public void heldKvCacheGoesToAnotherEngineWithoutSecondPrefill() {
+    public void heldKvCacheIsTransferredToAnotherEngineWithoutSecondPrefill() {
       Script script = ready();
       script.arrive(completion(1));
       script.prefilled(script.only(Effect.StartPrefill.class).attempt());
       Effect.StartTransfer first = script.only(Effect.StartTransfer.class);
       script.fail(first.attempt(), FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN);
       assertEquals(script.only(Effect.Cancel.class).attempt(), first.attempt());
-      assertTrue(script.all(Effect.StartTransfer.class).isEmpty(), "the cancel comes first");
+      assertTrue(
+          script.all(Effect.StartTransfer.class).isEmpty(),
+          "the cancel must end before the next transfer");
       script.cancelSettled(first.attempt(), CancelOutcome.FAILED);
       Effect.StartTransfer second = script.only(Effect.StartTransfer.class);
       assertEquals(second.prefill(), first.prefill());
@@ -116,7 +118,7 @@
     }
 
     @Test
-    public void brokenStreamIsResumedAtTheTokenReached() {
+    public void brokenStreamResumesAfterTheLastDeliveredToken() {
       Script script = ready();
       Effect.StartDecode decode = script.toDecode(completion(1));
       script.apply(new Event.FirstToken(script.now, decode.attempt()));
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/Script.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/Script.java
@@ -25,14 +25,16 @@
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.RequestId;
 
-/** Drives a router step by step in virtual time; the test plays the world. */
+/**
+ * Drives a router step by step in virtual time; the test takes the part of callers and upstreams.
+ */
 final class Script {
   static final long MILLI = 1_000_000L;
   static final long START = 1_000 * MILLI;
 
   final Router router;
   final List<Effect> effects = new ArrayList<>();
-  final Map<RequestId, Effect> endings = new HashMap<>();
+  final Map<RequestId, Effect> lastEffects = new HashMap<>();
   long now = START;
 
   Script(RouterSettings settings) {
@@ -43,14 +45,14 @@
     this(RouterSettings.defaults());
   }
 
-  /** Applies an event and keeps its effects alone. */
+  /** Applies an event; {@link #effects} then contains its effects only. */
   Script apply(Event event) {
     effects.clear();
     router.apply(event, this::take);
     return this;
   }
 
-  /** Lets time pass, with every wake that was asked for. */
+  /** Advances the time in steps of 5 ms, with a tick at each step; collects the effects. */
   Script pass(long millis) {
     effects.clear();
     long until = now + millis * MILLI;
@@ -61,7 +63,7 @@
     return this;
   }
 
-  /** The only effect of a type since the last event. */
+  /** Returns the effect of a type since the last event; fails if there is not exactly one. */
   <T extends Effect> T only(Class<T> type) {
     List<T> found = all(type);
     assertEquals(found.size(), 1, type.getSimpleName() + " in " + effects);
@@ -108,7 +110,7 @@
     return apply(new Event.CancelSettled(now, attempt, outcome));
   }
 
-  /** Brings a completion to its decode. */
+  /** Takes a completion from its arrival to the start of its decode. */
   Effect.StartDecode toDecode(Call.Completion call) {
     arrive(call);
     prefilled(only(Effect.StartPrefill.class).attempt());
@@ -117,30 +119,30 @@
   }
 
   ErrorKind refusal(long request) {
-    Effect ending = endings.get(new RequestId(request));
+    Effect ending = lastEffects.get(new RequestId(request));
     assertTrue(ending instanceof Effect.Refuse, "request " + request + " ended by " + ending);
     return ((Effect.Refuse) ending).kind();
   }
 
-  Effect ending(long request) {
-    return endings.get(new RequestId(request));
+  Effect lastEffect(long request) {
+    return lastEffects.get(new RequestId(request));
   }
 
-  /** Nothing may be left of any request. */
+  /** Asserts that the router keeps nothing of any request and holds no slot. */
   void assertIdle() {
     RouterStatus status = router.status();
-    assertEquals(status.requests(), 0, "requests left");
-    assertEquals(status.attempts(), 0, "attempts left");
-    assertEquals(status.queued(), 0, "queued left");
+    assertEquals(status.requests(), 0, "requests in progress");
+    assertEquals(status.attempts(), 0, "current attempts");
+    assertEquals(status.queued(), 0, "queued requests");
     for (RouterStatus.UpstreamStatus upstream : status.upstreams()) {
       assertEquals(upstream.outstanding(), 0, "attempts at " + upstream.name());
-      assertEquals(upstream.freeSlots(), upstream.slots(), "slots of " + upstream.name());
+      assertEquals(upstream.freeSlots(), upstream.slots(), "free slots of " + upstream.name());
     }
   }
 
   private void take(Effect effect) {
     effects.add(effect);
-    RequestId ended =
+    RequestId request =
         switch (effect) {
           case Effect.Complete e -> e.request();
           case Effect.Replay e -> e.request();
@@ -148,9 +150,11 @@
           case Effect.Forget e -> e.request();
           default -> null;
         };
-    if (ended != null) {
-      Effect before = endings.put(ended, effect);
-      assertTrue(before == null, "request " + ended + " ended twice: " + before + ", " + effect);
+    if (request != null) {
+      Effect previous = lastEffects.put(request, effect);
+      assertTrue(
+          previous == null,
+          "request " + request + " has two last effects: " + previous + ", " + effect);
     }
   }
 }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/internal/IndexTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/internal/IndexTest.java
@@ -51,7 +51,7 @@
 import org.larkkeel.selector.Selector;
 import org.testng.annotations.Test;
 
-/** Each index against a naive recomputation, over generated histories. */
+/** Compares each index with a naive computation over generated histories. */
 public class IndexTest {
   private static final long SEED = 11;
   private static final List<Role> ROLES = List.of(Role.values());
@@ -111,7 +111,7 @@
         3);
   }
 
-  /** Changes a part of a configuration. */
+  /** Changes three random objects of a configuration. */
   private static Configuration change(Configuration before, SplittableRandom random) {
     Map<UpstreamName, Upstream> upstreams = new HashMap<>(before.upstreams());
     Map<PoolName, Pool> pools = new HashMap<>(before.pools());
@@ -155,10 +155,10 @@
     return new Call.Completion(id, workspace, Optional.empty(), model, 10, 10, PrefixKeys.NONE, 0);
   }
 
-  /** Selection by labels. */
+  /** The indexes of pools and rules. */
   public static class SelectionTest {
     @Test
-    public void poolsHaveWhatTheirSelectorsSelect() {
+    public void poolMembersMatchTheirSelectors() {
       check(
           random -> {
             PoolIndex index = new PoolIndex();
@@ -182,7 +182,7 @@
     }
 
     @Test
-    public void rulesAreFoundAsBySearchingAll() {
+    public void ruleMatchesLinearSearch() {
       check(
           random -> {
             RuleIndex index = new RuleIndex();
@@ -222,10 +222,10 @@
     }
   }
 
-  /** Timers. */
+  /** The timer queue. */
   public static class TimerQueueTest {
     @Test
-    public void timersFireInOrderAndClearedOnesLeaveNothing() {
+    public void timersFireWhenDueAndClearedOnesAreRemoved() {
       check(
           random -> {
             TimerQueue queue = new TimerQueue();
@@ -277,10 +277,10 @@
     }
   }
 
-  /** Prefix caches. */
+  /** The index of prompt prefixes. */
   public static class PrefixIndexTest {
     @Test
-    public void indexNamesExactlyTheHoldersOfEachPrefix() {
+    public void indexReturnsExactlyTheUpstreamsOfEachPrefix() {
       check(
           random -> {
             PrefixIndex index = new PrefixIndex();
@@ -289,19 +289,26 @@
               Health health = new Health(3, 1);
               states.add(
                   new UpstreamState(
-                      upstream("u" + i, random), new Rates(null), index, health, () -> {}));
+                      upstream("u" + i, random),
+                      new SpeedEstimates(null),
+                      index,
+                      health,
+                      () -> {}));
             }
             for (int i = 0; i < 200; i++) {
               UpstreamState state = states.get(random.nextInt(4));
               ImmutableLongArray stored = ImmutableLongArray.of(random.nextInt(20));
               ImmutableLongArray removed = ImmutableLongArray.of(random.nextInt(20));
-              long start = 1L + i / 80;
-              state.cache.changed(new Incarnation(start), random.nextInt(400), stored, removed);
+              long incarnation = 1L + i / 80;
+              state.cache.applyChange(
+                  new Incarnation(incarnation), random.nextInt(400), stored, removed);
               for (long key = 0; key < 20; key++) {
                 long sought = key;
                 Set<UpstreamState> naive =
-                    states.stream().filter(s -> s.cache.holds(sought)).collect(Collectors.toSet());
-                List<UpstreamState> found = index.longest(ImmutableLongArray.of(key));
+                    states.stream()
+                        .filter(s -> s.cache.contains(sought))
+                        .collect(Collectors.toSet());
+                List<UpstreamState> found = index.withLongestPrefix(ImmutableLongArray.of(key));
                 if (found.size() != naive.size() || !naive.containsAll(found)) {
                   return false;
                 }
@@ -312,7 +319,7 @@
     }
   }
 
-  /** Slots. */
+  /** The ledger of slots. */
   public static class SlotLedgerTest {
     @Test
     public void reportsAreCorrectedForWhatHappenedAfterThem() {
@@ -343,7 +350,7 @@
                       1,
                       1,
                       ImmutableSet.of());
-              ledger.reported(report);
+              ledger.applyReport(report);
               if (ledger.usable(now, false, 1) - ledger.active() != 1_000 - others - active) {
                 return false;
               }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/internal/PoolIndexTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/internal/PoolIndexTest.java
@@ -28,7 +28,7 @@
 import org.larkkeel.selector.Selector;
 import org.testng.annotations.Test;
 
-/** Tests of {@link PoolIndex} against a selection of all upstreams. */
+/** Compares {@link PoolIndex} with a selection over all upstreams. */
 public class PoolIndexTest {
   private static final long SEED = 11;
   private static final List<Selector> SELECTORS =
@@ -52,7 +52,7 @@
     return new Pool(new PoolName("p" + id), Role.DECODE, Labels.NONE, selector);
   }
 
-  /** Changes one object; the numbers choose which and how. */
+  /** Changes one object; the numbers select the object and the change. */
   private static Configuration step(Configuration from, int id, int choice) {
     ConfigurationBuilder next = new ConfigurationBuilder(from);
     if (choice < 6) {
@@ -67,7 +67,7 @@
     return next.build();
   }
 
-  /** Members. */
+  /** The members of a pool. */
   public static class Members {
     @Test
     public void leavingUpstreamIsInNoPool() {
@@ -91,10 +91,10 @@
               lists()
                   .of(integers().between(1, 3).zip(integers().between(0, 10), List::of))
                   .ofSizeBetween(0, 20))
-          .checkAssert(Members::compare);
+          .checkAssert(Members::compareAfterEachStep);
     }
 
-    private static void compare(List<List<Integer>> history) {
+    private static void compareAfterEachStep(List<List<Integer>> history) {
       PoolIndex index = new PoolIndex();
       Configuration now = Configuration.EMPTY;
       for (List<Integer> step : history) {
--- a/org.larkkeel.test/src/test/java/org/larkkeel/router/internal/PrefixCacheTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/router/internal/PrefixCacheTest.java
@@ -19,11 +19,11 @@
 import org.larkkeel.lib.UpstreamName;
 import org.testng.annotations.Test;
 
-/** What is believed of the prefixes that an engine keeps. */
+/** Guards against routing by cached prefixes that an engine lost in a restart. */
 public class PrefixCacheTest {
   private static final ImmutableLongArray NONE = ImmutableLongArray.of();
 
-  /** Engines that start again. */
+  /** Engines that restart. */
   public static class Restarted {
     private static UpstreamState engine() {
       Upstream config =
@@ -36,41 +36,42 @@
               FencingSupport.IGNORED,
               Upstream.DEFAULT_LINK_BYTES_PER_SECOND);
       return new UpstreamState(
-          config, new Rates(null), new PrefixIndex(), new Health(3, 1), () -> {});
+          config, new SpeedEstimates(null), new PrefixIndex(), new Health(3, 1), () -> {});
     }
 
-    private static void report(UpstreamState engine, long start, long asOf) {
-      engine.reported(
-          new LoadReport(new Incarnation(start), asOf, 2, 0, 0, 10, 10, ImmutableSet.of()));
+    private static void report(UpstreamState engine, long incarnation, long asOf) {
+      engine.applyReport(
+          new LoadReport(new Incarnation(incarnation), asOf, 2, 0, 0, 10, 10, ImmutableSet.of()));
     }
 
-    private static void stored(UpstreamState engine, long start, long number, long key) {
-      engine.cache.changed(new Incarnation(start), number, ImmutableLongArray.of(key), NONE);
+    private static void stored(UpstreamState engine, long incarnation, long sequence, long key) {
+      engine.cache.applyChange(
+          new Incarnation(incarnation), sequence, ImmutableLongArray.of(key), NONE);
     }
 
     @Test
-    public void keepNothingOfBefore() {
+    public void loseTheirCachedPrefixes() {
       UpstreamState engine = engine();
       report(engine, 7, 10);
       stored(engine, 7, 1, 100);
-      assertTrue(engine.cache.holds(100));
+      assertTrue(engine.cache.contains(100));
       report(engine, 8, 20);
-      assertFalse(engine.cache.holds(100));
+      assertFalse(engine.cache.contains(100));
       stored(engine, 7, 2, 101);
-      assertFalse(engine.cache.holds(101), "the change is of the earlier life");
+      assertFalse(engine.cache.contains(101), "the change belongs to the earlier incarnation");
     }
 
     @Test
-    public void areFollowedThoughTheirClockWasSetBack() {
+    public void areDetectedThoughTheirClockWasSetBack() {
       UpstreamState engine = engine();
       report(engine, 17, 10);
       stored(engine, 17, 5, 100);
       report(engine, 6, 20);
       stored(engine, 6, 1, 101);
-      assertFalse(engine.cache.holds(100));
-      assertTrue(engine.cache.holds(101));
+      assertFalse(engine.cache.contains(100));
+      assertTrue(engine.cache.contains(101));
       stored(engine, 17, 6, 102);
-      assertFalse(engine.cache.holds(102), "the change is of the earlier life");
+      assertFalse(engine.cache.contains(102), "the change belongs to the earlier incarnation");
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/Explanation.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/Explanation.java
@@ -14,15 +14,15 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Why a request would go where.
+ * The placement that the router would decide for a request, and the reasons.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param rule the rule that takes it; empty if none does
- * @param pools the pools of that rule
- * @param candidates every upstream of those pools, in order of name
- * @param predictedWaitNanos how long it would wait in the queue
- * @param queued requests of the same kind that wait now
+ * @param rule the rule that matches the request; empty if none does
+ * @param pools the pools that the rule selects
+ * @param candidates every upstream of these pools, ordered by name within each role
+ * @param predictedWaitNanos the predicted time in the queue, in nanoseconds; 0 if unknown
+ * @param queued the number of requests of the same route that wait now
  * @since 0.1
  */
 public record Explanation(
@@ -32,14 +32,14 @@
     long predictedWaitNanos,
     int queued) {
   /**
-   * What is known of one upstream with regard to the request.
+   * One upstream as a candidate for the request.
    *
-   * @param upstream the upstream
-   * @param role what it would do
-   * @param verdict whether it would take the request now
-   * @param freeSlots free slots that this node may use
-   * @param outstanding attempts of this node at it
-   * @param predictedNanos predicted time of its part of the work
+   * @param upstream the name of the upstream
+   * @param role the role in which the upstream would serve the request
+   * @param verdict whether the upstream would accept the request now
+   * @param freeSlots the number of free, unreserved slots that this node may use
+   * @param outstanding the number of attempts of this node at the upstream
+   * @param predictedNanos the predicted duration of its part of the work, in nanoseconds
    */
   public record Candidate(
       UpstreamName upstream,
@@ -49,15 +49,15 @@
       int outstanding,
       long predictedNanos) {}
 
-  /** Whether an upstream would take a request now. */
+  /** The verdict on an upstream: whether it would accept a request now, and if not, why. */
   public enum Verdict {
-    /** It would take it. */
+    /** The upstream would accept the request. */
     FITS,
-    /** All its places are taken. */
+    /** The upstream has no free capacity. */
     FULL,
-    /** It failed repeatedly and gets no requests for a time. */
+    /** The upstream is ejected after failures and gets no requests for a time. */
     EJECTED,
-    /** It is declared for other models, or has not loaded this one. */
+    /** The upstream is declared for other models, or reported that it has not loaded this one. */
     OTHER_MODEL
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/PlacementPolicy.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/PlacementPolicy.java
@@ -7,7 +7,7 @@
 package org.larkkeel.router;
 
 /**
- * How an upstream is chosen among those that fit.
+ * The rule by which an upstream is chosen among those with free capacity.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -15,17 +15,17 @@
  */
 public sealed interface PlacementPolicy {
   /**
-   * The least predicted finish time over pairs of a prefill and a decode engine, from learnt rates,
-   * the prefix cache, link times and slots.
+   * Chooses the pair of a prefill and a decode engine with the minimum predicted finish time,
+   * computed from measured speeds, the prefix caches, link times and slots.
    *
-   * @param sample upstreams of a role that are compared, at least 1; all of them if there are no
-   *     more
+   * @param sample the number of upstreams of a role that are sampled for comparison, at least 1;
+   *     all of them if there are no more
    */
   record PredictedFinish(int sample) implements PlacementPolicy {}
 
-  /** Any fitting upstream, whatever its load. */
+  /** Chooses a random upstream with free capacity, regardless of its load. */
   record Random() implements PlacementPolicy {}
 
-  /** The fitting upstream with the fewest requests of this node. */
+  /** Chooses the upstream with free capacity that has the fewest requests of this node. */
   record LeastOutstanding() implements PlacementPolicy {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/ReservationPolicy.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/ReservationPolicy.java
@@ -7,29 +7,30 @@
 package org.larkkeel.router;
 
 /**
- * Whether a prefill starts only with a decode slot in sight.
+ * The condition on decode slots under which a prefill may start.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
 public sealed interface ReservationPolicy {
-  /** No slot is reserved; the decode engine is chosen when the prefill is complete. */
+  /** Reserves no slot; the decode engine is chosen when the prefill is complete. */
   record None() implements ReservationPolicy {}
 
-  /** A free slot is held from before the prefill until the end of the decode. */
+  /** Reserves a free slot before the prefill starts and holds it until the end of the decode. */
   record Strict() implements ReservationPolicy {}
 
   /**
-   * A slot is free, or slots enough of all decode engines together are expected to come free while
-   * the prefill runs and its KV cache is held.
+   * Starts a prefill only if a decode slot is free, or if enough slots of all decode engines
+   * together are predicted to be released while the prefill runs and its KV cache is held.
    *
-   * @param holdShare share of the time that a KV cache is held that is counted on, from 0 to 1
-   * @param caution standard deviations by which fewer slots may come free than expected, to start
-   *     with
-   * @param overbooking the most slots of one upstream promised beyond those free, as a share of its
-   *     slots, from 0 to 1
+   * @param holdShare the part of the hold time of a KV cache that the prediction counts on, from 0
+   *     to 1
+   * @param initialDeviations the initial safety margin: the number of standard deviations that is
+   *     subtracted from the expected number of releases
+   * @param overbooking the maximum number of slots of one upstream that are reserved beyond its
+   *     free ones, as a share of all its slots, from 0 to 1
    */
-  record PredictedRelease(double holdShare, double caution, double overbooking)
+  record PredictedRelease(double holdShare, double initialDeviations, double overbooking)
       implements ReservationPolicy {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/RetryPolicy.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/RetryPolicy.java
@@ -7,25 +7,25 @@
 package org.larkkeel.router;
 
 /**
- * When a failed attempt is followed by another.
+ * The conditions on the number and the delay of retries.
  *
- * <p>What may be repeated at all does not depend on it. Immutable and safe for use by several
- * threads.
+ * <p>Whether a request may be retried at all, as it may have run, does not depend on the policy.
+ * Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
 public sealed interface RetryPolicy {
-  /** At once, anywhere that fits, while attempts are left. */
-  record Blind() implements RetryPolicy {}
+  /** Retries at once, at any upstream with free capacity, while attempts are left. */
+  record Immediate() implements RetryPolicy {}
 
   /**
-   * After a delay that doubles, with jitter, on another upstream first, as long as the budget
-   * lasts.
+   * Retries after an exponentially increasing delay with jitter, at another upstream if there is
+   * one, while the retry budget lasts.
    *
-   * @param share retries earned by each first attempt
-   * @param burst the most retries that can be saved up
-   * @param baseNanos the first delay
-   * @param maxNanos the longest delay
+   * @param share the number of retries that each first attempt adds to the budget
+   * @param burst the maximum size of the budget, in retries
+   * @param baseNanos the first delay, in nanoseconds
+   * @param maxNanos the maximum delay, in nanoseconds
    */
   record Budgeted(double share, double burst, long baseNanos, long maxNanos)
       implements RetryPolicy {}
--- a/org.larkkeel/src/main/java/org/larkkeel/router/Router.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/Router.java
@@ -16,7 +16,7 @@
 import org.larkkeel.lib.Revision;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.router.internal.Attempt;
-import org.larkkeel.router.internal.AttemptTable.Former;
+import org.larkkeel.router.internal.AttemptTable.FormerAttempt;
 import org.larkkeel.router.internal.Core;
 import org.larkkeel.router.internal.RequestState;
 import org.larkkeel.router.internal.Route;
@@ -24,12 +24,13 @@
 import org.larkkeel.router.internal.UpstreamState;
 
 /**
- * The reducer: takes every event of a node and decides the effects.
+ * The reducer of a node: applies every event to the state and emits the effects that follow.
  *
- * <p>Has no clock, thread, socket, random source or logger: time comes with events, and random
- * choices follow the seed, so the same events give the same effects. Invariants: each request that
- * arrived gets exactly one last effect ({@code Complete}, {@code Replay}, {@code Refuse} or {@code
- * Forget}); nothing is kept of a request after it. Not safe for use by several threads.
+ * <p>Uses no clock, thread, socket, external random source or logger: events carry the time, and
+ * random choices follow the seed, so the same events produce the same effects. Invariants: each
+ * request that arrived gets exactly one last effect ({@code Complete}, {@code Replay}, {@code
+ * Refuse} or {@code Forget}), and no state of the request is kept after it. Not safe for use by
+ * several threads.
  *
  * @since 0.1
  */
@@ -41,7 +42,7 @@
   /**
    * Creates a router without upstreams and rules.
    *
-   * @param settings the settings, never null
+   * @param settings the settings, not null
    * @param seed the seed of every random choice
    */
   public Router(RouterSettings settings, long seed) {
@@ -50,22 +51,22 @@
   }
 
   /**
-   * Takes an event.
+   * Applies an event and emits the resulting effects.
    *
-   * @param event the event; its time is not before that of the last one
-   * @param sink takes the effects, in order
+   * @param event the event; its time must not be before that of the previous event
+   * @param sink receives the effects, in order
    */
   public void apply(Event event, EffectSink sink) {
     core.context.begin(event.at(), sink);
     core.context.timers().fireDue(core.context.now());
     handle(event);
-    core.slotAsker.wake();
+    core.slotDemand.start();
     core.dispatcher.run();
     core.context.end();
   }
 
   /**
-   * Tells why a request would go where; changes nothing.
+   * Explains where a request would be placed and why, without changing any state.
    *
    * @param call the request
    * @return the explanation
@@ -75,9 +76,9 @@
   }
 
   /**
-   * Describes the router.
+   * Returns the current status of the router.
    *
-   * @return a view of it as it is now
+   * @return an immutable snapshot
    */
   public RouterStatus status() {
     return view.status(revision);
@@ -89,14 +90,14 @@
       case Event.CallerGone gone -> callerGone(gone);
       case Event.OfAttempt ofAttempt -> handleAttempt(ofAttempt);
       case Event.LoadReported reported -> loadReported(reported.upstream(), reported.report());
-      case Event.LoadUnavailable silent -> loadUnavailable(silent.upstream());
+      case Event.LoadUnavailable unavailable -> loadUnavailable(unavailable.upstream());
       case Event.CacheChanged changed -> cacheChanged(changed);
       case Event.ConfigurationAccepted accepted -> configure(accepted.configuration());
-      case Event.PeersChanged peers -> core.fleet.setNodes(peers.live().size());
+      case Event.PeersChanged peers -> core.fleet.setNodeCount(peers.live().size());
       case Event.SlotsGranted granted -> slotsGranted(granted);
       case Event.LimitGranted granted ->
           core.limiter.granted(granted.workspace(), granted.share(), granted.until());
-      case Event.StopRequested stop -> core.arrivals.stop();
+      case Event.StopRequested stop -> core.arrivals.drain();
       case Event.Ticked tick -> {}
     }
   }
@@ -109,7 +110,7 @@
     }
     Attempt attempt = core.attempts.get(event.attempt());
     if (attempt == null) {
-      handleLate(event);
+      handleFormer(event);
       return;
     }
     switch (event) {
@@ -123,27 +124,32 @@
           core.failures.failed(attempt, failed.cause(), failed.exposure(), failed.tokens());
       case Event.ClaimSettled settled -> core.claims.settled(attempt, settled.outcome());
       case Event.RecordSettled settled -> core.endings.recorded(attempt, settled.outcome());
-      case Event.CancelSettled settled -> throw new IllegalStateException("handled above");
+      case Event.CancelSettled settled ->
+          throw new IllegalStateException(
+              "CancelSettled is handled before the attempt is looked up");
     }
   }
 
-  /** An event of an attempt that ended may reveal that something is held for it after all. */
-  private void handleLate(Event.OfAttempt event) {
-    Former former = core.attempts.former(event.attempt());
+  /**
+   * Handles an event of an attempt that has ended. Such an event can show that an upstream or a
+   * claim is still held for the attempt; that is then cancelled or released.
+   */
+  private void handleFormer(Event.OfAttempt event) {
+    FormerAttempt former = core.attempts.former(event.attempt());
     if (former == null) {
       return;
     }
     switch (event) {
-      case Event.PrefillDone done -> cancelLate(done, former);
-      case Event.TransferDone done -> cancelLate(done, former);
-      case Event.FirstToken first -> cancelLate(first, former);
+      case Event.PrefillDone done -> cancelFormer(done, former);
+      case Event.TransferDone done -> cancelFormer(done, former);
+      case Event.FirstToken first -> cancelFormer(first, former);
       case Event.ClaimSettled settled ->
           core.claims.settledLate(settled.attempt(), former, settled.outcome());
       case Event.DecodeDone done -> {}
       case Event.PlainDone done -> {}
       case Event.AttemptFailed failed -> {
         if (failed.exposure() == Exposure.MAY_HAVE_RUN) {
-          cancelLate(failed, former);
+          cancelFormer(failed, former);
         }
       }
       case Event.RecordSettled settled -> {}
@@ -151,7 +157,7 @@
     }
   }
 
-  private void cancelLate(Event.OfAttempt event, Former former) {
+  private void cancelFormer(Event.OfAttempt event, FormerAttempt former) {
     if (former.upstream() == null) {
       return;
     }
@@ -171,30 +177,30 @@
       return;
     }
     boolean sameModels = upstream.reportsModels(report);
-    boolean wasSilent = upstream.isSilent();
-    if (upstream.reported(report)) {
+    boolean wasUnresponsive = upstream.isUnresponsive();
+    if (upstream.applyReport(report)) {
       core.cancels.restarted(upstream);
-      core.fleet.ejections().back(upstream);
-    } else if (wasSilent) {
-      core.fleet.ejections().back(upstream);
+      core.fleet.ejections().restore(upstream);
+    } else if (wasUnresponsive) {
+      core.fleet.ejections().restore(upstream);
     }
     if (!sameModels) {
       core.fleet.modelsChanged(upstream);
     }
-    core.fleet.gained(upstream);
+    core.fleet.capacityFreed(upstream);
   }
 
   private void loadUnavailable(UpstreamName name) {
     UpstreamState upstream = core.fleet.get(name);
     if (upstream != null) {
-      core.fleet.ejections().silent(upstream);
+      core.fleet.ejections().queryFailed(upstream);
     }
   }
 
   private void cacheChanged(Event.CacheChanged event) {
     UpstreamState upstream = core.fleet.get(event.upstream());
     if (upstream != null) {
-      upstream.cache.changed(
+      upstream.cache.applyChange(
           event.incarnation(), event.sequence(), event.stored(), event.removed());
     }
   }
@@ -203,7 +209,7 @@
     UpstreamState upstream = core.fleet.get(event.upstream());
     if (upstream != null) {
       upstream.slots.grant(event.slots(), event.until());
-      core.fleet.gained(upstream);
+      core.fleet.capacityFreed(upstream);
     }
   }
 
@@ -214,13 +220,13 @@
     revision = configuration.revision();
     core.limiter.apply(configuration);
     core.fleet.apply(configuration);
-    for (Route gone : core.routes.apply(configuration)) {
-      core.arrivals.reroute(gone);
+    for (Route removed : core.routes.apply(configuration)) {
+      core.arrivals.reroute(removed);
     }
-    for (Route stranded : core.routes.stranded()) {
-      core.arrivals.reroute(stranded);
+    for (Route withoutUpstreams : core.routes.interactiveWithoutUpstreams()) {
+      core.arrivals.reroute(withoutUpstreams);
     }
-    core.predictor.keepOnly(core.fleet);
+    core.predictor.retainDeclaredModels(core.fleet);
     core.context.report(new Fact.InForce(revision));
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/RouterSettings.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/RouterSettings.java
@@ -12,29 +12,32 @@
 import org.larkkeel.lib.DataCentreName;
 
 /**
- * Settings of a router.
+ * The settings of a router.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param policyName the name under which results of these policies are reported
- * @param placement how an upstream is chosen
- * @param reservation whether a prefill waits for a decode slot
- * @param queue what happens to a request that can't be placed at once
- * @param retry when a failed attempt is followed by another
- * @param ejection whether a failing upstream gets no requests for a time
- * @param sharedSlots whether slots are granted by their owner; otherwise all that the reports leave
- *     are used
+ * @param policyName the name of this set of policies in reported results
+ * @param placement the rule by which an upstream is chosen
+ * @param reservation the condition on decode slots under which a prefill may start
+ * @param queue the handling of a request that can't be placed at once
+ * @param retry the conditions on the number and the delay of retries
+ * @param ejection true if a failing upstream is ejected, so that it gets no requests for a time
+ * @param sharedSlots true if the owner of the slots of an upstream grants them to nodes; otherwise
+ *     this node uses all slots that are free according to the load reports
  * @param dataCentre the data centre of this node; empty if unknown
- * @param kvHoldNanos how long an engine is counted on to hold a KV cache after the prefill
- * @param prefillDepth prefills of this node inside one engine at once
- * @param smallPromptTokens prompts up to this size pass between long ones
- * @param maxQueued requests that wait at once; more are refused
- * @param defaultOutputTokens tokens expected of an answer before any was seen
- * @param ejectAfter failures in a row that eject an upstream
- * @param ejectNanos the first ejection; it doubles up to 32 times this
- * @param cancelRetryNanos the first delay before a cancel is repeated; it doubles up to 16 times
- *     this
- * @param wantNanos how often slots and limits are asked for
+ * @param kvHoldNanos the time for which an engine is expected to hold a KV cache after the prefill,
+ *     in nanoseconds
+ * @param prefillDepth the maximum number of concurrent prefills of this node at one engine
+ * @param smallPromptTokens the maximum size of a small prompt, in tokens; small prompts are served
+ *     ahead of long ones
+ * @param maxQueued the maximum number of requests in progress; more are refused
+ * @param defaultOutputTokens the expected length of an answer before any was observed, in tokens
+ * @param ejectAfter the number of consecutive failures that ejects an upstream
+ * @param ejectNanos the duration of the first ejection, in nanoseconds; each further one lasts
+ *     twice as long, up to 32 times this value
+ * @param cancelRetryNanos the first delay before a cancel is retried, in nanoseconds; it doubles up
+ *     to 16 times this value
+ * @param wantNanos the interval between requests for slots and limits, in nanoseconds
  * @since 0.1
  */
 public record RouterSettings(
@@ -55,26 +58,29 @@
     long ejectNanos,
     long cancelRetryNanos,
     long wantNanos) {
-  /** The policies in use. */
+  /** The default policies. */
   public static final String CURRENT = "larkkeel";
 
-  /** The policies in use, with a slot held from before the prefill. */
+  /** The default policies, but with a free decode slot reserved before the prefill starts. */
   public static final String STRICT = "larkkeel-strict";
 
-  /** The policies in use, without any reservation of slots. */
+  /** The default policies, but without any reservation of slots. */
   public static final String UNRESERVED = "larkkeel-unreserved";
 
-  /** Baseline: a random fitting upstream, no reservation, blind retries. */
+  /** Baseline: a random upstream with free capacity, no reservation, immediate retries. */
   public static final String RANDOM = "random";
 
-  /** Baseline: the fitting upstream with the fewest requests, no reservation, blind retries. */
+  /**
+   * Baseline: the upstream with free capacity and the fewest requests, no reservation, immediate
+   * retries.
+   */
   public static final String LEAST_OUTSTANDING = "least-outstanding";
 
-  /** The names that {@link #named} knows. */
+  /** The names that {@link #named} accepts. */
   public static final ImmutableList<String> NAMES =
       ImmutableList.of(CURRENT, STRICT, UNRESERVED, RANDOM, LEAST_OUTSTANDING);
 
-  /** Checks ranges. */
+  /** Checks that the values are in range. */
   public RouterSettings {
     requirePositive("kvHoldNanos", kvHoldNanos);
     requirePositive("prefillDepth", prefillDepth);
@@ -93,29 +99,29 @@
   }
 
   /**
-   * The default settings.
+   * Returns the default settings.
    *
-   * @return settings with the policies in use
+   * @return settings with the default policies
    */
   public static RouterSettings defaults() {
     return builder().build();
   }
 
   /**
-   * Starts from the defaults.
+   * Returns a builder that starts from the defaults.
    *
-   * @return a builder
+   * @return a new builder
    */
   public static Builder builder() {
     return new Builder();
   }
 
   /**
-   * Starts from a set of policies known by name.
+   * Returns a builder that starts from a named set of policies.
    *
    * @param name one of {@link #NAMES}
-   * @return a builder
-   * @throws IllegalArgumentException if there is no such set; it lists those there are
+   * @return a new builder
+   * @throws IllegalArgumentException if the name is unknown; the message lists the known names
    */
   public static Builder named(String name) {
     Builder builder = new Builder().policyName(name);
@@ -135,12 +141,12 @@
     return builder
         .reservation(new ReservationPolicy.None())
         .queue(new QueuePolicy.Immediate())
-        .retry(new RetryPolicy.Blind())
+        .retry(new RetryPolicy.Immediate())
         .ejection(false);
   }
 
   /**
-   * Builds settings; what is not set has its default.
+   * A builder of settings; a value that is not set keeps its default.
    *
    * <p>Not safe for use by several threads.
    */
@@ -168,7 +174,7 @@
     private Builder() {}
 
     /**
-     * Sets the name under which results are reported.
+     * Sets the name of the policies in reported results.
      *
      * @param value the name
      * @return this
@@ -179,7 +185,7 @@
     }
 
     /**
-     * Sets how an upstream is chosen.
+     * Sets the rule by which an upstream is chosen.
      *
      * @param value the policy
      * @return this
@@ -190,7 +196,7 @@
     }
 
     /**
-     * Sets whether a prefill waits for a decode slot.
+     * Sets the condition on decode slots under which a prefill may start.
      *
      * @param value the policy
      * @return this
@@ -201,7 +207,7 @@
     }
 
     /**
-     * Sets what happens to a request that can't be placed at once.
+     * Sets the handling of a request that can't be placed at once.
      *
      * @param value the policy
      * @return this
@@ -212,7 +218,7 @@
     }
 
     /**
-     * Sets when a failed attempt is followed by another.
+     * Sets the conditions on the number and the delay of retries.
      *
      * @param value the policy
      * @return this
@@ -223,9 +229,9 @@
     }
 
     /**
-     * Sets whether a failing upstream gets no requests for a time.
+     * Sets whether a failing upstream is ejected for a time.
      *
-     * @param value true to eject
+     * @param value true to eject failing upstreams
      * @return this
      */
     public Builder ejection(boolean value) {
@@ -234,7 +240,7 @@
     }
 
     /**
-     * Sets whether slots are granted by their owner.
+     * Sets whether this node uses only the slots that their owner grants to it.
      *
      * @param value true to use only granted slots
      * @return this
@@ -256,7 +262,7 @@
     }
 
     /**
-     * Sets how long a KV cache is counted on after its prefill.
+     * Sets the time for which an engine is expected to hold a KV cache after the prefill.
      *
      * @param value nanoseconds, above 0
      * @return this
@@ -267,7 +273,7 @@
     }
 
     /**
-     * Sets the number of prefills of this node inside one engine at once.
+     * Sets the maximum number of concurrent prefills of this node at one engine.
      *
      * @param value a number above 0
      * @return this
@@ -278,7 +284,7 @@
     }
 
     /**
-     * Sets the size up to which prompts pass between long ones.
+     * Sets the maximum size of a small prompt; small prompts are served ahead of long ones.
      *
      * @param value tokens
      * @return this
@@ -289,7 +295,7 @@
     }
 
     /**
-     * Sets the number of requests that may wait.
+     * Sets the maximum number of requests in progress.
      *
      * @param value a number above 0
      * @return this
@@ -300,7 +306,7 @@
     }
 
     /**
-     * Sets the length expected of an answer before any was seen.
+     * Sets the expected length of an answer before any was observed.
      *
      * @param value tokens, above 0
      * @return this
@@ -311,7 +317,7 @@
     }
 
     /**
-     * Sets the failures in a row that eject an upstream.
+     * Sets the number of consecutive failures that ejects an upstream.
      *
      * @param value a number above 0
      * @return this
@@ -322,7 +328,7 @@
     }
 
     /**
-     * Sets the length of the first ejection.
+     * Sets the duration of the first ejection.
      *
      * @param value nanoseconds, above 0
      * @return this
@@ -333,7 +339,7 @@
     }
 
     /**
-     * Sets the first delay before a cancel is repeated.
+     * Sets the first delay before a cancel is retried.
      *
      * @param value nanoseconds, above 0
      * @return this
@@ -344,7 +350,7 @@
     }
 
     /**
-     * Sets how often slots and limits are asked for.
+     * Sets the interval between requests for slots and limits.
      *
      * @param value nanoseconds, above 0
      * @return this
--- a/org.larkkeel/src/main/java/org/larkkeel/router/RouterStatus.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/RouterStatus.java
@@ -11,23 +11,23 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * A view of the router for operators and metrics.
+ * A snapshot of the state of the router for operators and metrics.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param revision the configuration in force
- * @param stopping whether new requests are refused because the node stops
- * @param requests requests in progress, those that wait included
- * @param queued requests that wait for an upstream
- * @param attempts attempts that are current
- * @param cancels cancels that are not yet acknowledged
- * @param timers timers set
- * @param upstreams one line an upstream, in order of name
+ * @param revision the revision of the configuration in force
+ * @param draining true if the node drains and refuses new requests
+ * @param requests the number of requests in progress, including those that wait
+ * @param queued the number of requests that wait in a lane for an upstream
+ * @param attempts the number of current attempts
+ * @param cancels the number of cancels that are not yet acknowledged
+ * @param timers the number of set timers
+ * @param upstreams the status of each upstream, ordered by name
  * @since 0.1
  */
 public record RouterStatus(
     Revision revision,
-    boolean stopping,
+    boolean draining,
     int requests,
     int queued,
     int attempts,
@@ -35,16 +35,16 @@
     int timers,
     ImmutableList<UpstreamStatus> upstreams) {
   /**
-   * One upstream.
+   * The status of one upstream.
    *
-   * @param name its name
-   * @param configured whether the configuration still has it
-   * @param ejected whether it gets no requests for a time
-   * @param slots slots that this node may use
-   * @param freeSlots those that are free
-   * @param outstanding attempts of this node at it
-   * @param prefillTokensPerSecond learnt rate; 0 if unknown
-   * @param decodeNanosPerToken learnt time between tokens; 0 if unknown
+   * @param name the name of the upstream
+   * @param configured true if the configuration in force contains the upstream
+   * @param ejected true if the upstream is ejected or being probed after an ejection
+   * @param slots the number of slots that this node may use
+   * @param freeSlots the number of these slots that are free and unreserved
+   * @param outstanding the number of attempts of this node at the upstream
+   * @param prefillTokensPerSecond the measured prefill speed; 0 if unknown
+   * @param decodeNanosPerToken the measured mean time between tokens, in nanoseconds; 0 if unknown
    */
   public record UpstreamStatus(
       UpstreamName name,
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Arrivals.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Arrivals.java
@@ -14,38 +14,38 @@
 import org.larkkeel.router.QueuePolicy;
 
 /**
- * Takes requests in, or refuses them before anything is done for them.
+ * Admits requests, or refuses them before any effect is emitted for them.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Arrivals {
-  private static final long NO_UPSTREAM_WAIT_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long NO_UPSTREAM_RETRY_AFTER_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final Core core;
-  private boolean stopping;
+  private boolean draining;
 
   Arrivals(Core core) {
     this.core = core;
   }
 
-  /** The node stops: from now on every request is refused. */
-  public void stop() {
-    stopping = true;
+  /** Starts to refuse every new request, as the node drains. */
+  public void drain() {
+    draining = true;
   }
 
   /**
-   * Tells whether the node stops.
+   * Returns whether the node drains.
    *
-   * @return true if every request is refused
+   * @return true if every new request is refused
    */
-  public boolean isStopping() {
-    return stopping;
+  public boolean isDraining() {
+    return draining;
   }
 
   /**
-   * Takes a request in or refuses it.
+   * Admits or refuses a request; ignores it if its id is already in progress.
    *
    * @param call the request
    */
@@ -54,7 +54,7 @@
       return;
     }
     RequestState request = newState(call);
-    if (stopping) {
+    if (draining) {
       refuse(request, ErrorKind.NOT_READY, 0, "This node stops.");
       return;
     }
@@ -68,22 +68,22 @@
       refuse(
           request,
           ErrorKind.NO_UPSTREAM,
-          NO_UPSTREAM_WAIT_NANOS,
+          NO_UPSTREAM_RETRY_AFTER_NANOS,
           "Rule " + rule.get().name() + " has no upstream for the request.");
       return;
     }
-    prepare(request, route.get());
+    initialize(request, route.get());
     admit(request);
   }
 
   /**
-   * Gives the requests of a route whose rule or last upstream is gone to other routes, or refuses
-   * them.
+   * Moves the queued requests of a route that lost its rule or its last upstream to other routes,
+   * or fails them.
    *
-   * @param gone the route
+   * @param oldRoute the route
    */
-  public void reroute(Route gone) {
-    for (Lane lane : gone.lanes.values()) {
+  public void reroute(Route oldRoute) {
+    for (Lane lane : oldRoute.lanes.values()) {
       while (lane.head() != null) {
         RequestState request = lane.head();
         lane.remove(request);
@@ -96,11 +96,11 @@
     Optional<Route> route =
         core.routes.rule(request.call).flatMap(rule -> core.routes.route(request.call, rule));
     if (route.isEmpty() || !route.get().hasUpstreams()) {
-      core.endings.giveUp(
+      core.endings.fail(
           request,
           ErrorKind.NO_UPSTREAM,
           ErrorKind.UPSTREAM_FAILED,
-          NO_UPSTREAM_WAIT_NANOS,
+          NO_UPSTREAM_RETRY_AFTER_NANOS,
           "While the request waited, its rule or its last upstream was removed.");
       return;
     }
@@ -110,58 +110,63 @@
 
   private RequestState newState(Call call) {
     RequestState[] self = new RequestState[1];
-    Runnable onTimer = () -> core.queueing.due(self[0]);
+    Runnable onTimer = () -> core.queueing.timerFired(self[0]);
     self[0] = new RequestState(call, null, core.context.now(), onTimer);
     return self[0];
   }
 
-  private void prepare(RequestState request, Route route) {
+  private void initialize(RequestState request, Route route) {
     Rule rule = route.rule();
     request.route = route;
-    request.firstTarget = request.arrivedAt + rule.targets().firstToken().toNanos();
-    long own = deadlineMillis(request.call);
-    long nanos = own > 0 ? TimeUnit.MILLISECONDS.toNanos(own) : rule.targets().deadline().toNanos();
-    request.deadline = request.arrivedAt + nanos;
-    request.once = runsOnce(request.call, rule);
+    request.targetAt = request.arrivedAt + rule.targets().firstToken().toNanos();
+    long requestedMillis = deadlineMillis(request.call);
+    long deadlineNanos =
+        requestedMillis > 0
+            ? TimeUnit.MILLISECONDS.toNanos(requestedMillis)
+            : rule.targets().deadline().toNanos();
+    request.deadline = request.arrivedAt + deadlineNanos;
+    request.atMostOnce = isAtMostOnce(request.call, rule);
   }
 
   private void admit(RequestState request) {
-    long wait =
-        core.context.settings().queue() instanceof QueuePolicy.Immediate ? 0 : wait(request);
+    long waitNanos =
+        core.context.settings().queue() instanceof QueuePolicy.Immediate
+            ? 0
+            : predictedWaitNanos(request);
     boolean full = core.requests.size() >= core.context.settings().maxQueued();
-    if (full || isHopeless(request, wait)) {
-      refuse(request, ErrorKind.OVERLOADED, wait, "The queue is too long for the deadline.");
+    if (full || wouldMissTarget(request, waitNanos)) {
+      refuse(request, ErrorKind.OVERLOADED, waitNanos, "The queue is too long for the deadline.");
       return;
     }
-    long limited = core.limiter.acquire(request.call);
-    if (limited > 0) {
+    long limitWaitNanos = core.limiter.acquire(request.call);
+    if (limitWaitNanos > 0) {
       refuse(
           request,
           ErrorKind.WORKSPACE_LIMIT,
-          limited,
+          limitWaitNanos,
           "Workspace " + request.call.workspace() + " has reached its limit.");
       return;
     }
     core.requests.put(request.id(), request);
-    request.route.arrived(request.call.promptTokens());
-    core.budget.earn();
-    if (request.once && request.call.runKey().isPresent()) {
+    request.route.recordArrival(request.call.promptTokens());
+    core.retryBudget.deposit();
+    if (request.atMostOnce && request.call.runKey().isPresent()) {
       core.claims.claim(request);
     } else {
       core.queueing.enqueue(request);
     }
   }
 
-  private boolean isHopeless(RequestState request, long wait) {
-    if (wait == 0) {
+  private boolean wouldMissTarget(RequestState request, long waitNanos) {
+    if (waitNanos == 0) {
       return false;
     }
-    long target = request.route.isInteractive() ? request.firstTarget : request.deadline;
-    long start = core.context.now() + wait;
-    return start + core.predictor.bestCase(request) > Math.min(target, request.deadline);
+    long targetAt = request.route.isInteractive() ? request.targetAt : request.deadline;
+    long startAt = core.context.now() + waitNanos;
+    return startAt + core.predictor.minFirstNanos(request) > Math.min(targetAt, request.deadline);
   }
 
-  private long wait(RequestState request) {
+  private long predictedWaitNanos(RequestState request) {
     Route route = request.route;
     int ahead = 0;
     for (LaneKind kind : LaneKind.values()) {
@@ -169,11 +174,11 @@
         ahead += route.lane(kind).ahead(request.call.workspace());
       }
     }
-    return route.pace.wait(ahead);
+    return route.departures.predictedWaitNanos(ahead);
   }
 
-  private void refuse(RequestState request, ErrorKind kind, long wait, String detail) {
-    core.endings.refuseArrival(request, kind, wait, detail);
+  private void refuse(RequestState request, ErrorKind kind, long retryAfterNanos, String detail) {
+    core.endings.refuseArrival(request, kind, retryAfterNanos, detail);
   }
 
   private static long deadlineMillis(Call call) {
@@ -183,7 +188,7 @@
     };
   }
 
-  private static boolean runsOnce(Call call, Rule rule) {
+  private static boolean isAtMostOnce(Call call, Rule rule) {
     return switch (rule.repeatability()) {
       case NON_IDEMPOTENT -> true;
       case IDEMPOTENT -> false;
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Attempt.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Attempt.java
@@ -9,66 +9,66 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * One attempt that is current.
+ * One attempt at an upstream, or one claim of an at-most-once run.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Attempt {
-  /** The id. */
+  /** The id of the attempt. */
   public final AttemptId id;
 
-  /** The request that it is for. */
+  /** The request that the attempt serves. */
   public final RequestState request;
 
-  /** Where it is; null for a claim. */
+  /** The upstream of the attempt; null for a claim. */
   public final UpstreamState upstream;
 
-  /** What it does. */
+  /** The kind of work. */
   public final AttemptKind kind;
 
-  /** When it began. */
+  /** The time of the start. */
   public final long startedAt;
 
-  /** Prompt tokens that a prefill computes; an estimate until it is complete. */
-  public int tokens;
+  /** The prompt tokens that a prefill computes; an estimate until the prefill is complete. */
+  public int prefillTokens;
 
-  /** Tokens passed on before this attempt. */
+  /** The number of tokens that were delivered before this attempt. */
   public int resumeFrom;
 
-  /** When a decode began to generate; 0 before. */
-  public long decodingAt;
+  /** The time of the last order to generate; 0 before the first one. */
+  public long decodeOrderedAt;
 
-  /** When the first token of this attempt came; 0 before. */
+  /** The time of the first token of this attempt; 0 before that. */
   public long firstTokenAt;
 
-  /** Whether the decode has been ordered a second time after it was refused. */
-  public boolean reordered;
+  /** True if the order to generate was sent a second time because the first one was not sent. */
+  public boolean decodeOrderRepeated;
 
-  /** Prompt tokens believed to be in the prefix cache at the start of a prefill. */
-  public int believed;
+  /** The prompt tokens known to be in the prefix cache at the start of a prefill. */
+  public int knownCachedTokens;
 
-  /** Requests that ran at the decode engine at the start, this one included. */
-  public int batch;
+  /** The number of requests at the decode engine at the start, including this one. */
+  public int batchAtStart;
 
-  /** Where a transfer comes from; null if none is under way. */
-  UpstreamState movingFrom;
+  /** The source of the transfer in progress; null if none. */
+  UpstreamState transferSource;
 
-  /** Whether it is a prefill that is not yet complete. */
-  boolean computing;
+  /** True if this is a prefill that has not ended. */
+  boolean prefilling;
 
-  /** Whether it holds a slot of its upstream. */
+  /** True if the attempt holds a slot of its upstream. */
   boolean holdsSlot;
 
   /**
    * Creates an attempt.
    *
-   * @param id its id
-   * @param request its request
-   * @param upstream where it is; null for a claim
-   * @param kind what it does
-   * @param startedAt when it began
+   * @param id the id of the attempt
+   * @param request the request that the attempt serves
+   * @param upstream the upstream; null for a claim
+   * @param kind the kind of work
+   * @param startedAt the time of the start
    */
   public Attempt(
       AttemptId id,
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/AttemptKind.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/AttemptKind.java
@@ -7,16 +7,16 @@
 package org.larkkeel.router.internal;
 
 /**
- * What an attempt does.
+ * The kind of work of an attempt.
  *
  * @since 0.1
  */
 public enum AttemptKind {
-  /** Claims an at-most-once run; it has no upstream. */
+  /** Claims an at-most-once run; has no upstream. */
   CLAIM,
-  /** Computes a KV cache and holds it. */
+  /** Computes a KV cache and holds it for the transfer. */
   PREFILL,
-  /** Imports a KV cache and generates from it. */
+  /** Imports a KV cache and generates tokens from it. */
   DECODE,
   /** Sends a plain call. */
   PLAIN
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/AttemptTable.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/AttemptTable.java
@@ -16,28 +16,29 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * The attempts that are current, and for a while those that were.
+ * The current attempts and a bounded number of former ones.
  *
- * <p>A late event of an attempt that is no longer current changes nothing, but may reveal that an
- * upstream or a claim is still held, which is then given back. Invariant: at most {@link
- * #MAX_FORMER} former attempts, the oldest go first. Not safe for use by several threads.
+ * <p>A late event of a former attempt does not change its request, but can show that an upstream or
+ * a claim is still held for it, which must then be cancelled or released. Invariant: at most {@link
+ * #MAX_FORMER} former attempts are kept; the oldest are dropped first. Not safe for use by several
+ * threads.
  *
  * @since 0.1
  */
 public final class AttemptTable {
-  /** The most former attempts remembered. */
-  public static final int MAX_FORMER = 16_384;
+  /** The maximum number of former attempts kept. */
+  public static final int MAX_FORMER_ATTEMPTS = 16_384;
 
   /**
-   * What has to be known of an attempt after its end.
+   * The data of an attempt that is kept after its end.
    *
-   * @param request its request
-   * @param kind what it did
-   * @param upstream where it was; null for a claim
-   * @param workspace the workspace of its request
-   * @param runKey the key of its request
+   * @param request the id of the request
+   * @param kind the kind of work
+   * @param upstream the upstream; null for a claim
+   * @param workspace the workspace of the request
+   * @param runKey the run key of the request; empty if it has none
    */
-  public record Former(
+  public record FormerAttempt(
       RequestId request,
       AttemptKind kind,
       UpstreamState upstream,
@@ -45,37 +46,37 @@
       Optional<RunKey> runKey) {}
 
   private final Map<AttemptId, Attempt> current = new HashMap<>();
-  private final Map<AttemptId, Former> former =
+  private final Map<AttemptId, FormerAttempt> former =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<AttemptId, Former> eldest) {
-          return size() > MAX_FORMER;
+        protected boolean removeEldestEntry(Map.Entry<AttemptId, FormerAttempt> eldest) {
+          return size() > MAX_FORMER_ATTEMPTS;
         }
       };
-  private long last;
+  private long lastId;
 
   /**
-   * Creates an attempt with a new id.
+   * Creates a current attempt with a new id.
    *
-   * @param request its request
-   * @param upstream where it is; null for a claim
-   * @param kind what it does
-   * @param now when it begins
-   * @return the attempt, which is current
+   * @param request the request
+   * @param upstream the upstream; null for a claim
+   * @param kind the kind of work
+   * @param now the time of the start
+   * @return the attempt
    */
   public Attempt create(RequestState request, UpstreamState upstream, AttemptKind kind, long now) {
-    last++;
-    Attempt attempt = new Attempt(new AttemptId(last), request, upstream, kind, now);
+    lastId++;
+    Attempt attempt = new Attempt(new AttemptId(lastId), request, upstream, kind, now);
     current.put(attempt.id, attempt);
     return attempt;
   }
 
   /**
-   * Finds a current attempt.
+   * Returns a current attempt.
    *
-   * @param id its id
+   * @param id the id of the attempt
    * @return the attempt; null if it is not current
    */
   public Attempt get(AttemptId id) {
@@ -83,17 +84,17 @@
   }
 
   /**
-   * Finds an attempt that was current.
+   * Returns a former attempt.
    *
-   * @param id its id
-   * @return what is remembered; null if nothing
+   * @param id the id of the attempt
+   * @return the data kept of it; null if there is none
    */
-  public Former former(AttemptId id) {
+  public FormerAttempt former(AttemptId id) {
     return former.get(id);
   }
 
   /**
-   * Ends an attempt, which may still be held upstream.
+   * Ends an attempt and keeps it as a former one, as something may still be held for it.
    *
    * @param attempt the attempt
    */
@@ -101,7 +102,7 @@
     if (current.remove(attempt.id) != null) {
       former.put(
           attempt.id,
-          new Former(
+          new FormerAttempt(
               attempt.request.id(),
               attempt.kind,
               attempt.upstream,
@@ -111,7 +112,7 @@
   }
 
   /**
-   * Ends an attempt of which nothing is held any more.
+   * Ends an attempt for which nothing is held, without keeping it.
    *
    * @param attempt the attempt
    */
@@ -120,9 +121,9 @@
   }
 
   /**
-   * The number of current attempts.
+   * Returns the number of current attempts.
    *
-   * @return a count
+   * @return the number
    */
   public int size() {
     return current.size();
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/CancelTracker.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/CancelTracker.java
@@ -16,9 +16,10 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * Cancels that are repeated until they are acknowledged or the upstream has started anew.
+ * The cancels in progress: each is retried until it is acknowledged, its upstream has restarted, or
+ * its upstream was removed and does not answer.
  *
- * <p>Invariant: one timer a cancel that waits. Not safe for use by several threads.
+ * <p>Invariant: each cancel has one timer. Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -26,7 +27,7 @@
   private static final int MAX_DOUBLINGS = 4;
   private static final int MAX_TRIES_WHEN_REMOVED = 20;
 
-  private static final class Pending {
+  private static final class PendingCancel {
     final AttemptId attempt;
     final RequestId request;
     final UpstreamState upstream;
@@ -34,7 +35,7 @@
     Timer timer;
     int tries;
 
-    Pending(AttemptId attempt, RequestId request, UpstreamState upstream) {
+    PendingCancel(AttemptId attempt, RequestId request, UpstreamState upstream) {
       this.attempt = attempt;
       this.request = request;
       this.upstream = upstream;
@@ -43,61 +44,62 @@
   }
 
   private final Context context;
-  private final Map<AttemptId, Pending> pending = new LinkedHashMap<>();
+  private final Map<AttemptId, PendingCancel> pending = new LinkedHashMap<>();
 
   /**
    * Creates a tracker without cancels.
    *
-   * @param context what the parts of the router share
+   * @param context the shared state of the router
    */
   public CancelTracker(Context context) {
     this.context = context;
   }
 
   /**
-   * Cancels an attempt; does nothing if that is under way.
+   * Cancels an attempt; does nothing if a cancel of it is in progress.
    *
    * @param attempt the attempt
-   * @param request its request
-   * @param upstream where it is
+   * @param request the request of the attempt
+   * @param upstream the upstream of the attempt
    */
   public void cancel(AttemptId attempt, RequestId request, UpstreamState upstream) {
     if (pending.containsKey(attempt)) {
       return;
     }
-    Pending cancel = new Pending(attempt, request, upstream);
+    PendingCancel cancel = new PendingCancel(attempt, request, upstream);
     cancel.timer = new Timer(() -> send(cancel));
     pending.put(attempt, cancel);
     send(cancel);
   }
 
   /**
-   * Takes the result of a try.
+   * Handles the result of one try; schedules the next one if needed.
    *
    * @param attempt the attempt
    * @param outcome the result
    */
   public void settled(AttemptId attempt, CancelOutcome outcome) {
-    Pending cancel = pending.get(attempt);
+    PendingCancel cancel = pending.get(attempt);
     if (cancel == null) {
       return;
     }
-    if (outcome == CancelOutcome.ACKNOWLEDGED || isHopeless(cancel)) {
+    if (outcome == CancelOutcome.ACKNOWLEDGED || isExhausted(cancel)) {
       drop(cancel);
       return;
     }
     int doublings = Math.min(cancel.tries - 1, MAX_DOUBLINGS);
-    long delay = context.settings().cancelRetryNanos() << doublings;
-    context.timers().set(cancel.timer, context.now() + delay);
+    long delayNanos = context.settings().cancelRetryNanos() << doublings;
+    context.timers().set(cancel.timer, context.now() + delayNanos);
   }
 
   /**
-   * An upstream started anew, so nothing of before is held there.
+   * Ends the cancels of earlier incarnations of a restarted upstream, which holds nothing of
+   * theirs.
    *
    * @param upstream the upstream
    */
   public void restarted(UpstreamState upstream) {
-    for (Pending cancel : List.copyOf(pending.values())) {
+    for (PendingCancel cancel : List.copyOf(pending.values())) {
       if (cancel.upstream == upstream && !upstream.incarnation().equals(cancel.incarnation)) {
         drop(cancel);
       }
@@ -105,24 +107,24 @@
   }
 
   /**
-   * The number of cancels that are not yet acknowledged.
+   * Returns the number of cancels that are not yet acknowledged.
    *
-   * @return a count
+   * @return the number
    */
   public int size() {
     return pending.size();
   }
 
-  private void send(Pending cancel) {
+  private void send(PendingCancel cancel) {
     cancel.tries++;
     context.emit(new Effect.Cancel(cancel.attempt, cancel.request, cancel.upstream.name));
   }
 
-  private static boolean isHopeless(Pending cancel) {
+  private static boolean isExhausted(PendingCancel cancel) {
     return !cancel.upstream.isConfigured() && cancel.tries >= MAX_TRIES_WHEN_REMOVED;
   }
 
-  private void drop(Pending cancel) {
+  private void drop(PendingCancel cancel) {
     pending.remove(cancel.attempt);
     context.timers().clear(cancel.timer);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/CandidateSet.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/CandidateSet.java
@@ -16,35 +16,36 @@
 import org.larkkeel.config.Role;
 
 /**
- * The upstreams that fit requests of some routes in one role, and those of them with room.
+ * The candidate upstreams of one role for some routes, and the subset with free capacity.
  *
- * <p>Whether one has room is kept up to date by {@link UpstreamState}, so a choice looks at a
- * bounded number of upstreams, however many there are. Not safe for use by several threads.
+ * <p>{@link UpstreamTable} keeps the subset and the totals up to date, so a choice compares a
+ * bounded number of upstreams regardless of the size of the set. Not safe for use by several
+ * threads.
  *
  * @since 0.1
  */
 public final class CandidateSet {
   private final Role role;
   private final Map<UpstreamState, Membership> members = new LinkedHashMap<>();
-  private final List<Membership> roomy = new ArrayList<>();
+  private final List<Membership> available = new ArrayList<>();
   private final Set<Route> routes = new LinkedHashSet<>();
   private List<UpstreamState> all = List.of();
-  private int spare;
-  private int others;
+  private int unreserved;
+  private int heldByOthers;
   private int usable;
   private double releaseRate;
 
   /**
    * Creates an empty set.
    *
-   * @param role what the upstreams do
+   * @param role the role of the upstreams
    */
   public CandidateSet(Role role) {
     this.role = role;
   }
 
   /**
-   * What the upstreams do.
+   * Returns the role of the upstreams.
    *
    * @return the role
    */
@@ -53,31 +54,31 @@
   }
 
   /**
-   * Replaces the members; those that stay keep their state.
+   * Replaces the members; the state of members that remain is kept.
    *
-   * @param upstreams the members
+   * @param upstreams the new members
    */
   public void setMembers(Set<UpstreamState> upstreams) {
     for (Membership member : List.copyOf(members.values())) {
       if (!upstreams.contains(member.upstream)) {
         members.remove(member.upstream);
-        member.upstream.leave(member);
-        setRoomy(member, false);
-        count(member, 0, 0, 0, 0);
+        member.upstream.removeMembership(member);
+        setAvailable(member, false);
+        updateTotals(member, 0, 0, 0, 0);
       }
     }
     for (UpstreamState upstream : upstreams) {
       if (!members.containsKey(upstream)) {
         Membership member = new Membership(this, upstream);
         members.put(upstream, member);
-        upstream.join(member);
+        upstream.addMembership(member);
       }
     }
     all = List.copyOf(members.keySet());
   }
 
   /**
-   * All members.
+   * Returns all members.
    *
    * @return the upstreams
    */
@@ -86,18 +87,18 @@
   }
 
   /**
-   * Tells whether an upstream is a member with room.
+   * Returns whether an upstream is a member with free capacity.
    *
    * @param upstream the upstream
    * @return true if so
    */
-  public boolean hasRoom(UpstreamState upstream) {
+  public boolean hasCapacity(UpstreamState upstream) {
     Membership member = members.get(upstream);
-    return member != null && member.index != Membership.ABSENT;
+    return member != null && member.availableIndex != Membership.ABSENT;
   }
 
   /**
-   * Tells whether an upstream is a member.
+   * Returns whether an upstream is a member.
    *
    * @param upstream the upstream
    * @return true if so
@@ -107,86 +108,91 @@
   }
 
   /**
-   * The number of members with room.
+   * Returns the number of members with free capacity.
    *
-   * @return a count
+   * @return the number
    */
-  public int roomyCount() {
-    return roomy.size();
+  public int availableCount() {
+    return available.size();
   }
 
   /**
-   * Adds a sample of the members with room to a list; all of them if there are few.
+   * Adds a sample of the members with free capacity to a list, or all of them if there are no more
+   * than the sample size.
    *
-   * @param count the size of the sample
-   * @param random where the sample begins
-   * @param into the list
+   * @param sampleSize the size of the sample
+   * @param random the source of the start of the sample
+   * @param out receives the sample
    */
-  public void sample(int count, SplittableRandom random, List<UpstreamState> into) {
-    int size = roomy.size();
-    if (size <= count) {
+  public void sample(int sampleSize, SplittableRandom random, List<UpstreamState> out) {
+    int size = available.size();
+    if (size <= sampleSize) {
       for (int i = 0; i < size; i++) {
-        into.add(roomy.get(i).upstream);
+        out.add(available.get(i).upstream);
       }
       return;
     }
-    int place = random.nextInt(size);
-    int stride = size / count;
-    for (int i = 0; i < count; i++) {
-      into.add(roomy.get(place).upstream);
-      place += stride;
-      if (place >= size) {
-        place -= size;
+    int index = random.nextInt(size);
+    int stride = size / sampleSize;
+    for (int i = 0; i < sampleSize; i++) {
+      out.add(available.get(index).upstream);
+      index += stride;
+      if (index >= size) {
+        index -= size;
       }
     }
   }
 
   /**
-   * Free slots of all members less those promised.
+   * Returns the free, unreserved slots of all members that this node may use.
    *
-   * @return a number; negative if overbooked
+   * @return the number; negative if overbooked
    */
-  public int spare() {
-    return spare;
+  public int unreserved() {
+    return unreserved;
   }
 
   /**
-   * Slots of all members that this node may use, those in use included.
+   * Returns the slots of all members that this node may use, including those in use.
    *
-   * @return a number
+   * @return the number
    */
   public int usable() {
     return usable;
   }
 
   /**
-   * Slots of all members that other nodes hold, as far as known.
+   * Returns the slots of all members that other nodes hold according to the load reports.
    *
-   * @return a number
+   * @return the number
    */
-  public int others() {
-    return others;
+  public int heldByOthers() {
+    return heldByOthers;
   }
 
   /**
-   * Slots of all members that come free a nanosecond, as predicted.
+   * Returns the predicted rate of slot releases at all members.
    *
-   * @return a rate
+   * @return slots per nanosecond
    */
   public double releaseRate() {
     return releaseRate;
   }
 
-  /** Replaces what a member adds to the sums over all members. */
-  void count(
-      Membership member, int memberSpare, int memberUsable, int memberOthers, double memberRate) {
-    others += memberOthers - member.others;
-    member.others = memberOthers;
+  /** Replaces the part of one member in the totals over all members. */
+  void updateTotals(
+      Membership member,
+      int memberUnreserved,
+      int memberUsable,
+      int memberHeldByOthers,
+      double memberRate) {
+    heldByOthers += memberHeldByOthers - member.heldByOthers;
+    member.heldByOthers = memberHeldByOthers;
     usable += memberUsable - member.usable;
     member.usable = memberUsable;
-    spare += memberSpare - member.spare;
+    unreserved += memberUnreserved - member.unreserved;
     releaseRate = Math.max(0, releaseRate + memberRate - member.releaseRate);
-    member.spare = memberSpare;
+    member.unreserved = memberUnreserved;
     member.releaseRate = memberRate;
   }
 
@@ -194,20 +200,20 @@
     return routes;
   }
 
-  void setRoomy(Membership member, boolean room) {
-    if (room == (member.index != Membership.ABSENT)) {
+  void setAvailable(Membership member, boolean isAvailable) {
+    if (isAvailable == (member.availableIndex != Membership.ABSENT)) {
       return;
     }
-    if (room) {
-      member.index = roomy.size();
-      roomy.add(member);
+    if (isAvailable) {
+      member.availableIndex = available.size();
+      available.add(member);
       return;
     }
-    Membership last = roomy.removeLast();
+    Membership last = available.removeLast();
     if (last != member) {
-      roomy.set(member.index, last);
-      last.index = member.index;
+      available.set(member.availableIndex, last);
+      last.availableIndex = member.availableIndex;
     }
-    member.index = Membership.ABSENT;
+    member.availableIndex = Membership.ABSENT;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Choice.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Choice.java
@@ -7,12 +7,13 @@
 package org.larkkeel.router.internal;
 
 /**
- * Where a request goes.
+ * The upstreams chosen for a request, with the predicted times.
  *
- * @param first the prefill engine, or the service
- * @param decode the decode engine that promises a slot; null if none has to
- * @param firstNanos predicted time until the first token, or until the answer of a plain call
- * @param lastNanos predicted time until the whole answer
+ * @param upstream the prefill engine, or the service
+ * @param decode the decode engine at which a slot is to be reserved; null if none is needed
+ * @param firstNanos the predicted time until the first token, or until the answer of a plain call
+ * @param totalNanos the predicted time until the complete answer
  * @since 0.1
  */
-public record Choice(UpstreamState first, UpstreamState decode, long firstNanos, long lastNanos) {}
+public record Choice(
+    UpstreamState upstream, UpstreamState decode, long firstNanos, long totalNanos) {}
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Claims.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Claims.java
@@ -14,14 +14,14 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * Claims runs that may happen only once before anything is sent.
+ * Claims at-most-once runs durably before anything is sent to an upstream.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Claims {
-  private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long RETRY_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final Core core;
 
@@ -33,7 +33,7 @@
     Attempt attempt = core.attempts.create(request, null, AttemptKind.CLAIM, core.context.now());
     request.claim = attempt;
     request.stage = RequestStage.RECEIVED;
-    core.queueing.arm(request);
+    core.queueing.setTimer(request);
     core.context.emit(
         new Effect.ClaimRun(
             attempt.id,
@@ -43,9 +43,9 @@
   }
 
   /**
-   * A claim was answered.
+   * Handles the answer to a claim.
    *
-   * @param attempt the attempt that waits for it
+   * @param attempt the claim attempt
    * @param outcome the answer
    */
   public void settled(Attempt attempt, ClaimOutcome outcome) {
@@ -61,7 +61,7 @@
       case ALREADY_DONE -> core.endings.replay(request, attempt);
       case IN_PROGRESS ->
           core.endings.refuse(
-              request, ErrorKind.IN_PROGRESS, RETRY_NANOS, "Another node runs this key.");
+              request, ErrorKind.IN_PROGRESS, RETRY_AFTER_NANOS, "Another node runs this key.");
       case UNKNOWN ->
           core.endings.refuse(
               request, ErrorKind.UNKNOWN_OUTCOME, 0, "An earlier run of this key broke off.");
@@ -70,15 +70,18 @@
               request, ErrorKind.KEY_REUSED, 0, "The key came with another body before.");
       default ->
           core.endings.refuse(
-              request, ErrorKind.STORE_UNAVAILABLE, RETRY_NANOS, "The run can't be recorded.");
+              request,
+              ErrorKind.STORE_UNAVAILABLE,
+              RETRY_AFTER_NANOS,
+              "The run can't be recorded.");
     }
   }
 
   /**
-   * A claim could not be answered.
+   * Handles the failure of a claim.
    *
-   * @param attempt the attempt that waits for it
-   * @param exposure whether the claim may have taken effect
+   * @param attempt the claim attempt
+   * @param exposure how far the claim got, which decides whether it may have taken effect
    */
   public void failed(Attempt attempt, Exposure exposure) {
     if (exposure == Exposure.MAY_HAVE_RUN) {
@@ -89,15 +92,16 @@
   }
 
   /**
-   * A claim was answered after its request had ended.
+   * Handles the answer to a claim whose request has ended: releases the claim if it was granted.
    *
-   * @param attempt the attempt that waited for it
-   * @param former what is remembered of it
+   * @param attempt the id of the claim attempt
+   * @param former the data kept of the attempt
    * @param outcome the answer
    */
-  public void settledLate(AttemptId attempt, AttemptTable.Former former, ClaimOutcome outcome) {
+  public void settledLate(
+      AttemptId attempt, AttemptTable.FormerAttempt former, ClaimOutcome outcome) {
     if (outcome == ClaimOutcome.CLAIMED && former.kind() == AttemptKind.CLAIM) {
-      core.endings.giveClaimBack(former, attempt);
+      core.endings.releaseClaim(former, attempt);
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Context.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Context.java
@@ -13,19 +13,20 @@
 import org.larkkeel.router.RouterSettings;
 
 /**
- * What every part of the router shares: the time of the event in work, the sink, timers and seeds.
+ * The state that all components of the router share: the settings, the time of the current event,
+ * the effect sink, the timers and the random source.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Context {
-  private static final EffectSink NOWHERE = effect -> {};
+  private static final EffectSink DISCARD = effect -> {};
 
   private final RouterSettings settings;
   private final SplittableRandom random;
   private final TimerQueue timers = new TimerQueue();
-  private EffectSink sink = NOWHERE;
+  private EffectSink sink = DISCARD;
   private long now;
   private long wakeAt = TimerQueue.NEVER;
 
@@ -41,67 +42,71 @@
   }
 
   /**
-   * Begins the work on an event.
+   * Starts the processing of an event.
    *
-   * @param at its time; a time before the last one counts as the last one
-   * @param effects where effects go
+   * @param eventTime the time of the event; an earlier time than that of the previous event is
+   *     replaced by the latter
+   * @param effectSink receives the effects of the event
    */
-  public void begin(long at, EffectSink effects) {
-    now = Math.max(now, at);
-    sink = effects;
+  public void begin(long eventTime, EffectSink effectSink) {
+    now = Math.max(now, eventTime);
+    sink = effectSink;
     if (wakeAt <= now) {
       wakeAt = TimerQueue.NEVER;
     }
   }
 
-  /** Ends the work on an event and asks for a wake if an earlier one than that asked for is due. */
+  /**
+   * Ends the processing of an event. Emits a wake effect if the next timer is due before the wake
+   * that was last requested.
+   */
   public void end() {
-    long next = timers.next();
-    if (next < wakeAt) {
-      wakeAt = next;
-      sink.accept(new Effect.Wake(next));
+    long nextTimer = timers.next();
+    if (nextTimer < wakeAt) {
+      wakeAt = nextTimer;
+      sink.accept(new Effect.Wake(nextTimer));
     }
-    sink = NOWHERE;
+    sink = DISCARD;
   }
 
   /**
-   * The time of the event in work.
+   * Returns the time of the current event.
    *
-   * @return nanoseconds
+   * @return nanoseconds on the node's clock
    */
   public long now() {
     return now;
   }
 
   /**
-   * The settings.
+   * Returns the settings.
    *
-   * @return the settings
+   * @return the settings, not null
    */
   public RouterSettings settings() {
     return settings;
   }
 
   /**
-   * The source of random choices.
+   * Returns the source of random choices.
    *
-   * @return a seeded source
+   * @return the seeded source
    */
   public SplittableRandom random() {
     return random;
   }
 
   /**
-   * The timers.
+   * Returns the timers.
    *
-   * @return the queue
+   * @return the timer queue
    */
   public TimerQueue timers() {
     return timers;
   }
 
   /**
-   * Gives out an effect.
+   * Emits an effect.
    *
    * @param effect the effect
    */
@@ -110,7 +115,7 @@
   }
 
   /**
-   * Gives out a fact.
+   * Emits a fact, to be counted and logged.
    *
    * @param fact the fact
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Core.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Core.java
@@ -12,26 +12,26 @@
 import org.larkkeel.router.RouterSettings;
 
 /**
- * The parts of one router, wired to each other.
+ * Creates the components of one router and connects them.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Core {
-  /** What the parts share. */
+  /** The state that all components share. */
   public final Context context;
 
-  /** The upstreams. */
-  public final Fleet fleet;
+  /** The known upstreams. */
+  public final UpstreamTable fleet;
 
-  /** The routes. */
+  /** The routes in use. */
   public final Routes routes;
 
-  /** The attempts. */
+  /** The current and the former attempts. */
   public final AttemptTable attempts = new AttemptTable();
 
-  /** The cancels. */
+  /** The cancels that are not yet acknowledged. */
   public final CancelTracker cancels;
 
   /** The limits of workspaces. */
@@ -40,34 +40,34 @@
   /** The requests in progress. */
   public final Map<RequestId, RequestState> requests = new HashMap<>();
 
-  /** Predicts steps. */
+  /** Predicts the durations of the steps of a request. */
   public final Predictor predictor;
 
-  /** Takes requests in. */
+  /** Admits or refuses requests that arrive. */
   public final Arrivals arrivals;
 
-  /** Claims runs. */
+  /** Claims at-most-once runs. */
   public final Claims claims;
 
-  /** Serves requests that wait. */
+  /** Starts requests that wait. */
   public final Dispatcher dispatcher;
 
-  /** Follows requests from the prefill to the last token. */
+  /** Handles completions from the end of the prefill to the last token. */
   public final DecodeFlow decodeFlow;
 
-  /** Decides what follows a failure. */
+  /** Handles failed attempts. */
   public final Failures failures;
 
-  /** Follows plain calls. */
+  /** Handles plain calls. */
   public final PlainFlow plainFlow;
 
-  /** Asks for slots. */
-  public final SlotAsker slotAsker;
+  /** Reports the demand for slots to their owners. */
+  public final SlotDemandReporter slotDemand;
 
-  /** Ends requests. */
+  /** Ends requests with their last effect. */
   public final Endings endings;
 
-  final RetryBudget budget;
+  final RetryBudget retryBudget;
 
   /** Chooses upstreams. */
   public final Placement placement;
@@ -76,18 +76,18 @@
   final Queueing queueing;
 
   /**
-   * Wires the parts.
+   * Creates the components.
    *
    * @param settings the settings
    * @param seed the seed of every random choice
    */
   public Core(RouterSettings settings, long seed) {
     context = new Context(settings, seed);
-    fleet = new Fleet(context);
+    fleet = new UpstreamTable(context);
     routes = new Routes(context, fleet);
     cancels = new CancelTracker(context);
     limiter = new Limiter(context, fleet);
-    budget = new RetryBudget(settings.retry());
+    retryBudget = new RetryBudget(settings.retry());
     predictor = new Predictor(context);
     placement = new Placement(context, fleet, predictor);
     holdings = new Holdings(this);
@@ -99,6 +99,6 @@
     decodeFlow = new DecodeFlow(this);
     failures = new Failures(this);
     plainFlow = new PlainFlow(this);
-    slotAsker = new SlotAsker(this);
+    slotDemand = new SlotDemandReporter(this);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/DecodeFlow.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/DecodeFlow.java
@@ -13,17 +13,17 @@
 import org.larkkeel.router.internal.Holdings.Remains;
 
 /**
- * Follows completions from the end of the prefill to the last token.
+ * Handles completions from the end of the prefill to the last token.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class DecodeFlow {
-  private static final long MIN_TRANSFER_TIMEOUT = TimeUnit.MILLISECONDS.toNanos(500);
-  private static final int TRANSFER_FACTOR = 8;
-  private static final long MIN_SILENCE = TimeUnit.SECONDS.toNanos(2);
-  private static final int SILENCE_FACTOR = 20;
+  private static final long MIN_TRANSFER_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final int TRANSFER_TIMEOUT_FACTOR = 8;
+  private static final long MIN_INACTIVITY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final int INACTIVITY_TIMEOUT_FACTOR = 20;
 
   private final Core core;
 
@@ -32,11 +32,11 @@
   }
 
   /**
-   * A prefill is complete.
+   * Handles the completion of a prefill.
    *
    * @param attempt the prefill
-   * @param kvBytes size of the KV cache
-   * @param cachedTokens prompt tokens that were in the prefix cache
+   * @param kvBytes the size of the KV cache
+   * @param cachedTokens the number of prompt tokens found in the prefix cache
    */
   public void prefillDone(Attempt attempt, long kvBytes, int cachedTokens) {
     RequestState request = attempt.request;
@@ -44,80 +44,87 @@
       return;
     }
     long now = core.context.now();
-    learnPrefill(attempt, cachedTokens, now);
-    core.predictor.learnKv(request, kvBytes);
+    recordPrefill(attempt, cachedTokens, now);
+    core.predictor.recordKvSize(request, kvBytes);
     request.mayHaveRun = true;
-    request.reached = true;
+    request.reachedUpstream = true;
     request.kvBytes = kvBytes;
-    request.heldSince = now;
-    request.transfers = 0;
+    request.kvHeldSince = now;
+    request.failedTransfers = 0;
     if (!tryTransfer(request)) {
-      hold(request);
+      awaitDecodeSlot(request);
     }
   }
 
-  /** Starts the transfer of a KV cache that is held, if a decode engine has a slot. */
+  /**
+   * Starts the transfer of a held KV cache if a decode engine has a free slot; returns whether it
+   * started.
+   */
   boolean tryTransfer(RequestState request) {
     UpstreamState decode = core.placement.chooseDecode(request);
     if (decode == null) {
       return false;
     }
     request.route.held.remove(request.id());
-    core.holdings.unpromise(request);
+    core.holdings.releaseReservation(request);
     startTransfer(request, decode);
     return true;
   }
 
-  /** Keeps a request waiting for a decode slot while its KV cache is held. */
-  void hold(RequestState request) {
-    request.stage = RequestStage.PLACED;
+  /** Lets a request with a held KV cache wait for a decode slot. */
+  void awaitDecodeSlot(RequestState request) {
+    request.stage = RequestStage.KV_HELD;
     request.route.held.put(request.id(), request);
-    core.queueing.arm(request);
-    core.fleet.ready(request.route);
+    core.queueing.setTimer(request);
+    core.fleet.markReady(request.route);
   }
 
   /**
-   * Keeps a request waiting until a broken transfer is cancelled: its source hands the KV cache
-   * over to one engine at a time.
+   * Lets a request with a held KV cache wait until the cancel of a failed transfer has ended,
+   * because the source transfers the KV cache to one engine at a time.
    */
-  void holdUntilCancelled(RequestState request, Attempt decode) {
-    request.stage = RequestStage.PLACED;
-    request.settling = decode.id;
-    core.queueing.arm(request);
+  void awaitCancel(RequestState request, Attempt decode) {
+    request.stage = RequestStage.KV_HELD;
+    request.cancelledTransfer = decode.id;
+    core.queueing.setTimer(request);
   }
 
   /**
-   * A cancel ended, so a request that waited for it may move its KV cache again.
+   * Handles the end of a try to cancel: a request that waited for it may transfer its KV cache
+   * again.
    *
    * @param attempt the attempt that was cancelled
    */
   public void cancelSettled(AttemptId attempt) {
-    AttemptTable.Former former = core.attempts.former(attempt);
+    AttemptTable.FormerAttempt former = core.attempts.former(attempt);
     RequestState request = former == null ? null : core.requests.get(former.request());
-    if (request != null && attempt.equals(request.settling)) {
-      request.settling = null;
-      if (request.stage == RequestStage.PLACED) {
-        hold(request);
+    if (request != null && attempt.equals(request.cancelledTransfer)) {
+      request.cancelledTransfer = null;
+      if (request.stage == RequestStage.KV_HELD) {
+        awaitDecodeSlot(request);
       }
     }
   }
 
-  /** The KV cache of a request that waits for a decode slot can't be counted on any longer. */
-  void holdEnded(RequestState request) {
-    lostKv();
+  /** Handles the end of the hold time of a KV cache that waits for a decode slot. */
+  void holdTimeEnded(RequestState request) {
+    recordLostKv();
     core.holdings.dropPrefill(request, Remains.MAYBE);
-    core.failures.startAgain(request, null);
+    core.failures.retryUnlessAtMostOnce(request, null);
   }
 
-  /** A KV cache was lost while it waited for a slot; tells nothing about guesses after a fault. */
-  void lostKv() {
-    if (!core.fleet.ejections().isDisturbed()) {
-      core.placement.caution().lost();
+  /**
+   * Records the loss of a KV cache that waited for a slot. A loss soon after an ejection is not
+   * counted, as it does not show that the predictions of releases were wrong.
+   */
+  void recordLostKv() {
+    if (!core.fleet.ejections().hasRecentEjection()) {
+      core.placement.releaseMargin().recordLost();
     }
   }
 
   /**
-   * A KV cache has arrived.
+   * Handles the arrival of a KV cache at the decode engine.
    *
    * @param attempt the decode
    */
@@ -126,19 +133,19 @@
     if (request.decode != attempt || request.stage != RequestStage.TRANSFERRING) {
       return;
     }
-    core.placement.caution().used();
-    core.holdings.endMove(attempt);
-    core.holdings.prefillMoved(request);
+    core.placement.releaseMargin().recordUsed();
+    core.holdings.endTransfer(attempt);
+    core.holdings.prefillTransferred(request);
     request.stage = RequestStage.DECODING;
-    core.queueing.arm(request);
+    core.queueing.setTimer(request);
     orderDecode(attempt);
   }
 
-  /** Orders the generation of tokens. */
+  /** Emits the order to generate tokens. */
   void orderDecode(Attempt attempt) {
     RequestState request = attempt.request;
-    attempt.decodingAt = core.context.now();
-    long between = request.route.rule().targets().betweenTokens().toNanos();
+    attempt.decodeOrderedAt = core.context.now();
+    long betweenNanos = request.route.rule().targets().betweenTokens().toNanos();
     core.context.emit(
         new Effect.StartDecode(
             attempt.id,
@@ -146,11 +153,11 @@
             attempt.upstream.name,
             core.dispatcher.priority(request),
             attempt.resumeFrom,
-            Math.max(MIN_SILENCE, SILENCE_FACTOR * between)));
+            Math.max(MIN_INACTIVITY_TIMEOUT_NANOS, INACTIVITY_TIMEOUT_FACTOR * betweenNanos)));
   }
 
   /**
-   * The first token of an attempt was passed on.
+   * Handles the delivery of the first token of an attempt.
    *
    * @param attempt the decode
    */
@@ -160,19 +167,19 @@
       return;
     }
     attempt.firstTokenAt = core.context.now();
-    request.tokens = Math.max(request.tokens, attempt.resumeFrom + 1);
+    request.deliveredTokens = Math.max(request.deliveredTokens, attempt.resumeFrom + 1);
     if (request.firstTokenAt == 0) {
       request.firstTokenAt = attempt.firstTokenAt;
     }
-    core.fleet.ejections().succeeded(attempt.upstream);
+    core.fleet.ejections().recordSuccess(attempt.upstream);
     reportUsed(request);
   }
 
   /**
-   * The last token was passed on.
+   * Handles the delivery of the last token.
    *
    * @param attempt the decode
-   * @param tokens tokens of the whole answer
+   * @param tokens the length of the complete answer, including tokens of earlier attempts
    */
   public void decodeDone(Attempt attempt, int tokens) {
     RequestState request = attempt.request;
@@ -182,9 +189,9 @@
     if (attempt.firstTokenAt == 0) {
       firstToken(attempt);
     }
-    learnDecode(attempt, tokens);
-    request.tokens = tokens;
-    request.route.lengths.add(tokens);
+    recordDecode(attempt, tokens);
+    request.deliveredTokens = tokens;
+    request.route.outputLengths.add(tokens);
     request.decode = null;
     core.fleet.detach(attempt);
     if (!request.claimed) {
@@ -195,54 +202,55 @@
 
   private void startTransfer(RequestState request, UpstreamState decode) {
     long now = core.context.now();
-    UpstreamState from = request.prefill.upstream;
-    final long end = core.predictor.transferEnd(request.kvBytes, from, decode, now);
+    UpstreamState source = request.prefill.upstream;
+    final long end = core.predictor.transferEnd(request.kvBytes, source, decode, now);
     Attempt attempt = core.attempts.create(request, decode, AttemptKind.DECODE, now);
-    attempt.resumeFrom = request.tokens;
+    attempt.resumeFrom = request.deliveredTokens;
     request.decode = attempt;
     request.stage = RequestStage.TRANSFERRING;
     core.fleet.attach(attempt);
-    attempt.batch = decode.slots.active() + decode.slots.others();
-    core.holdings.startMove(attempt, from, request.kvBytes);
-    core.queueing.arm(request);
-    long timeout = Math.max(MIN_TRANSFER_TIMEOUT, TRANSFER_FACTOR * (end - now));
+    attempt.batchAtStart = decode.slots.active() + decode.slots.heldByOthers();
+    core.holdings.startTransfer(attempt, source, request.kvBytes);
+    core.queueing.setTimer(request);
+    long timeoutNanos = Math.max(MIN_TRANSFER_TIMEOUT_NANOS, TRANSFER_TIMEOUT_FACTOR * (end - now));
     core.context.report(new Fact.Placed(request.id(), attempt.id, decode.name));
     core.context.emit(
         new Effect.StartTransfer(
-            attempt.id, request.id(), request.prefill.id, from.name, decode.name, timeout));
+            attempt.id, request.id(), request.prefill.id, source.name, decode.name, timeoutNanos));
   }
 
-  private void learnPrefill(Attempt attempt, int cachedTokens, long now) {
+  private void recordPrefill(Attempt attempt, int cachedTokens, long now) {
     UpstreamState engine = attempt.upstream;
     RequestState request = attempt.request;
-    long since = core.fleet.computed(attempt);
+    long startedAt = core.fleet.prefillEnded(attempt);
     int computed = Math.max(1, request.contextTokens() - cachedTokens);
-    if (now > since) {
-      engine.rates.prefilled(computed, now - since);
+    if (now > startedAt) {
+      engine.speeds.recordPrefill(computed, now - startedAt);
     }
-    engine.cache.used(request.prefixes(), attempt.believed, cachedTokens);
-    attempt.tokens = computed;
-    core.fleet.ejections().succeeded(engine);
+    engine.cache.recordPrefill(request.prefixes(), attempt.knownCachedTokens, cachedTokens);
+    attempt.prefillTokens = computed;
+    core.fleet.ejections().recordSuccess(engine);
   }
 
-  private void learnDecode(Attempt attempt, int tokens) {
+  private void recordDecode(Attempt attempt, int tokens) {
     long now = core.context.now();
     UpstreamState engine = attempt.upstream;
-    int after = tokens - attempt.resumeFrom - 1;
-    if (after > 0 && now > attempt.firstTokenAt) {
-      int batch = engine.slots.active() + engine.slots.others();
-      double mean = (attempt.batch + batch) / 2.0;
-      engine.rates.decoded(mean, (double) (now - attempt.firstTokenAt) / after);
+    int furtherTokens = tokens - attempt.resumeFrom - 1;
+    if (furtherTokens > 0 && now > attempt.firstTokenAt) {
+      int batch = engine.slots.active() + engine.slots.heldByOthers();
+      double mean = (attempt.batchAtStart + batch) / 2.0;
+      engine.speeds.recordDecode(mean, (double) (now - attempt.firstTokenAt) / furtherTokens);
     }
-    engine.rates.held(now - attempt.startedAt);
+    engine.speeds.recordSlotHold(now - attempt.startedAt);
   }
 
   private void reportUsed(RequestState request) {
-    Attempt prefill = request.moved;
+    Attempt prefill = request.transferredPrefill;
     if (prefill != null) {
-      request.moved = null;
+      request.transferredPrefill = null;
       core.context.report(
-          new Fact.PrefillUsed(request.id(), prefill.id, prefill.upstream.name, prefill.tokens));
+          new Fact.PrefillUsed(
+              request.id(), prefill.id, prefill.upstream.name, prefill.prefillTokens));
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Dispatcher.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Dispatcher.java
@@ -15,7 +15,10 @@
 import org.larkkeel.router.QueuePolicy;
 
 /**
- * Serves requests that wait: first those with a KV cache that is held, then the lanes by deadline.
+ * Starts waiting requests: first the transfers of held KV caches, oldest first, then the lanes.
+ *
+ * <p>The next lane is the one whose head has the earliest sort key, a time between its arrival and
+ * its target that depends on the kind of the lane.
  *
  * <p>Not safe for use by several threads.
  *
@@ -23,54 +26,61 @@
  */
 public final class Dispatcher {
   private static final LaneKind[] KINDS = LaneKind.values();
-  private static final long SWEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-  private static final long LATE_OFFSET = TimeUnit.HOURS.toNanos(1);
-  private static final int LATE_EVERY = 50;
-  private static final double LATE_SPARE = 0.1;
-  private static final int PRIORITY_AGAIN = 0;
+  private static final long SWEEP_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+
+  /** Sorts late requests behind those that can still meet their target. */
+  private static final long LATE_OFFSET_NANOS = TimeUnit.HOURS.toNanos(1);
+
+  /** The number of other requests of a route after which a late one has its turn. */
+  private static final int LATE_TURN_INTERVAL = 50;
+
+  /** The share of the decode slots that must be unreserved for a late request to start. */
+  private static final double MIN_UNRESERVED_SHARE_FOR_LATE = 0.1;
+
+  private static final int PRIORITY_RETRY = 0;
   private static final int PRIORITY_SMALL = 1;
   private static final int PRIORITY_INTERACTIVE = 2;
   private static final int PRIORITY_PATIENT = 3;
-  private static final long MIN_PREFILL_TIMEOUT = TimeUnit.SECONDS.toNanos(2);
-  private static final int TIMEOUT_FACTOR = 5;
+  private static final long MIN_PREFILL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final int PREFILL_TIMEOUT_FACTOR = 5;
 
   private final Core core;
   private final Timer sweep;
-  private final List<Route> routes = new ArrayList<>();
-  private final List<Route> full = new ArrayList<>();
-  private boolean[] blocked = new boolean[KINDS.length];
+  private final List<Route> servedRoutes = new ArrayList<>();
+  private final List<Route> fullRoutes = new ArrayList<>();
+  private boolean[] blockedLanes = new boolean[KINDS.length];
 
   Dispatcher(Core core) {
     this.core = core;
     this.sweep = new Timer(this::sweep);
   }
 
-  /** Serves the routes that are ready, until nothing more can be placed. */
+  /** Serves the ready routes until no further request can be placed. */
   public void run() {
-    if (core.fleet.ready().isEmpty()) {
+    if (core.fleet.readyRoutes().isEmpty()) {
       return;
     }
-    routes.clear();
-    for (Route route : core.fleet.ready()) {
+    servedRoutes.clear();
+    for (Route route : core.fleet.readyRoutes()) {
       if (!route.held.isEmpty() || route.queued() > 0) {
-        routes.add(route);
+        servedRoutes.add(route);
       }
     }
-    core.fleet.ready().clear();
+    core.fleet.readyRoutes().clear();
     serveHeld();
     serveLanes();
-    watch();
+    scheduleSweep();
   }
 
   /**
-   * The priority of a request inside an engine.
+   * Returns the priority of a request inside an engine.
    *
    * @param request the request
-   * @return lower runs earlier
+   * @return the priority; lower values run earlier
    */
   int priority(RequestState request) {
-    if (request.attempts > 1) {
-      return PRIORITY_AGAIN;
+    if (request.attemptCount > 1) {
+      return PRIORITY_RETRY;
     }
     if (request.contextTokens() <= core.context.settings().smallPromptTokens()) {
       return PRIORITY_SMALL;
@@ -79,11 +89,11 @@
   }
 
   private void serveHeld() {
-    full.clear();
+    fullRoutes.clear();
     RequestState oldest = oldestHeld();
     while (oldest != null) {
       if (!core.decodeFlow.tryTransfer(oldest)) {
-        full.add(oldest.route);
+        fullRoutes.add(oldest.route);
       }
       oldest = oldestHeld();
     }
@@ -91,13 +101,13 @@
 
   private RequestState oldestHeld() {
     RequestState oldest = null;
-    for (int i = 0; i < routes.size(); i++) {
-      Route route = routes.get(i);
-      if (route.held.isEmpty() || full.contains(route)) {
+    for (int i = 0; i < servedRoutes.size(); i++) {
+      Route route = servedRoutes.get(i);
+      if (route.held.isEmpty() || fullRoutes.contains(route)) {
         continue;
       }
       RequestState head = route.held.values().iterator().next();
-      if (oldest == null || head.heldSince < oldest.heldSince) {
+      if (oldest == null || head.kvHeldSince < oldest.kvHeldSince) {
         oldest = head;
       }
     }
@@ -105,104 +115,112 @@
   }
 
   private void serveLanes() {
-    int places = routes.size() * KINDS.length;
-    if (blocked.length < places) {
-      blocked = new boolean[places];
-    }
-    Arrays.fill(blocked, 0, places, false);
-    int best = firstPlace();
-    while (best >= 0) {
-      Route route = routes.get(best / KINDS.length);
-      LaneKind kind = KINDS[best % KINDS.length];
-      if (!start(route, kind)) {
-        blocked[best] = true;
+    int laneCount = servedRoutes.size() * KINDS.length;
+    if (blockedLanes.length < laneCount) {
+      blockedLanes = new boolean[laneCount];
+    }
+    Arrays.fill(blockedLanes, 0, laneCount, false);
+    int next = nextLane();
+    while (next >= 0) {
+      Route route = servedRoutes.get(next / KINDS.length);
+      LaneKind kind = KINDS[next % KINDS.length];
+      if (!startHead(route, kind)) {
+        blockedLanes[next] = true;
       }
-      best = firstPlace();
+      next = nextLane();
     }
   }
 
-  private int firstPlace() {
+  private int nextLane() {
     int best = -1;
     long bestKey = Long.MAX_VALUE;
-    for (int i = 0; i < routes.size(); i++) {
+    for (int i = 0; i < servedRoutes.size(); i++) {
       for (int k = 0; k < KINDS.length; k++) {
-        int place = i * KINDS.length + k;
-        RequestState head = blocked[place] ? null : routes.get(i).lane(KINDS[k]).head();
+        int laneIndex = i * KINDS.length + k;
+        RequestState head =
+            blockedLanes[laneIndex] ? null : servedRoutes.get(i).lane(KINDS[k]).head();
         if (head == null) {
           continue;
         }
-        long key = key(head, KINDS[k], routes.get(i));
-        if (key < bestKey) {
-          best = place;
-          bestKey = key;
+        long headKey = sortKey(head, KINDS[k], servedRoutes.get(i));
+        if (headKey < bestKey) {
+          best = laneIndex;
+          bestKey = headKey;
         }
       }
     }
     return best;
   }
 
-  private static long key(RequestState head, LaneKind kind, Route route) {
+  private static long sortKey(RequestState head, LaneKind kind, Route route) {
     return switch (kind) {
-      case LATE -> route.isTurnOfLate(LATE_EVERY) ? head.arrivedAt : head.deadline + LATE_OFFSET;
-      default -> head.arrivedAt + (long) (kind.patience() * (head.firstTarget - head.arrivedAt));
+      case LATE ->
+          route.isLateTurn(LATE_TURN_INTERVAL) ? head.arrivedAt : head.deadline + LATE_OFFSET_NANOS;
+      default -> head.arrivedAt + (long) (kind.targetShare() * (head.targetAt - head.arrivedAt));
     };
   }
 
-  private boolean start(Route route, LaneKind kind) {
+  private boolean startHead(Route route, LaneKind kind) {
     Lane lane = route.lane(kind);
     RequestState request = lane.head();
     Choice choice = mayStart(route, kind) ? core.placement.choose(request) : null;
     if (choice == null) {
       return false;
     }
-    switch (core.queueing.prospect(request, choice)) {
-      case IN_TIME -> {}
-      case LATER -> {
+    switch (core.queueing.feasibility(request, choice)) {
+      case MEETS_TARGET -> {}
+      case NEEDS_CAPACITY -> {
         return false;
       }
       default -> {
-        core.queueing.missed(request);
+        core.queueing.targetMissed(request);
         return true;
       }
     }
     lane.serve(request);
-    route.served(kind);
+    route.recordServed(kind);
     if (kind != LaneKind.LATE) {
-      route.pace.left(core.context.now(), route.queued() - route.lane(LaneKind.LATE).size());
+      route.departures.recordDeparture(
+          core.context.now(), route.queued() - route.lane(LaneKind.LATE).size());
     }
-    request.attempts++;
+    request.attemptCount++;
     if (request.isPlain()) {
       core.plainFlow.start(request, choice);
     } else {
       startPrefill(request, choice);
     }
-    request.avoid = null;
+    request.failedUpstream = null;
     return true;
   }
 
-  /** A late request must not take what the next one in time needs. */
+  /**
+   * Returns whether a lane may start a request. A late request must leave enough free decode slots
+   * for the requests that can still meet their target.
+   */
   private static boolean mayStart(Route route, LaneKind kind) {
-    if (kind != LaneKind.LATE || route.isPlain() || route.isTurnOfLate(LATE_EVERY)) {
+    if (kind != LaneKind.LATE || route.isPlain() || route.isLateTurn(LATE_TURN_INTERVAL)) {
       return true;
     }
     CandidateSet decode = route.decode();
-    return decode.spare() >= LATE_SPARE * decode.usable();
+    return decode.unreserved() >= MIN_UNRESERVED_SHARE_FOR_LATE * decode.usable();
   }
 
   private void startPrefill(RequestState request, Choice choice) {
-    UpstreamState engine = choice.first();
+    UpstreamState engine = choice.upstream();
     long now = core.context.now();
     Attempt attempt = core.attempts.create(request, engine, AttemptKind.PREFILL, now);
-    attempt.believed = engine.cache.believed(request.prefixes());
-    double cached = engine.cache.expected(request.prefixes());
-    attempt.tokens = (int) Math.max(1, request.contextTokens() - cached);
-    attempt.resumeFrom = request.tokens;
+    attempt.knownCachedTokens = engine.cache.knownTokens(request.prefixes());
+    double cachedTokens = engine.cache.expectedTokens(request.prefixes());
+    attempt.prefillTokens = (int) Math.max(1, request.contextTokens() - cachedTokens);
+    attempt.resumeFrom = request.deliveredTokens;
     request.prefill = attempt;
     request.stage = RequestStage.PREFILLING;
     core.fleet.attach(attempt);
-    core.holdings.promise(request, engine, choice.decode());
-    core.queueing.arm(request);
-    long timeout = Math.max(MIN_PREFILL_TIMEOUT, TIMEOUT_FACTOR * Math.max(0, choice.firstNanos()));
+    core.holdings.reserve(request, engine, choice.decode());
+    core.queueing.setTimer(request);
+    long timeoutNanos =
+        Math.max(
+            MIN_PREFILL_TIMEOUT_NANOS, PREFILL_TIMEOUT_FACTOR * Math.max(0, choice.firstNanos()));
     core.context.report(new Fact.Placed(request.id(), attempt.id, engine.name));
     core.context.emit(
         new Effect.StartPrefill(
@@ -210,25 +228,25 @@
             request.id(),
             engine.name,
             priority(request),
-            request.tokens,
-            Math.min(timeout, request.deadline - now)));
+            request.deliveredTokens,
+            Math.min(timeoutNanos, request.deadline - now)));
   }
 
-  private void watch() {
+  private void scheduleSweep() {
     if (sweep.isSet() || core.context.settings().queue() instanceof QueuePolicy.Immediate) {
       return;
     }
-    for (int i = 0; i < routes.size(); i++) {
-      if (routes.get(i).queued() > 0 || !routes.get(i).held.isEmpty()) {
-        core.context.timers().set(sweep, core.context.now() + SWEEP_NANOS);
+    for (int i = 0; i < servedRoutes.size(); i++) {
+      if (servedRoutes.get(i).queued() > 0 || !servedRoutes.get(i).held.isEmpty()) {
+        core.context.timers().set(sweep, core.context.now() + SWEEP_INTERVAL_NANOS);
         return;
       }
     }
   }
 
-  /** Looks at every upstream again, for room that came with time alone. */
+  /** Rechecks every upstream for capacity that becomes free by the passage of time only. */
   private void sweep() {
-    core.fleet.all().forEach(core.fleet::gained);
-    core.routes.all().forEach(core.fleet::ready);
+    core.fleet.all().forEach(core.fleet::capacityFreed);
+    core.routes.all().forEach(core.fleet::markReady);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Ejections.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Ejections.java
@@ -10,28 +10,28 @@
 import org.larkkeel.event.FailureCause;
 
 /**
- * Takes upstreams that fail out of use for a time, and back.
+ * Ejects failing upstreams for a time and restores them.
  *
- * <p>Invariant: an ejected upstream has a timer set. Not safe for use by several threads.
+ * <p>Invariant: the probe timer of an ejected upstream is set. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Ejections {
-  private static final long DISTURBANCE_NANOS = 3_000_000_000L;
+  private static final long RECENT_EJECTION_NANOS = 3_000_000_000L;
 
   private final Context context;
-  private final Fleet fleet;
+  private final UpstreamTable upstreams;
   private long lastEjection = Long.MIN_VALUE / 2;
 
   /**
-   * Creates ejections of nobody.
+   * Creates an object without ejections.
    *
-   * @param context what the parts of the router share
-   * @param fleet the upstreams
+   * @param context the shared state of the router
+   * @param upstreams the upstreams
    */
-  Ejections(Context context, Fleet fleet) {
+  Ejections(Context context, UpstreamTable upstreams) {
     this.context = context;
-    this.fleet = fleet;
+    this.upstreams = upstreams;
   }
 
   /**
@@ -39,11 +39,11 @@
    *
    * @param state the upstream
    */
-  public void succeeded(UpstreamState state) {
-    if (state.health.succeeded()) {
+  public void recordSuccess(UpstreamState state) {
+    if (state.health.recordSuccess()) {
       context.timers().clear(state.probeTimer);
       context.report(new Fact.Restored(state.name));
-      fleet.gained(state);
+      upstreams.capacityFreed(state);
     }
   }
 
@@ -51,53 +51,54 @@
    * Counts a failure of an upstream.
    *
    * @param state the upstream
-   * @param cause why it failed
+   * @param cause the cause of the failure
    */
-  public void failed(UpstreamState state, FailureCause cause) {
-    boolean counts = context.settings().ejection();
+  public void recordFailure(UpstreamState state, FailureCause cause) {
+    boolean ejects = context.settings().ejection();
     switch (cause) {
-      case NO_SLOT, BUSY -> state.slots.refused(context.now());
-      case DRAINING -> eject(state, counts ? state.health.eject() : 0);
+      case NO_SLOT, BUSY -> state.slots.recordRefusal(context.now());
+      case DRAINING -> eject(state, ejects ? state.health.eject() : 0);
       case CONNECT_FAILED, CONNECTION_LOST, TIMED_OUT, BAD_ANSWER ->
-          eject(state, counts ? state.health.failed() : 0);
+          eject(state, ejects ? state.health.recordFailure() : 0);
       default -> {}
     }
-    fleet.lost(state);
+    upstreams.capacityTaken(state);
   }
 
   /**
-   * An upstream that was silent or has started anew reports its load, so it is back.
+   * Restores an upstream that reports its load after failed queries or after a restart.
    *
    * @param state the upstream
    */
-  public void back(UpstreamState state) {
+  public void restore(UpstreamState state) {
     if (state.health.restore()) {
       context.timers().clear(state.probeTimer);
       context.report(new Fact.Restored(state.name));
-      fleet.gained(state);
+      upstreams.capacityFreed(state);
     }
   }
 
   /**
-   * Counts a load report that did not come.
+   * Counts a failed query of the load of an upstream.
    *
    * @param state the upstream
    */
-  public void silent(UpstreamState state) {
-    boolean silent = state.unanswered() >= context.settings().ejectAfter();
-    if (silent && context.settings().ejection() && !state.health.isOut()) {
+  public void queryFailed(UpstreamState state) {
+    boolean unresponsive = state.countFailedQuery() >= context.settings().ejectAfter();
+    if (unresponsive && context.settings().ejection() && !state.health.isEjectedOrProbing()) {
       eject(state, state.health.eject());
-      fleet.lost(state);
+      upstreams.capacityTaken(state);
     }
   }
 
   /**
-   * Tells whether an upstream was lost so lately that its requests still press on the others.
+   * Returns whether an upstream was ejected so recently that its requests still add to the load of
+   * the others.
    *
    * @return true if so
    */
-  public boolean isDisturbed() {
-    return context.now() - lastEjection < DISTURBANCE_NANOS;
+  public boolean hasRecentEjection() {
+    return context.now() - lastEjection < RECENT_EJECTION_NANOS;
   }
 
   private void eject(UpstreamState state, long nanos) {
@@ -109,12 +110,12 @@
     context.report(new Fact.Ejected(state.name, nanos));
   }
 
-  void probe(UpstreamState state) {
-    if (state.isSilent()) {
+  void startProbing(UpstreamState state) {
+    if (state.isUnresponsive()) {
       eject(state, state.health.eject());
       return;
     }
-    state.health.probe();
-    fleet.gained(state);
+    state.health.startProbing();
+    upstreams.capacityFreed(state);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Endings.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Endings.java
@@ -18,18 +18,19 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * Ends requests.
+ * Ends requests with their last effect.
  *
- * <p>Invariant: exactly one last effect a request; after it nothing of the request is kept, and
- * what upstreams may still hold is being cancelled. A caller is told that its request did not run
- * only if no upstream got it, or each that did refused it. Not safe for use by several threads.
+ * <p>Invariants: each request gets exactly one last effect; after it no state of the request is
+ * kept, and whatever upstreams may still hold for it is being cancelled. The error sent to a caller
+ * says that the request did not run only if no upstream received it, or if each one that did
+ * refused it. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Endings {
-  private static final long RECORD_WAIT_NANOS = TimeUnit.SECONDS.toNanos(2);
-  private static final long MIN_RETRY_MILLIS = 1_000;
-  private static final long MAX_RETRY_MILLIS = 600_000;
+  private static final long RECORD_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long MIN_RETRY_AFTER_MILLIS = 1_000;
+  private static final long MAX_RETRY_AFTER_MILLIS = 600_000;
 
   private final Core core;
 
@@ -37,7 +38,7 @@
     this.core = core;
   }
 
-  /** The whole answer has been received in an attempt that holds nothing any more. */
+  /** Handles a complete answer, received in an attempt that no longer uses any capacity. */
   void complete(RequestState request, Attempt attempt) {
     reportAnswered(request);
     if (!request.claimed) {
@@ -45,43 +46,50 @@
       return;
     }
     request.stage = RequestStage.RECORDING;
-    request.answered = attempt;
+    request.answeredAttempt = attempt;
     record(request, attempt, RunResult.DONE);
-    core.context.timers().set(request.timer, core.context.now() + RECORD_WAIT_NANOS);
+    core.context.timers().set(request.timer, core.context.now() + RECORD_TIMEOUT_NANOS);
   }
 
   /**
-   * Writing down the outcome ended; the caller gets its answer whatever came of it.
+   * Handles the result of recording an outcome; the caller gets its answer whether or not the
+   * outcome was recorded.
    *
    * @param attempt the attempt that ran
-   * @param outcome the result
+   * @param outcome the result of recording, which is ignored
    */
   public void recorded(Attempt attempt, RecordOutcome outcome) {
     RequestState request = attempt.request;
-    if (request.stage == RequestStage.RECORDING && request.answered == attempt) {
-      answer(request);
+    if (request.stage == RequestStage.RECORDING && request.answeredAttempt == attempt) {
+      answerCaller(request);
     }
   }
 
-  /** Answers without waiting longer for the record. */
-  void answer(RequestState request) {
-    core.attempts.retire(request.answered);
-    end(request, lastEffect(request, request.answered));
+  /** Answers the caller without waiting for the record any longer. */
+  void answerCaller(RequestState request) {
+    core.attempts.retire(request.answeredAttempt);
+    end(request, lastEffect(request, request.answeredAttempt));
   }
 
-  /** Answers with the record of an earlier run. */
+  /** Answers with the recorded answer of an earlier run. */
   void replay(RequestState request, Attempt claim) {
     end(request, new Effect.Replay(request.id(), claim.id));
   }
 
-  /** Gives a request up with the kind that is true of it. */
-  void giveUp(
-      RequestState request, ErrorKind ifNotRun, ErrorKind ifMayHaveRun, long wait, String detail) {
-    refuse(request, truth(request, ifNotRun, ifMayHaveRun), wait, detail);
+  /** Fails a request with the error kind that matches what is known of its execution. */
+  void fail(
+      RequestState request,
+      ErrorKind ifNotRun,
+      ErrorKind ifMayHaveRun,
+      long retryAfterNanos,
+      String detail) {
+    refuse(request, actualKind(request, ifNotRun, ifMayHaveRun), retryAfterNanos, detail);
   }
 
-  /** Refuses a request that an earlier step has shown to be refused with just this kind. */
-  void refuse(RequestState request, ErrorKind kind, long wait, String detail) {
+  /**
+   * Refuses a request with the given error kind, which must match what is known of its execution.
+   */
+  void refuse(RequestState request, ErrorKind kind, long retryAfterNanos, String detail) {
     if (request.claimed) {
       boolean notRun = kind.execution() == Execution.NOT_RUN;
       record(request, lastAttempt(request), notRun ? RunResult.NOT_RUN : RunResult.UNKNOWN);
@@ -91,17 +99,19 @@
         request,
         request.callerGone
             ? new Effect.Forget(request.id())
-            : new Effect.Refuse(request.id(), kind, retryMillis(kind, wait), detail));
+            : new Effect.Refuse(
+                request.id(), kind, retryAfterMillis(kind, retryAfterNanos), detail));
   }
 
-  /** Refuses a call that was never taken in. */
-  void refuseArrival(RequestState request, ErrorKind kind, long wait, String detail) {
+  /** Refuses a request that was not admitted. */
+  void refuseArrival(RequestState request, ErrorKind kind, long retryAfterNanos, String detail) {
     core.context.report(new Fact.Refused(request.id(), kind));
-    core.context.emit(new Effect.Refuse(request.id(), kind, retryMillis(kind, wait), detail));
+    core.context.emit(
+        new Effect.Refuse(request.id(), kind, retryAfterMillis(kind, retryAfterNanos), detail));
   }
 
   /**
-   * The caller is gone: what is running is stopped, unless its outcome has to be recorded.
+   * Handles the departure of the caller: cancels what runs, unless its outcome must be recorded.
    *
    * @param request the request
    */
@@ -117,8 +127,8 @@
     end(request, new Effect.Forget(request.id()));
   }
 
-  /** Tells a store that a claim which came too late is not needed. */
-  void giveClaimBack(AttemptTable.Former former, AttemptId attempt) {
+  /** Releases a claim that was granted after its request had ended. */
+  void releaseClaim(AttemptTable.FormerAttempt former, AttemptId attempt) {
     former
         .runKey()
         .ifPresent(
@@ -128,7 +138,8 @@
                         attempt, former.request(), former.workspace(), key, RunResult.NOT_RUN)));
   }
 
-  private static ErrorKind truth(RequestState request, ErrorKind ifNotRun, ErrorKind ifMayHaveRun) {
+  private static ErrorKind actualKind(
+      RequestState request, ErrorKind ifNotRun, ErrorKind ifMayHaveRun) {
     boolean ran = request.mayHaveRun || request.isAtUpstream();
     if (ran && request.claimed) {
       return ErrorKind.UNKNOWN_OUTCOME;
@@ -175,20 +186,30 @@
     long now = core.context.now();
     Targets targets = request.route.rule().targets();
     long firstAt = request.isPlain() ? now : request.firstTokenAt;
-    long first = firstAt - request.arrivedAt;
-    long between = request.tokens > 1 ? (now - firstAt) / (request.tokens - 1) : 0;
-    boolean within =
-        first <= targets.firstToken().toNanos() && between <= targets.betweenTokens().toNanos();
+    long firstNanos = firstAt - request.arrivedAt;
+    long betweenNanos =
+        request.deliveredTokens > 1 ? (now - firstAt) / (request.deliveredTokens - 1) : 0;
+    boolean withinTargets =
+        firstNanos <= targets.firstToken().toNanos()
+            && betweenNanos <= targets.betweenTokens().toNanos();
     core.context.report(
         new Fact.Answered(
-            request.id(), request.route.rule().name(), within, first, between, request.tokens));
+            request.id(),
+            request.route.rule().name(),
+            withinTargets,
+            firstNanos,
+            betweenNanos,
+            request.deliveredTokens));
   }
 
-  private static long retryMillis(ErrorKind kind, long waitNanos) {
+  private static long retryAfterMillis(ErrorKind kind, long retryAfterNanos) {
     return switch (kind.repeat()) {
       case NEVER, IF_IDEMPOTENT -> 0;
       case LATER ->
-          Math.clamp(TimeUnit.NANOSECONDS.toMillis(waitNanos), MIN_RETRY_MILLIS, MAX_RETRY_MILLIS);
+          Math.clamp(
+              TimeUnit.NANOSECONDS.toMillis(retryAfterNanos),
+              MIN_RETRY_AFTER_MILLIS,
+              MAX_RETRY_AFTER_MILLIS);
     };
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Failures.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Failures.java
@@ -15,16 +15,15 @@
 import org.larkkeel.router.internal.Holdings.Remains;
 
 /**
- * Decides what follows the failure of an attempt: use of what is still held, another attempt, or
- * the end.
+ * Handles failed attempts: reuses a KV cache that is still held, retries the request, or fails it.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Failures {
-  private static final long RETRY_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
-  private static final long CROWDED_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+  private static final long MIN_RETRY_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long NO_CAPACITY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
   private final Core core;
 
@@ -33,12 +32,12 @@
   }
 
   /**
-   * An attempt failed.
+   * Handles the failure of an attempt.
    *
    * @param attempt the attempt, which is current
-   * @param cause why
-   * @param exposure how far the request got
-   * @param tokens tokens of the answer passed on so far
+   * @param cause the cause of the failure
+   * @param exposure how far the request got towards the upstream
+   * @param tokens the number of tokens of the answer delivered so far
    */
   public void failed(Attempt attempt, FailureCause cause, Exposure exposure, int tokens) {
     if (attempt.kind == AttemptKind.CLAIM) {
@@ -46,26 +45,28 @@
       return;
     }
     RequestState request = attempt.request;
-    request.tokens = Math.max(request.tokens, tokens);
-    request.reached |= exposure != Exposure.NOT_SENT;
+    request.deliveredTokens = Math.max(request.deliveredTokens, tokens);
+    request.reachedUpstream |= exposure != Exposure.NOT_SENT;
     request.mayHaveRun |= exposure == Exposure.MAY_HAVE_RUN;
-    core.fleet.ejections().failed(attempt.upstream, cause);
+    core.fleet.ejections().recordFailure(attempt.upstream, cause);
     Remains remains = exposure == Exposure.MAY_HAVE_RUN ? Remains.MAYBE : Remains.NOTHING;
     switch (attempt.kind) {
       case PREFILL -> prefillFailed(attempt, cause, exposure, remains);
       case DECODE -> decodeFailed(attempt, cause, exposure, remains);
       case PLAIN -> plainFailed(attempt, cause, exposure, remains);
-      default -> throw new IllegalStateException("a claim is handled above");
+      default -> throw new IllegalStateException("a claim attempt is handled before the switch");
     }
   }
 
-  /** Makes another attempt from the start, or from the token reached, if that is allowed. */
-  void startAgain(RequestState request, FailureCause cause) {
-    if (request.once) {
-      giveUp(request, cause);
+  /**
+   * Retries a request from the beginning or from the token reached, if it may run more than once.
+   */
+  void retryUnlessAtMostOnce(RequestState request, FailureCause cause) {
+    if (request.atMostOnce) {
+      fail(request, cause);
       return;
     }
-    again(request, cause);
+    retry(request, cause);
   }
 
   private void prefillFailed(
@@ -76,7 +77,7 @@
     }
     core.holdings.dropDecode(request, Remains.MAYBE);
     core.holdings.dropPrefill(request, remains);
-    another(attempt, cause, exposure);
+    retryOrFail(attempt, cause, exposure);
   }
 
   private void plainFailed(
@@ -86,7 +87,7 @@
       return;
     }
     core.holdings.dropPlain(request, remains);
-    another(attempt, cause, exposure);
+    retryOrFail(attempt, cause, exposure);
   }
 
   private void decodeFailed(
@@ -99,18 +100,21 @@
       transferFailed(attempt, cause, exposure, remains);
       return;
     }
-    if (mayReorder(attempt, cause, exposure)) {
-      attempt.reordered = true;
+    if (mayRepeatDecodeOrder(attempt, cause, exposure)) {
+      attempt.decodeOrderRepeated = true;
       core.decodeFlow.orderDecode(attempt);
       return;
     }
     core.holdings.dropDecode(request, Remains.MAYBE);
-    another(attempt, cause, exposure);
+    retryOrFail(attempt, cause, exposure);
   }
 
-  /** The KV cache is at the decode engine already, and the order to use it did not get there. */
-  private static boolean mayReorder(Attempt attempt, FailureCause cause, Exposure exposure) {
-    return !attempt.reordered
+  /**
+   * Returns whether the decode engine has the KV cache and only the order to use it was not sent.
+   */
+  private static boolean mayRepeatDecodeOrder(
+      Attempt attempt, FailureCause cause, Exposure exposure) {
+    return !attempt.decodeOrderRepeated
         && exposure == Exposure.NOT_SENT
         && cause == FailureCause.CONNECT_FAILED;
   }
@@ -121,39 +125,39 @@
     core.holdings.dropDecode(request, remains);
     if (cause == FailureCause.REJECTED) {
       core.holdings.dropPrefill(request, Remains.MAYBE);
-      another(attempt, cause, exposure);
+      retryOrFail(attempt, cause, exposure);
       return;
     }
     if (cause == FailureCause.KV_EVICTED) {
-      core.decodeFlow.lostKv();
+      core.decodeFlow.recordLostKv();
       core.holdings.dropPrefill(request, Remains.NOTHING);
-      another(attempt, cause, exposure);
+      retryOrFail(attempt, cause, exposure);
       return;
     }
-    if (request.once && exposure == Exposure.MAY_HAVE_RUN) {
-      giveUp(request, cause);
+    if (request.atMostOnce && exposure == Exposure.MAY_HAVE_RUN) {
+      fail(request, cause);
       return;
     }
-    useHeld(attempt, cause, remains);
+    retryTransfer(attempt, cause, remains);
   }
 
-  private void useHeld(Attempt attempt, FailureCause cause, Remains remains) {
+  private void retryTransfer(Attempt attempt, FailureCause cause, Remains remains) {
     RequestState request = attempt.request;
-    request.transfers++;
-    request.avoid = attempt.upstream;
+    request.failedTransfers++;
+    request.failedUpstream = attempt.upstream;
     core.context.report(new Fact.Retried(request.id(), attempt.id, attempt.upstream.name, cause));
     if (remains == Remains.MAYBE) {
-      core.decodeFlow.holdUntilCancelled(request, attempt);
+      core.decodeFlow.awaitCancel(request, attempt);
     } else {
-      core.decodeFlow.hold(request);
+      core.decodeFlow.awaitDecodeSlot(request);
     }
   }
 
-  private void another(Attempt attempt, FailureCause cause, Exposure exposure) {
+  private void retryOrFail(Attempt attempt, FailureCause cause, Exposure exposure) {
     RequestState request = attempt.request;
-    request.avoid = attempt.upstream;
+    request.failedUpstream = attempt.upstream;
     if (cause == FailureCause.REJECTED) {
-      core.endings.giveUp(
+      core.endings.fail(
           request,
           ErrorKind.MALFORMED_REQUEST,
           ErrorKind.UPSTREAM_FAILED,
@@ -161,54 +165,62 @@
           "The upstream rejected the request.");
       return;
     }
-    if (!mayRepeat(request, exposure)) {
-      giveUp(request, cause);
+    if (!mayRetry(request, exposure)) {
+      fail(request, cause);
       return;
     }
-    if (again(request, cause)) {
+    if (retry(request, cause)) {
       core.context.report(new Fact.Retried(request.id(), attempt.id, attempt.upstream.name, cause));
     }
   }
 
-  private static boolean mayRepeat(RequestState request, Exposure exposure) {
-    if (!request.once) {
+  private static boolean mayRetry(RequestState request, Exposure exposure) {
+    if (!request.atMostOnce) {
       return true;
     }
     if (request.claimed) {
       return !request.mayHaveRun;
     }
-    return exposure == Exposure.NOT_SENT && !request.reached;
+    return exposure == Exposure.NOT_SENT && !request.reachedUpstream;
   }
 
-  private boolean again(RequestState request, FailureCause cause) {
-    if (isCrowded(cause) && !(core.context.settings().queue() instanceof QueuePolicy.Immediate)) {
-      request.attempts--;
-      core.queueing.enqueueAfter(request, CROWDED_DELAY_NANOS);
+  private boolean retry(RequestState request, FailureCause cause) {
+    if (isLackOfCapacity(cause)
+        && !(core.context.settings().queue() instanceof QueuePolicy.Immediate)) {
+      request.attemptCount--;
+      core.queueing.enqueueAfter(request, NO_CAPACITY_DELAY_NANOS);
       return true;
     }
-    if (request.attempts >= request.route.rule().maxAttempts() || !core.budget.spend()) {
-      giveUp(request, cause);
+    if (request.attemptCount >= request.route.rule().maxAttempts()
+        || !core.retryBudget.tryWithdraw()) {
+      fail(request, cause);
       return false;
     }
-    long delay = core.budget.delay(request.attempts, core.context.random());
-    if (core.context.now() + delay >= request.deadline) {
-      giveUp(request, cause);
+    long delayNanos = core.retryBudget.delayNanos(request.attemptCount, core.context.random());
+    if (core.context.now() + delayNanos >= request.deadline) {
+      fail(request, cause);
       return false;
     }
-    core.queueing.enqueueAfter(request, delay);
+    core.queueing.enqueueAfter(request, delayNanos);
     return true;
   }
 
-  /** The upstream was only full; that is this node's wrong guess and no failed attempt. */
-  private static boolean isCrowded(FailureCause cause) {
+  /**
+   * Returns whether the upstream refused for lack of capacity. Such a refusal results from outdated
+   * load estimates of this node and does not count as a failed attempt.
+   */
+  private static boolean isLackOfCapacity(FailureCause cause) {
     return cause == FailureCause.NO_SLOT || cause == FailureCause.BUSY;
   }
 
-  private void giveUp(RequestState request, FailureCause cause) {
-    ErrorKind ifNotRun = isCrowded(cause) ? ErrorKind.OVERLOADED : ErrorKind.NO_UPSTREAM;
+  private void fail(RequestState request, FailureCause cause) {
+    ErrorKind ifNotRun = isLackOfCapacity(cause) ? ErrorKind.OVERLOADED : ErrorKind.NO_UPSTREAM;
     String detail =
         cause == null ? "No decode slot came free in time." : "Last failure: " + cause + ".";
-    long wait = Math.max(RETRY_AFTER_NANOS, request.route.pace.wait(request.route.queued()));
-    core.endings.giveUp(request, ifNotRun, ErrorKind.UPSTREAM_FAILED, wait, detail);
+    long retryAfterNanos =
+        Math.max(
+            MIN_RETRY_AFTER_NANOS,
+            request.route.departures.predictedWaitNanos(request.route.queued()));
+    core.endings.fail(request, ifNotRun, ErrorKind.UPSTREAM_FAILED, retryAfterNanos, detail);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Health.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Health.java
@@ -7,7 +7,8 @@
 package org.larkkeel.router.internal;
 
 /**
- * Whether an upstream gets requests: ejected after failures in a row, then probed by one request.
+ * The ejection state of one upstream: ejected after consecutive failures, then probed by one
+ * request that restores it or ejects it again.
  *
  * <p>Not safe for use by several threads.
  *
@@ -17,22 +18,22 @@
   private static final int MAX_DOUBLINGS = 5;
 
   private enum State {
-    UP,
+    HEALTHY,
     EJECTED,
     PROBING
   }
 
   private final int ejectAfter;
   private final long ejectNanos;
-  private State state = State.UP;
+  private State state = State.HEALTHY;
   private int failures;
   private int ejections;
 
   /**
-   * Creates the health of a new upstream, which gets requests.
+   * Creates the state of a healthy upstream.
    *
-   * @param ejectAfter failures in a row that eject
-   * @param ejectNanos the first ejection
+   * @param ejectAfter the number of consecutive failures that ejects the upstream
+   * @param ejectNanos the duration of the first ejection, in nanoseconds
    */
   public Health(int ejectAfter, long ejectNanos) {
     this.ejectAfter = ejectAfter;
@@ -42,11 +43,11 @@
   /**
    * Counts a failure.
    *
-   * @return how long the upstream is to be ejected, 0 if it is not
+   * @return the duration of the ejection in nanoseconds; 0 if the failure does not start one
    */
-  public long failed() {
+  public long recordFailure() {
     failures++;
-    if (state == State.EJECTED || (state == State.UP && failures < ejectAfter)) {
+    if (state == State.EJECTED || (state == State.HEALTHY && failures < ejectAfter)) {
       return 0;
     }
     return eject();
@@ -55,7 +56,7 @@
   /**
    * Ejects the upstream at once.
    *
-   * @return how long
+   * @return the duration of the ejection in nanoseconds
    */
   public long eject() {
     state = State.EJECTED;
@@ -70,52 +71,52 @@
    *
    * @return true if this ends an ejection
    */
-  public boolean succeeded() {
+  public boolean recordSuccess() {
     failures = 0;
     if (state != State.PROBING) {
       return false;
     }
-    state = State.UP;
+    state = State.HEALTHY;
     ejections = 0;
     return true;
   }
 
   /**
-   * The upstream answers again, or has started anew.
+   * Ends an ejection because the upstream answers again or has restarted.
    *
    * @return true if this ends an ejection
    */
   public boolean restore() {
-    final boolean wasOut = state != State.UP;
-    state = State.UP;
+    final boolean wasEjected = state != State.HEALTHY;
+    state = State.HEALTHY;
     failures = 0;
     ejections = 0;
-    return wasOut;
+    return wasEjected;
   }
 
-  /** The ejection is over; one request probes the upstream. */
-  public void probe() {
+  /** Ends the ejection; from now on one request at a time probes the upstream. */
+  public void startProbing() {
     if (state == State.EJECTED) {
       state = State.PROBING;
     }
   }
 
   /**
-   * Tells whether the upstream may get a request.
+   * Returns whether the upstream may get another request.
    *
-   * @param outstanding attempts that it has of this node
-   * @return true if so
+   * @param outstanding the number of attempts of this node at the upstream
+   * @return true if it is healthy, or is being probed and has no attempt
    */
-  public boolean takes(int outstanding) {
-    return state == State.UP || (state == State.PROBING && outstanding == 0);
+  public boolean accepts(int outstanding) {
+    return state == State.HEALTHY || (state == State.PROBING && outstanding == 0);
   }
 
   /**
-   * Tells whether the upstream is ejected or not yet restored.
+   * Returns whether the upstream is ejected or being probed.
    *
    * @return true if so
    */
-  public boolean isOut() {
-    return state != State.UP;
+  public boolean isEjectedOrProbing() {
+    return state != State.HEALTHY;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Holdings.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Holdings.java
@@ -9,18 +9,18 @@
 import org.larkkeel.effect.Fact;
 
 /**
- * What a request holds or has been promised at upstreams, and how it is given back.
+ * The resources that requests hold or have reserved at upstreams: slots, link time and KV caches.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class Holdings {
-  /** Whether an upstream may still hold something of an attempt. */
+  /** States whether an upstream may still hold something for an attempt. */
   enum Remains {
-    /** It may; it is told to cancel. */
+    /** The upstream may hold something, so a cancel is sent. */
     MAYBE,
-    /** It holds nothing. */
+    /** The upstream holds nothing. */
     NOTHING
   }
 
@@ -30,84 +30,84 @@
     this.core = core;
   }
 
-  void promise(RequestState request, UpstreamState prefill, UpstreamState decode) {
+  void reserve(RequestState request, UpstreamState prefill, UpstreamState decode) {
     if (decode == null) {
       return;
     }
-    request.promised = decode;
-    request.promisedBytes = core.predictor.kvBytes(request);
+    request.reservedDecode = decode;
+    request.reservedLinkBytes = core.predictor.kvBytes(request);
     decode.slots.reserve();
-    decode.link.reserve(request.promisedBytes);
-    prefill.link.reserve(request.promisedBytes);
-    core.fleet.lost(decode);
+    decode.link.reserve(request.reservedLinkBytes);
+    prefill.link.reserve(request.reservedLinkBytes);
+    core.fleet.capacityTaken(decode);
   }
 
-  void unpromise(RequestState request) {
-    UpstreamState decode = request.promised;
+  void releaseReservation(RequestState request) {
+    UpstreamState decode = request.reservedDecode;
     if (decode == null) {
       return;
     }
-    request.promised = null;
+    request.reservedDecode = null;
     decode.slots.unreserve();
-    decode.link.unreserve(request.promisedBytes);
-    request.prefill.upstream.link.unreserve(request.promisedBytes);
-    core.fleet.gained(decode);
+    decode.link.unreserve(request.reservedLinkBytes);
+    request.prefill.upstream.link.unreserve(request.reservedLinkBytes);
+    core.fleet.capacityFreed(decode);
   }
 
-  void startMove(Attempt decode, UpstreamState from, long bytes) {
-    decode.movingFrom = from;
+  void startTransfer(Attempt decode, UpstreamState source, long bytes) {
+    decode.transferSource = source;
     long now = core.context.now();
-    from.link.started(now, bytes);
+    source.link.started(now, bytes);
     decode.upstream.link.started(now, bytes);
   }
 
-  void endMove(Attempt decode) {
-    if (decode.movingFrom == null) {
+  void endTransfer(Attempt decode) {
+    if (decode.transferSource == null) {
       return;
     }
     long now = core.context.now();
-    decode.movingFrom.link.ended(now);
+    decode.transferSource.link.ended(now);
     decode.upstream.link.ended(now);
-    decode.movingFrom = null;
+    decode.transferSource = null;
   }
 
-  /** Ends the prefill whose KV cache has moved; nothing is held by its engine. */
-  void prefillMoved(RequestState request) {
+  /** Ends a prefill whose KV cache was transferred, so that its engine holds nothing for it. */
+  void prefillTransferred(RequestState request) {
     Attempt prefill = request.prefill;
     request.prefill = null;
-    request.moved = prefill;
+    request.transferredPrefill = prefill;
     core.fleet.detach(prefill);
     core.attempts.retire(prefill);
   }
 
-  /** Ends a prefill that is of no use. */
+  /** Ends a prefill whose KV cache will not be used. */
   void dropPrefill(RequestState request, Remains remains) {
     Attempt prefill = request.prefill;
     if (prefill == null) {
       return;
     }
-    unpromise(request);
+    releaseReservation(request);
     request.route.held.remove(request.id());
-    final int wasted = prefill.computing ? doneSoFar(prefill) : prefill.tokens;
+    final int wastedTokens = prefill.prefilling ? computedTokens(prefill) : prefill.prefillTokens;
     request.prefill = null;
     request.kvBytes = 0;
-    request.settling = null;
+    request.cancelledTransfer = null;
     end(prefill, remains);
-    reportWaste(prefill, wasted);
+    reportWasted(prefill, wastedTokens);
   }
 
-  /** Ends a decode, in whatever step it is. */
+  /** Ends a decode, during its transfer or its generation. */
   void dropDecode(RequestState request, Remains remains) {
     Attempt decode = request.decode;
     if (decode == null) {
       return;
     }
-    endMove(decode);
+    endTransfer(decode);
     request.decode = null;
     end(decode, remains);
-    if (request.moved != null) {
-      reportWaste(request.moved, request.moved.tokens);
-      request.moved = null;
+    if (request.transferredPrefill != null) {
+      reportWasted(request.transferredPrefill, request.transferredPrefill.prefillTokens);
+      request.transferredPrefill = null;
     }
   }
 
@@ -121,7 +121,7 @@
     end(plain, remains);
   }
 
-  /** Ends everything that a request has anywhere. */
+  /** Ends all attempts of a request and releases everything that it holds. */
   void dropAll(RequestState request) {
     dropDecode(request, Remains.MAYBE);
     dropPrefill(request, Remains.MAYBE);
@@ -129,7 +129,10 @@
     dropClaim(request);
   }
 
-  /** A claim that is still asked for is remembered, so that it can be given back when it comes. */
+  /**
+   * Ends a claim; a claim without an answer is kept as former, to be released if it is granted
+   * late.
+   */
   private void dropClaim(RequestState request) {
     if (request.claim == null) {
       return;
@@ -150,13 +153,14 @@
     }
   }
 
-  private int doneSoFar(Attempt prefill) {
-    double predicted = Math.max(1, prefill.upstream.rates.prefillNanos(prefill.tokens));
-    double share = (core.context.now() - prefill.startedAt) / predicted;
-    return (int) (prefill.tokens * Math.min(1, share));
+  private int computedTokens(Attempt prefill) {
+    double predictedNanos =
+        Math.max(1, prefill.upstream.speeds.prefillNanos(prefill.prefillTokens));
+    double completedShare = (core.context.now() - prefill.startedAt) / predictedNanos;
+    return (int) (prefill.prefillTokens * Math.min(1, completedShare));
   }
 
-  private void reportWaste(Attempt prefill, int tokens) {
+  private void reportWasted(Attempt prefill, int tokens) {
     if (tokens > 0) {
       core.context.report(
           new Fact.PrefillWasted(prefill.request.id(), prefill.id, prefill.upstream.name, tokens));
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Lane.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Lane.java
@@ -12,10 +12,10 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Requests that wait, served fairly between workspaces: start-time fair queueing by tokens.
+ * A queue of requests with start-time fair queueing between workspaces, weighted by tokens.
  *
- * <p>Invariant: a request is in at most one lane, and a lane remembers an idle workspace only until
- * the work served has caught up with it. Not safe for use by several threads.
+ * <p>Invariants: a request is in at most one lane; an idle workspace whose finish tag the virtual
+ * time has reached is forgotten once there are many of them. Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -24,23 +24,23 @@
   private static final int IDLE_SLACK = 64;
 
   private final Map<WorkspaceName, WorkspaceQueue> queues = new HashMap<>();
-  private final TreeSet<WorkspaceQueue> busy = new TreeSet<>();
+  private final TreeSet<WorkspaceQueue> nonEmpty = new TreeSet<>();
   private double virtualTime;
-  private long created;
+  private long createdQueues;
   private int size;
 
   /**
-   * Adds a request at the end of its workspace's queue.
+   * Adds a request at the end of the queue of its workspace.
    *
-   * @param request the request, in no lane
+   * @param request the request, which is in no lane
    */
   public void add(RequestState request) {
     WorkspaceQueue queue =
         queues.computeIfAbsent(
-            request.call.workspace(), name -> new WorkspaceQueue(name, created++));
+            request.call.workspace(), name -> new WorkspaceQueue(name, createdQueues++));
     if (queue.requests.isEmpty()) {
       queue.startTag = Math.max(virtualTime, queue.finishTag);
-      busy.add(queue);
+      nonEmpty.add(queue);
     }
     queue.requests.put(request.id(), request);
     request.lane = this;
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Takes a request out, without counting it as served.
+   * Removes a request without charging it to its workspace.
    *
    * @param request the request, in this lane
    */
@@ -60,19 +60,19 @@
     request.workspaceQueue = null;
     size--;
     if (queue.requests.isEmpty()) {
-      busy.remove(queue);
-      forgetIdle();
+      nonEmpty.remove(queue);
+      removeIdleQueues();
     }
   }
 
   /**
-   * Takes a request out and counts it as served.
+   * Removes a request and charges its tokens to its workspace.
    *
    * @param request the request, in this lane
    */
   public void serve(RequestState request) {
     WorkspaceQueue queue = request.workspaceQueue;
-    busy.remove(queue);
+    nonEmpty.remove(queue);
     virtualTime = Math.max(virtualTime, queue.startTag);
     queue.finishTag = queue.startTag + 1 + request.contextTokens() / TOKENS_PER_UNIT;
     queue.startTag = queue.finishTag;
@@ -81,49 +81,50 @@
     request.workspaceQueue = null;
     size--;
     if (queue.requests.isEmpty()) {
-      forgetIdle();
+      removeIdleQueues();
     } else {
-      busy.add(queue);
+      nonEmpty.add(queue);
     }
   }
 
   /**
-   * The request to serve next.
+   * Returns the next request to serve.
    *
    * @return the request; null if none waits
    */
   public RequestState head() {
-    return busy.isEmpty() ? null : busy.first().head();
+    return nonEmpty.isEmpty() ? null : nonEmpty.first().head();
   }
 
   /**
-   * The number of requests that wait.
+   * Returns the number of requests in the lane.
    *
-   * @return a count
+   * @return the number
    */
   public int size() {
     return size;
   }
 
   /**
-   * The number of requests that are served before a new one of a workspace, at most.
+   * Returns an estimate of the number of requests that are served before a new one of a workspace,
+   * assuming that the workspaces take turns.
    *
    * @param workspace the workspace
-   * @return a count
+   * @return the number, at most the size of the lane
    */
   public int ahead(WorkspaceName workspace) {
-    WorkspaceQueue own = queues.get(workspace);
-    int mine = own == null ? 0 : own.requests.size();
-    return Math.min(size, (mine + 1) * busy.size());
+    WorkspaceQueue queue = queues.get(workspace);
+    int ownSize = queue == null ? 0 : queue.requests.size();
+    return Math.min(size, (ownSize + 1) * nonEmpty.size());
   }
 
-  private void forgetIdle() {
-    if (busy.isEmpty()) {
+  private void removeIdleQueues() {
+    if (nonEmpty.isEmpty()) {
       queues.clear();
       virtualTime = 0;
       return;
     }
-    if (queues.size() > 2 * busy.size() + IDLE_SLACK) {
+    if (queues.size() > 2 * nonEmpty.size() + IDLE_SLACK) {
       queues.values().removeIf(q -> q.requests.isEmpty() && q.finishTag <= virtualTime);
     }
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/LaneKind.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/LaneKind.java
@@ -7,55 +7,56 @@
 package org.larkkeel.router.internal;
 
 /**
- * Why a request waits where it does.
+ * The kinds of lanes of a route, by retry, prompt size and lateness.
  *
  * @since 0.1
  */
 public enum LaneKind {
-  /** Has been at an upstream before and goes on first. */
-  AGAIN(0),
-  /** Has a small prompt, or none, and passes between the long ones. */
+  /** Requests that have been at an upstream; served first. */
+  RETRY(0),
+  /** Requests with a small prompt or none; served ahead of long ones. */
   SMALL(0.1),
-  /** Has a prompt below half the usual. */
+  /** Requests with a prompt below half the mean size. */
   SHORT(0.25),
-  /** Has a prompt below the usual. */
+  /** Requests with a prompt below the mean size. */
   MEDIUM(0.5),
-  /** Has a prompt above the usual. */
+  /** Requests with a prompt of at least the mean size. */
   LONG(0.75),
-  /** Has a prompt above twice the usual. */
+  /** Requests with a prompt of at least twice the mean size. */
   HUGE(1),
-  /** Missed its target and is served after the others. */
+  /** Requests that missed their target; served after the others. */
   LATE(1);
 
-  private final double patience;
+  private final double targetShare;
 
-  LaneKind(double patience) {
-    this.patience = patience;
+  LaneKind(double targetShare) {
+    this.targetShare = targetShare;
   }
 
   /**
-   * The share of its target time after which a request goes before all that arrive later.
+   * Returns the part of the time from arrival to target that is added to the arrival time to get
+   * the sort key of a request; a smaller part is served earlier.
    *
    * @return a share from 0 to 1
    */
-  public double patience() {
-    return patience;
+  public double targetShare() {
+    return targetShare;
   }
 
   /**
-   * Chooses the lane of a prompt.
+   * Returns the kind of lane for a prompt that is not small.
    *
-   * @param tokens its size
-   * @param usual the mean size of prompts of the route
-   * @return the lane
+   * @param tokens the size of the prompt
+   * @param meanTokens the mean size of the prompts of the route, in tokens
+   * @return the kind of lane
    */
-  static LaneKind ofSize(int tokens, double usual) {
-    if (tokens < usual / 2) {
+  static LaneKind ofSize(int tokens, double meanTokens) {
+    if (tokens < meanTokens / 2) {
       return SHORT;
     }
-    if (tokens < usual) {
+    if (tokens < meanTokens) {
       return MEDIUM;
     }
-    return tokens < 2 * usual ? LONG : HUGE;
+    return tokens < 2 * meanTokens ? LONG : HUGE;
   }
 }
