--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Limiter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Limiter.java
@@ -17,19 +17,20 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * The limits of workspaces, held by this node's share of each.
+ * Enforces this node's shares of the limits of workspaces.
  *
- * <p>Without a valid grant the share is an equal part of the limit. Invariant: only workspaces with
- * a limit that were active lately are kept. Not safe for use by several threads.
+ * <p>Without a valid grant the share is an equal part of the limit over the live nodes. Invariant:
+ * state is kept only of recently active workspaces with a limit. Not safe for use by several
+ * threads.
  *
  * @since 0.1
  */
 public final class Limiter {
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final long CONCURRENCY_RETRY_NANOS = 1_000_000_000L;
-  private static final int IDLE_PERIODS = 10;
-  private static final double DEMAND_STEP = 0.3;
-  private static final double CHANGE_WORTH_TELLING = 0.1;
+  private static final long CONCURRENCY_RETRY_AFTER_NANOS = 1_000_000_000L;
+  private static final int MAX_IDLE_PERIODS = 10;
+  private static final double DEMAND_SMOOTHING = 0.3;
+  private static final double MIN_REPORTED_CHANGE = 0.1;
 
   private static final class Share {
     final WorkspaceName workspace;
@@ -40,12 +41,12 @@
     long grantedUntil;
     int running;
     int refusedForConcurrency;
-    int arrived;
+    int arrivedRequests;
     long arrivedTokens;
     double requestRate;
     double tokenRate;
-    double toldRate;
-    int toldConcurrency;
+    double reportedRequestRate;
+    int reportedConcurrency;
     int idlePeriods;
 
     Share(WorkspaceName workspace, Limits limits) {
@@ -55,7 +56,7 @@
   }
 
   private final Context context;
-  private final Fleet fleet;
+  private final UpstreamTable upstreams;
   private final Timer timer;
   private final Map<WorkspaceName, Share> shares = new HashMap<>();
   private Configuration current = Configuration.EMPTY;
@@ -63,17 +64,17 @@
   /**
    * Creates a limiter without limits.
    *
-   * @param context what the parts of the router share
-   * @param fleet tells the number of nodes
+   * @param context the shared state of the router
+   * @param upstreams the source of the number of live nodes
    */
-  public Limiter(Context context, Fleet fleet) {
+  public Limiter(Context context, UpstreamTable upstreams) {
     this.context = context;
-    this.fleet = fleet;
-    this.timer = new Timer(this::tell);
+    this.upstreams = upstreams;
+    this.timer = new Timer(this::reportDemand);
   }
 
   /**
-   * Takes a configuration.
+   * Applies a configuration.
    *
    * @param next the configuration
    */
@@ -85,11 +86,11 @@
   }
 
   /**
-   * Takes this node's share of the limits of a workspace.
+   * Applies a grant of this node's share of the limits of a workspace.
    *
    * @param workspace the workspace
    * @param granted the share
-   * @param until its end
+   * @param until the end of the grant
    */
   public void granted(WorkspaceName workspace, LimitShare granted, long until) {
     Share share = shares.get(workspace);
@@ -100,21 +101,21 @@
   }
 
   /**
-   * Counts a request and takes it from the limits of its workspace if they allow it.
+   * Counts a request and charges it to the limits of its workspace if they allow it.
    *
    * @param call the request
-   * @return 0 if it is accepted, otherwise nanoseconds after which it may be
+   * @return 0 if the request is accepted, otherwise the nanoseconds after which it may be
    */
   public long acquire(Call call) {
     Share share = shareOf(call.workspace());
     if (share == null) {
       return 0;
     }
-    share.arrived++;
+    share.arrivedRequests++;
     share.arrivedTokens += call.promptTokens();
-    long wait = waitFor(share, call.promptTokens());
-    if (wait > 0) {
-      return wait;
+    long waitNanos = waitNanosFor(share, call.promptTokens());
+    if (waitNanos > 0) {
+      return waitNanos;
     }
     share.requests.take(1);
     share.tokens.take(call.promptTokens());
@@ -123,7 +124,7 @@
   }
 
   /**
-   * Counts the end of a request that was accepted.
+   * Records the end of an accepted request.
    *
    * @param call the request
    */
@@ -135,9 +136,9 @@
   }
 
   /**
-   * The number of workspaces kept.
+   * Returns the number of workspaces whose state is kept.
    *
-   * @return a count
+   * @return the number
    */
   public int size() {
     return shares.size();
@@ -165,78 +166,78 @@
     return workspace == null ? Limits.NONE : workspace.limits();
   }
 
-  private long waitFor(Share share, int promptTokens) {
+  private long waitNanosFor(Share share, int promptTokens) {
     long now = context.now();
-    LimitShare part = partOf(share);
+    LimitShare currentShare = currentShare(share);
     Limits limits = share.limits;
-    if (limits.concurrency() > 0 && share.running >= part.concurrency()) {
+    if (limits.concurrency() > 0 && share.running >= currentShare.concurrency()) {
       share.refusedForConcurrency++;
-      return CONCURRENCY_RETRY_NANOS;
+      return CONCURRENCY_RETRY_AFTER_NANOS;
     }
-    long wait = 0;
+    long waitNanos = 0;
     if (limits.requestsPerSecond() > 0) {
-      share.requests.setRate(now, part.requestsPerSecond());
-      wait = share.requests.waitFor(now, 1);
+      share.requests.setRate(now, currentShare.requestsPerSecond());
+      waitNanos = share.requests.waitFor(now, 1);
     }
     if (limits.promptTokensPerSecond() > 0) {
-      share.tokens.setRate(now, part.promptTokensPerSecond());
-      wait = Math.max(wait, share.tokens.waitFor(now, promptTokens));
+      share.tokens.setRate(now, currentShare.promptTokensPerSecond());
+      waitNanos = Math.max(waitNanos, share.tokens.waitFor(now, promptTokens));
     }
-    return wait;
+    return waitNanos;
   }
 
-  private LimitShare partOf(Share share) {
+  private LimitShare currentShare(Share share) {
     if (share.granted != null && context.now() < share.grantedUntil) {
       return share.granted;
     }
     Limits limits = share.limits;
-    double nodes = fleet.nodes();
+    double nodes = upstreams.nodeCount();
     return new LimitShare(
         limits.requestsPerSecond() / nodes,
         limits.promptTokensPerSecond() / nodes,
         (int) Math.max(1, limits.concurrency() / nodes));
   }
 
-  private void tell() {
+  private void reportDemand() {
     double seconds = context.settings().wantNanos() / NANOS_PER_SECOND;
     for (Share share : shares.values()) {
-      measure(share, seconds);
-      if (isWorthTelling(share)) {
-        share.toldRate = share.requestRate;
-        share.toldConcurrency = wantedConcurrency(share);
+      updateDemand(share, seconds);
+      if (needsReport(share)) {
+        share.reportedRequestRate = share.requestRate;
+        share.reportedConcurrency = neededConcurrency(share);
         context.emit(
             new Effect.WantLimit(
-                share.workspace, share.requestRate, share.tokenRate, share.toldConcurrency));
+                share.workspace, share.requestRate, share.tokenRate, share.reportedConcurrency));
       }
       share.refusedForConcurrency = 0;
     }
-    shares.values().removeIf(s -> s.idlePeriods > IDLE_PERIODS || s.limits.equals(Limits.NONE));
+    shares.values().removeIf(s -> s.idlePeriods > MAX_IDLE_PERIODS || s.limits.equals(Limits.NONE));
     if (!shares.isEmpty()) {
       context.timers().set(timer, context.now() + context.settings().wantNanos());
     }
   }
 
-  private static void measure(Share share, double seconds) {
-    share.requestRate += DEMAND_STEP * (share.arrived / seconds - share.requestRate);
-    share.tokenRate += DEMAND_STEP * (share.arrivedTokens / seconds - share.tokenRate);
-    boolean idle = share.arrived == 0 && share.running == 0;
+  private static void updateDemand(Share share, double seconds) {
+    share.requestRate += DEMAND_SMOOTHING * (share.arrivedRequests / seconds - share.requestRate);
+    share.tokenRate += DEMAND_SMOOTHING * (share.arrivedTokens / seconds - share.tokenRate);
+    boolean idle = share.arrivedRequests == 0 && share.running == 0;
     share.idlePeriods = idle ? share.idlePeriods + 1 : 0;
-    share.arrived = 0;
+    share.arrivedRequests = 0;
     share.arrivedTokens = 0;
   }
 
-  private boolean isWorthTelling(Share share) {
-    if (share.idlePeriods > IDLE_PERIODS) {
+  private boolean needsReport(Share share) {
+    if (share.idlePeriods > MAX_IDLE_PERIODS) {
       return false;
     }
     boolean expires = share.grantedUntil - context.now() < 2 * context.settings().wantNanos();
-    double change = Math.abs(share.requestRate - share.toldRate);
+    double change = Math.abs(share.requestRate - share.reportedRequestRate);
     return expires
-        || change > CHANGE_WORTH_TELLING * share.toldRate
-        || wantedConcurrency(share) != share.toldConcurrency;
+        || change > MIN_REPORTED_CHANGE * share.reportedRequestRate
+        || neededConcurrency(share) != share.reportedConcurrency;
   }
 
-  private static int wantedConcurrency(Share share) {
+  private static int neededConcurrency(Share share) {
     return share.running + share.refusedForConcurrency;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/LinearFit.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/LinearFit.java
@@ -7,17 +7,17 @@
 package org.larkkeel.router.internal;
 
 /**
- * A line {@code y = a + b x} through samples, where older ones count less and less.
+ * A least-squares fit of a line {@code y = a + b x} to samples with exponentially decaying weights.
  *
- * <p>Invariant: neither the offset nor the slope given out is negative. Not safe for use by several
- * threads.
+ * <p>Invariant: predictions use neither a negative offset nor a negative slope. Not safe for use by
+ * several threads.
  *
  * @since 0.1
  */
 public final class LinearFit {
   private static final double MIN_RELATIVE_SPREAD = 0.01;
 
-  private final double keep;
+  private final double decay;
   private double weight;
   private double sumX;
   private double sumY;
@@ -28,40 +28,41 @@
   /**
    * Creates a fit without samples.
    *
-   * @param keep what remains of the weight of older samples at each new one, above 0 and below 1
+   * @param decay the factor by which each new sample reduces the weights of the older ones, above 0
+   *     and below 1
    */
-  public LinearFit(double keep) {
-    this.keep = keep;
+  public LinearFit(double decay) {
+    this.decay = decay;
   }
 
   /**
-   * Takes a sample.
+   * Adds a sample.
    *
-   * @param x the cause
-   * @param y the effect
+   * @param x the independent value, not negative
+   * @param y the dependent value
    */
   public void add(double x, double y) {
-    weight = weight * keep + 1;
-    sumX = sumX * keep + x;
-    sumY = sumY * keep + y;
-    sumXx = sumXx * keep + x * x;
-    sumXy = sumXy * keep + x * y;
+    weight = weight * decay + 1;
+    sumX = sumX * decay + x;
+    sumY = sumY * decay + y;
+    sumXx = sumXx * decay + x * x;
+    sumXy = sumXy * decay + x * y;
     samples++;
   }
 
   /**
-   * The number of samples so far.
+   * Returns the number of samples so far.
    *
-   * @return a count
+   * @return the number
    */
   public long samples() {
     return samples;
   }
 
   /**
-   * Predicts the effect.
+   * Predicts the dependent value.
    *
-   * @param x the cause
+   * @param x the independent value
    * @return the value on the line; 0 without samples
    */
   public double predict(double x) {
@@ -81,7 +82,7 @@
   }
 
   /**
-   * The mean of the effects.
+   * Returns the weighted mean of the dependent values.
    *
    * @return the mean; 0 without samples
    */
@@ -90,7 +91,7 @@
   }
 
   /**
-   * The ratio of all effects to all causes.
+   * Returns the ratio of the weighted sums of the dependent and the independent values.
    *
    * @return the ratio; 0 without samples
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/LinkLedger.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/LinkLedger.java
@@ -7,9 +7,9 @@
 package org.larkkeel.router.internal;
 
 /**
- * The time of one upstream's link: transfers under way and those promised.
+ * The use of the link of one upstream by transfers in progress and reserved ones.
  *
- * <p>Invariant: promised bytes are not negative. Not safe for use by several threads.
+ * <p>Invariant: the number of reserved bytes is not negative. Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -19,75 +19,75 @@
   private double bytesPerNano = 1;
   private long busyUntil;
   private long reservedBytes;
-  private int moving;
+  private int transfers;
 
   /**
    * Sets the rate of the link.
    *
-   * @param bytesPerSecond bytes a second, above 0
+   * @param bytesPerSecond bytes per second, above 0
    */
   public void setRate(long bytesPerSecond) {
     bytesPerNano = bytesPerSecond / NANOS_PER_SECOND;
   }
 
   /**
-   * Promises time for a transfer to come.
+   * Reserves time for a later transfer.
    *
-   * @param bytes its size
+   * @param bytes the size of the transfer
    */
   public void reserve(long bytes) {
     reservedBytes += bytes;
   }
 
   /**
-   * Takes a promise back.
+   * Removes a reservation.
    *
-   * @param bytes its size
+   * @param bytes the size given at the reservation
    */
   public void unreserve(long bytes) {
     reservedBytes -= bytes;
   }
 
   /**
-   * A transfer starts.
+   * Records the start of a transfer.
    *
    * @param now the time
-   * @param bytes its size
+   * @param bytes the size of the transfer
    */
   public void started(long now, long bytes) {
-    moving++;
-    busyUntil = Math.max(now, busyUntil) + nanos(bytes);
+    transfers++;
+    busyUntil = Math.max(now, busyUntil) + transferNanos(bytes);
   }
 
   /**
-   * A transfer ended.
+   * Records the end of a transfer.
    *
    * @param now the time
    */
   public void ended(long now) {
-    moving--;
-    if (moving == 0) {
+    transfers--;
+    if (transfers == 0) {
       busyUntil = Math.min(busyUntil, now);
     }
   }
 
   /**
-   * Predicts when the link has nothing else to carry.
+   * Predicts the time at which the link is free of current and reserved transfers.
    *
    * @param now the time
    * @return nanoseconds, not before now
    */
   public long freeAt(long now) {
-    return Math.max(now, busyUntil) + nanos(reservedBytes);
+    return Math.max(now, busyUntil) + transferNanos(reservedBytes);
   }
 
   /**
-   * The time that bytes take on an idle link.
+   * Returns the duration of a transfer on an idle link.
    *
-   * @param bytes their number
+   * @param bytes the size of the transfer
    * @return nanoseconds
    */
-  public long nanos(long bytes) {
+  public long transferNanos(long bytes) {
     return (long) (bytes / bytesPerNano);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Membership.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Membership.java
@@ -7,7 +7,7 @@
 package org.larkkeel.router.internal;
 
 /**
- * The place of one upstream in one candidate set.
+ * The membership of one upstream in one candidate set, with its part of the totals of the set.
  *
  * <p>Not safe for use by several threads.
  *
@@ -18,9 +18,9 @@
 
   final CandidateSet set;
   final UpstreamState upstream;
-  int index = ABSENT;
-  int spare;
-  int others;
+  int availableIndex = ABSENT;
+  int unreserved;
+  int heldByOthers;
   int usable;
   double releaseRate;
 
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/OutputLengths.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/OutputLengths.java
@@ -9,104 +9,111 @@
 import java.util.Arrays;
 
 /**
- * How long the answers of one route are: a histogram by size, where older answers count less.
+ * The distribution of the lengths of answers of one route: a logarithmic histogram in which older
+ * answers have less weight.
  *
- * <p>Invariant: the survival function falls from 1 to 0. Not safe for use by several threads.
+ * <p>Invariant: the survival function does not increase and goes from 1 to 0. Not safe for use by
+ * several threads.
  *
  * @since 0.1
  */
 public final class OutputLengths {
-  private static final int PARTS_OF_OCTAVE = 8;
+  private static final int BUCKETS_PER_OCTAVE = 8;
   private static final int OCTAVES = 18;
-  private static final int BUCKETS = PARTS_OF_OCTAVE * OCTAVES;
-  private static final int ENOUGH = 30;
-  private static final int REFRESH_EVERY = 32;
+  private static final int BUCKETS = BUCKETS_PER_OCTAVE * OCTAVES;
+  private static final int MIN_SAMPLES = 30;
+  private static final int UPDATE_INTERVAL = 32;
   private static final double MAX_WEIGHT = 4_000;
   private static final int ONE_BITS = Float.floatToRawIntBits(1);
   private static final int MANTISSA_SPAN = 1 << 23;
 
-  private final double guess;
+  private final double defaultTokens;
   private final double[] counts = new double[BUCKETS + 1];
   private final double[] survival = new double[BUCKETS + 2];
   private double weight;
   private double sum;
-  private int sinceRefresh;
+  private int samplesSinceUpdate;
 
   /**
-   * Starts from a guess.
+   * Creates a distribution without answers.
    *
-   * @param guess tokens
+   * @param defaultTokens the expected length before enough answers were observed, in tokens
    */
-  public OutputLengths(double guess) {
-    this.guess = guess;
+  public OutputLengths(double defaultTokens) {
+    this.defaultTokens = defaultTokens;
   }
 
   /**
-   * Takes a complete answer.
+   * Adds a complete answer.
    *
-   * @param tokens its length
+   * @param tokens the length of the answer
    */
   public void add(int tokens) {
-    counts[(int) place(tokens)]++;
+    counts[(int) bucketPosition(tokens)]++;
     weight++;
     sum += tokens;
-    sinceRefresh++;
+    samplesSinceUpdate++;
     if (weight > MAX_WEIGHT) {
-      halve();
+      halveWeights();
     }
-    if (sinceRefresh >= REFRESH_EVERY || weight == ENOUGH) {
-      refresh();
+    if (samplesSinceUpdate >= UPDATE_INTERVAL || weight == MIN_SAMPLES) {
+      updateSurvival();
     }
   }
 
   /**
-   * Predicts the tokens still to come.
+   * Predicts the number of tokens that an answer has yet to get.
    *
-   * @param maxTokens the most that the request may have
-   * @param passed tokens passed on
+   * @param maxTokens the maximum length that the request allows
+   * @param delivered the number of tokens delivered so far
    * @return tokens, at least 1
    */
-  public double remaining(int maxTokens, int passed) {
-    return Math.max(1, Math.min(mean(), maxTokens) - passed);
+  public double remaining(int maxTokens, int delivered) {
+    return Math.max(1, Math.min(mean(), maxTokens) - delivered);
   }
 
   /**
-   * Predicts whether an answer ends soon.
+   * Predicts the probability that an answer ends within a number of further tokens.
    *
-   * @param maxTokens the most that it may have
-   * @param passed tokens that it has now
-   * @param more tokens that it would get in the time looked at
-   * @return the chance that it ends before it has them, from 0 to 1
+   * @param maxTokens the maximum length that the request allows
+   * @param length the current length in tokens
+   * @param furtherTokens the number of further tokens
+   * @return the probability that the answer ends before it has these tokens, from 0 to 1
    */
-  public double chanceToEnd(int maxTokens, double passed, double more) {
-    if (passed + more >= maxTokens) {
+  public double endProbability(int maxTokens, double length, double furtherTokens) {
+    if (length + furtherTokens >= maxTokens) {
       return 1;
     }
-    if (weight < ENOUGH) {
-      return Math.min(1, more / mean());
+    if (weight < MIN_SAMPLES) {
+      return Math.min(1, furtherTokens / mean());
     }
-    double now = survival(passed);
-    return now <= 0 ? 1 : 1 - survival(passed + more) / now;
+    double currentSurvival = survival(length);
+    return currentSurvival <= 0 ? 1 : 1 - survival(length + furtherTokens) / currentSurvival;
   }
 
   private double mean() {
-    return weight < ENOUGH ? (guess * (ENOUGH - weight) + sum) / ENOUGH : sum / weight;
+    return weight < MIN_SAMPLES
+        ? (defaultTokens * (MIN_SAMPLES - weight) + sum) / MIN_SAMPLES
+        : sum / weight;
   }
 
   private double survival(double tokens) {
-    double place = place(tokens);
-    int bucket = (int) place;
-    double part = place - bucket;
-    return survival[bucket] + part * (survival[bucket + 1] - survival[bucket]);
+    double position = bucketPosition(tokens);
+    int bucket = (int) position;
+    double fraction = position - bucket;
+    return survival[bucket] + fraction * (survival[bucket + 1] - survival[bucket]);
   }
 
-  /** The logarithm to the base 2, linear between powers, in parts of an octave. */
-  private static double place(double tokens) {
+  /**
+   * Returns the position of a length on the bucket scale: its logarithm to the base 2, interpolated
+   * linearly between powers of 2, times the buckets per octave.
+   */
+  private static double bucketPosition(double tokens) {
     int bits = Float.floatToRawIntBits((float) Math.max(1, tokens)) - ONE_BITS;
-    return Math.min(BUCKETS, (double) bits / MANTISSA_SPAN * PARTS_OF_OCTAVE);
+    return Math.min(BUCKETS, (double) bits / MANTISSA_SPAN * BUCKETS_PER_OCTAVE);
   }
 
-  private void halve() {
+  private void halveWeights() {
     for (int i = 0; i < counts.length; i++) {
       counts[i] /= 2;
     }
@@ -114,13 +121,13 @@
     sum /= 2;
   }
 
-  private void refresh() {
-    sinceRefresh = 0;
+  private void updateSurvival() {
+    samplesSinceUpdate = 0;
     Arrays.fill(survival, 0);
-    double above = 0;
+    double weightAbove = 0;
     for (int i = BUCKETS; i >= 0; i--) {
-      above += counts[i];
-      survival[i] = above / weight;
+      weightAbove += counts[i];
+      survival[i] = weightAbove / weight;
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Placement.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Placement.java
@@ -13,91 +13,94 @@
 import org.larkkeel.router.ReservationPolicy;
 
 /**
- * Chooses upstreams for a request among those with room.
+ * Chooses upstreams for a request among those with free capacity.
  *
- * <p>Looks at a bounded number of upstreams, but for the baseline that compares them all. Not safe
- * for use by several threads.
+ * <p>Compares a bounded number of upstreams, except in the baseline policies, which compare all.
+ * Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Placement {
-  private static final long AVOID_PENALTY_NANOS = 3_600_000_000_000L;
+  /** Ranks the upstream of the last failed attempt behind all others. */
+  private static final long FAILED_UPSTREAM_PENALTY_NANOS = 3_600_000_000_000L;
+
   private static final long SLOW_PENALTY_NANOS = 10_000_000_000L;
-  private static final int BEST_PREFILLS = 2;
-  private static final int AFFINITY_SAMPLE = 4;
+  private static final int MAX_COMPARED_PREFILLS = 2;
+  private static final int PREFIX_SAMPLE = 4;
 
   private final Context context;
-  private final Fleet fleet;
+  private final UpstreamTable upstreams;
   private final Predictor predictor;
-  private final Caution caution;
-  private final List<UpstreamState> prefills = new ArrayList<>();
-  private final List<UpstreamState> decodes = new ArrayList<>();
-  private long[] readyAt = new long[16];
+  private final ReleaseMargin releaseMargin;
+  private final List<UpstreamState> firstCandidates = new ArrayList<>();
+  private final List<UpstreamState> decodeCandidates = new ArrayList<>();
+  private long[] prefillEnds = new long[16];
 
   /**
-   * Creates a placement.
+   * Creates the placement of a router.
    *
-   * @param context what the parts of the router share
-   * @param fleet the upstreams
-   * @param predictor predicts the steps
+   * @param context the shared state of the router
+   * @param upstreams the upstreams
+   * @param predictor predicts the durations of the steps
    */
-  public Placement(Context context, Fleet fleet, Predictor predictor) {
+  public Placement(Context context, UpstreamTable upstreams, Predictor predictor) {
     this.context = context;
-    this.fleet = fleet;
+    this.upstreams = upstreams;
     this.predictor = predictor;
-    this.caution =
+    this.releaseMargin =
         switch (context.settings().reservation()) {
-          case ReservationPolicy.PredictedRelease release -> new Caution(release.caution());
-          case ReservationPolicy.None none -> new Caution(0);
-          case ReservationPolicy.Strict strict -> new Caution(0);
+          case ReservationPolicy.PredictedRelease release ->
+              new ReleaseMargin(release.initialDeviations());
+          case ReservationPolicy.None none -> new ReleaseMargin(0);
+          case ReservationPolicy.Strict strict -> new ReleaseMargin(0);
         };
   }
 
   /**
-   * What is learnt from KV caches that were lost or used.
+   * Returns the safety margin of release predictions, which adapts to lost and used KV caches.
    *
-   * @return the caution
+   * @return the margin
    */
-  public Caution caution() {
-    return caution;
+  public ReleaseMargin releaseMargin() {
+    return releaseMargin;
   }
 
   /**
-   * Chooses where a request goes.
+   * Chooses the upstreams for a request.
    *
    * @param request the request
-   * @return the choice; null if it has to wait
+   * @return the choice; null if the request must wait
    */
   public Choice choose(RequestState request) {
     return request.isPlain() ? chooseService(request) : choosePair(request);
   }
 
   /**
-   * Chooses a decode engine for a KV cache that is held.
+   * Chooses a decode engine for a held KV cache.
    *
    * @param request the request
-   * @return the engine; null if it has to wait
+   * @return the engine; null if the request must wait
    */
   public UpstreamState chooseDecode(RequestState request) {
-    UpstreamState promised = request.promised;
-    if (promised != null && canStart(promised) && promised != request.avoid) {
-      return promised;
+    UpstreamState reserved = request.reservedDecode;
+    if (reserved != null && canStart(reserved) && reserved != request.failedUpstream) {
+      return reserved;
     }
     CandidateSet set = request.route.decode();
     if (!(context.settings().placement() instanceof PlacementPolicy.PredictedFinish policy)) {
       UpstreamState picked = pickBaseline(set);
       return picked != null && canStart(picked) ? picked : null;
     }
-    decodes.clear();
-    set.sample(2 * policy.sample(), context.random(), decodes);
+    decodeCandidates.clear();
+    set.sample(2 * policy.sample(), context.random(), decodeCandidates);
     UpstreamState best = null;
     double bestCost = Double.MAX_VALUE;
-    for (UpstreamState decode : decodes) {
+    for (UpstreamState decode : decodeCandidates) {
       if (!canStart(decode)) {
         continue;
       }
-      double rest = restCost(request, decode);
-      double cost = pairCost(request, request.prefill.upstream, decode, context.now(), rest);
+      double decodeCost = decodeCost(request, decode);
+      double cost = pairCost(request, request.prefill.upstream, decode, context.now(), decodeCost);
       if (cost < bestCost) {
         best = decode;
         bestCost = cost;
@@ -108,9 +111,9 @@
 
   private boolean canStart(UpstreamState decode) {
     if (context.settings().queue() instanceof QueuePolicy.Immediate) {
-      return decode.takesRequests();
+      return decode.acceptsRequests();
     }
-    return decode.takesRequests() && fleet.free(decode) > 0;
+    return decode.acceptsRequests() && upstreams.freeSlots(decode) > 0;
   }
 
   private Choice chooseService(RequestState request) {
@@ -119,18 +122,18 @@
       UpstreamState picked = pickBaseline(set);
       return picked == null ? null : new Choice(picked, null, 0, 0);
     }
-    prefills.clear();
-    set.sample(policy.sample(), context.random(), prefills);
+    firstCandidates.clear();
+    set.sample(policy.sample(), context.random(), firstCandidates);
     UpstreamState best = null;
     long bestEnd = Long.MAX_VALUE;
-    for (UpstreamState service : prefills) {
-      long end = predictor.serviceEnd(service) + avoidance(request, service);
+    for (UpstreamState service : firstCandidates) {
+      long end = predictor.serviceEnd(service) + failurePenalty(request, service);
       if (end < bestEnd) {
         best = service;
         bestEnd = end;
       }
     }
-    return best == null ? null : of(best, bestEnd - context.now());
+    return best == null ? null : choiceOfService(best, bestEnd - context.now());
   }
 
   private Choice choosePair(RequestState request) {
@@ -138,33 +141,36 @@
       UpstreamState picked = pickBaseline(request.route.prefill());
       return picked == null ? null : new Choice(picked, null, 0, 0);
     }
-    gatherPrefills(request, policy.sample());
+    collectPrefills(request, policy.sample());
     boolean reserves = !(context.settings().reservation() instanceof ReservationPolicy.None);
-    decodes.clear();
+    decodeCandidates.clear();
     if (reserves) {
-      request.route.decode().sample(policy.sample(), context.random(), decodes);
+      request.route.decode().sample(policy.sample(), context.random(), decodeCandidates);
     }
-    if (prefills.isEmpty() || (reserves && decodes.isEmpty())) {
+    if (firstCandidates.isEmpty() || (reserves && decodeCandidates.isEmpty())) {
       return null;
     }
-    keepBest(request);
-    return reserves ? bestPair(request) : choiceOf(request, prefills.getFirst(), null, readyAt[0]);
+    keepBestPrefills(request);
+    return reserves
+        ? bestPair(request)
+        : choiceOf(request, firstCandidates.getFirst(), null, prefillEnds[0]);
   }
 
-  private void gatherPrefills(RequestState request, int sample) {
+  private void collectPrefills(RequestState request, int sampleSize) {
     CandidateSet set = request.route.prefill();
-    prefills.clear();
-    set.sample(sample, context.random(), prefills);
-    if (prefills.isEmpty() && isSmall(request)) {
-      sampleBusy(set, sample);
+    firstCandidates.clear();
+    set.sample(sampleSize, context.random(), firstCandidates);
+    if (firstCandidates.isEmpty() && isSmall(request)) {
+      sampleFull(set, sampleSize);
       return;
     }
-    List<UpstreamState> holders = fleet.prefixes().longest(request.prefixes().keys());
-    int count = Math.min(AFFINITY_SAMPLE, holders.size());
+    List<UpstreamState> withPrefix =
+        upstreams.prefixes().withLongestPrefix(request.prefixes().keys());
+    int count = Math.min(PREFIX_SAMPLE, withPrefix.size());
     for (int i = 0; i < count; i++) {
-      UpstreamState holder = holders.get(i);
-      if (set.hasRoom(holder) && !prefills.contains(holder)) {
-        prefills.add(holder);
+      UpstreamState candidate = withPrefix.get(i);
+      if (set.hasCapacity(candidate) && !firstCandidates.contains(candidate)) {
+        firstCandidates.add(candidate);
       }
     }
   }
@@ -173,31 +179,31 @@
     return request.contextTokens() <= context.settings().smallPromptTokens();
   }
 
-  private void sampleBusy(CandidateSet set, int sample) {
+  private void sampleFull(CandidateSet set, int sampleSize) {
     List<UpstreamState> all = set.all();
     if (all.isEmpty()) {
       return;
     }
     int start = context.random().nextInt(all.size());
-    int count = Math.min(sample, all.size());
+    int count = Math.min(sampleSize, all.size());
     for (int i = 0; i < count; i++) {
       UpstreamState state = all.get((start + i) % all.size());
-      if (state.takesRequests() && state.prefills.running() < state.slots.limit()) {
-        prefills.add(state);
+      if (state.acceptsRequests() && state.prefills.running() < state.slots.limit()) {
+        firstCandidates.add(state);
       }
     }
   }
 
-  /** Keeps the few prefill engines that would be ready first, and when they would. */
-  private void keepBest(RequestState request) {
-    int size = prefills.size();
-    if (readyAt.length < size) {
-      readyAt = new long[size];
+  /** Keeps the few prefill engines that would finish first, with the predicted end times. */
+  private void keepBestPrefills(RequestState request) {
+    int size = firstCandidates.size();
+    if (prefillEnds.length < size) {
+      prefillEnds = new long[size];
     }
     for (int i = 0; i < size; i++) {
-      readyAt[i] = predictor.prefillEnd(request, prefills.get(i));
+      prefillEnds[i] = predictor.prefillEnd(request, firstCandidates.get(i));
     }
-    int keep = Math.min(BEST_PREFILLS, size);
+    int keep = Math.min(MAX_COMPARED_PREFILLS, size);
     for (int i = 0; i < keep; i++) {
       int best = i;
       for (int j = i + 1; j < size; j++) {
@@ -207,36 +213,36 @@
       }
       swapPrefills(i, best);
     }
-    while (prefills.size() > keep) {
-      prefills.removeLast();
+    while (firstCandidates.size() > keep) {
+      firstCandidates.removeLast();
     }
   }
 
   private void swapPrefills(int one, int other) {
-    final UpstreamState moved = prefills.get(one);
-    final long movedReady = readyAt[one];
-    prefills.set(one, prefills.get(other));
-    readyAt[one] = readyAt[other];
-    prefills.set(other, moved);
-    readyAt[other] = movedReady;
+    final UpstreamState firstPrefill = firstCandidates.get(one);
+    final long firstEnd = prefillEnds[one];
+    firstCandidates.set(one, firstCandidates.get(other));
+    prefillEnds[one] = prefillEnds[other];
+    firstCandidates.set(other, firstPrefill);
+    prefillEnds[other] = firstEnd;
   }
 
   private long prefillCost(RequestState request, int index) {
-    return readyAt[index] + avoidance(request, prefills.get(index));
+    return prefillEnds[index] + failurePenalty(request, firstCandidates.get(index));
   }
 
   private Choice bestPair(RequestState request) {
     int best = -1;
     UpstreamState bestDecode = null;
     double bestCost = Double.MAX_VALUE;
-    for (int d = 0; d < decodes.size(); d++) {
-      UpstreamState decode = decodes.get(d);
-      double rest = restCost(request, decode);
-      for (int p = 0; p < prefills.size(); p++) {
-        UpstreamState prefill = prefills.get(p);
-        double cost = pairCost(request, prefill, decode, readyAt[p], rest);
+    for (int d = 0; d < decodeCandidates.size(); d++) {
+      UpstreamState decode = decodeCandidates.get(d);
+      double decodeCost = decodeCost(request, decode);
+      for (int p = 0; p < firstCandidates.size(); p++) {
+        UpstreamState prefill = firstCandidates.get(p);
+        double cost = pairCost(request, prefill, decode, prefillEnds[p], decodeCost);
         if (cost >= bestCost
-            || !isPromisable(request.route.decode(), decode, readyAt[p] - context.now())) {
+            || !isReservable(request.route.decode(), decode, prefillEnds[p] - context.now())) {
           continue;
         }
         bestCost = cost;
@@ -244,96 +250,115 @@
         bestDecode = decode;
       }
     }
-    return best < 0 ? null : choiceOf(request, prefills.get(best), bestDecode, readyAt[best]);
+    return best < 0
+        ? null
+        : choiceOf(request, firstCandidates.get(best), bestDecode, prefillEnds[best]);
   }
 
-  /** The cost of a decode engine, whatever the prefill engine. */
-  private double restCost(RequestState request, UpstreamState decode) {
+  /** Returns the cost of a decode engine that does not depend on the prefill engine. */
+  private double decodeCost(RequestState request, UpstreamState decode) {
     return predictor.decodeNanos(decode) * predictor.remainingTokens(request)
-        + avoidance(request, decode);
+        + failurePenalty(request, decode);
   }
 
   private double pairCost(
-      RequestState request, UpstreamState prefill, UpstreamState decode, long ready, double rest) {
+      RequestState request,
+      UpstreamState prefill,
+      UpstreamState decode,
+      long prefillEnd,
+      double decodeCost) {
     long bytes = request.kvBytes > 0 ? request.kvBytes : predictor.kvBytes(request);
-    long there = predictor.transferEnd(bytes, prefill, decode, ready);
-    double slow = isTooSlow(request, there, rest) ? SLOW_PENALTY_NANOS : 0;
-    return there + rest + slow + avoidance(request, prefill);
+    long transferEnd = predictor.transferEnd(bytes, prefill, decode, prefillEnd);
+    double slowPenalty = isTooSlow(request, transferEnd, decodeCost) ? SLOW_PENALTY_NANOS : 0;
+    return transferEnd + decodeCost + slowPenalty + failurePenalty(request, prefill);
   }
 
   private Choice choiceOf(
-      RequestState request, UpstreamState prefill, UpstreamState decode, long ready) {
+      RequestState request, UpstreamState prefill, UpstreamState decode, long prefillEnd) {
     long now = context.now();
-    UpstreamState to = decode == null ? anyDecode(request, prefill) : decode;
-    long there = predictor.transferEnd(predictor.kvBytes(request), prefill, to, ready);
-    double perToken = predictor.decodeNanos(to);
-    long first = there - now + (long) perToken;
+    UpstreamState target = decode == null ? anyDecodeOr(request, prefill) : decode;
+    long transferEnd =
+        predictor.transferEnd(predictor.kvBytes(request), prefill, target, prefillEnd);
+    double nanosPerToken = predictor.decodeNanos(target);
+    long firstNanos = transferEnd - now + (long) nanosPerToken;
     return new Choice(
-        prefill, decode, first, first + (long) (perToken * predictor.remainingTokens(request)));
+        prefill,
+        decode,
+        firstNanos,
+        firstNanos + (long) (nanosPerToken * predictor.remainingTokens(request)));
   }
 
-  private static UpstreamState anyDecode(RequestState request, UpstreamState otherwise) {
+  private static UpstreamState anyDecodeOr(RequestState request, UpstreamState fallback) {
     List<UpstreamState> all = request.route.decode().all();
-    return all.isEmpty() ? otherwise : all.getFirst();
+    return all.isEmpty() ? fallback : all.getFirst();
   }
 
-  private static Choice of(UpstreamState service, long nanos) {
+  private static Choice choiceOfService(UpstreamState service, long nanos) {
     return new Choice(service, null, nanos, nanos);
   }
 
-  /** Whether the mean time between tokens would miss its target, an interruption included. */
-  private boolean isTooSlow(RequestState request, long there, double rest) {
+  /**
+   * Returns whether the mean time between tokens, including any interruption so far, would miss its
+   * target.
+   */
+  private boolean isTooSlow(RequestState request, long transferEnd, double decodeCost) {
     long target = request.route.rule().targets().betweenTokens().toNanos();
-    double left = predictor.remainingTokens(request);
+    double remaining = predictor.remainingTokens(request);
     if (request.firstTokenAt == 0) {
-      return rest > target * left && rest < AVOID_PENALTY_NANOS;
+      return decodeCost > target * remaining && decodeCost < FAILED_UPSTREAM_PENALTY_NANOS;
     }
-    return there + rest - request.firstTokenAt > target * (request.tokens + left);
+    return transferEnd + decodeCost - request.firstTokenAt
+        > target * (request.deliveredTokens + remaining);
   }
 
-  private boolean isPromisable(CandidateSet set, UpstreamState decode, long horizon) {
-    int unpromised = fleet.unpromised(decode);
+  private boolean isReservable(CandidateSet set, UpstreamState decode, long prefillNanos) {
+    int unreserved = upstreams.unreservedSlots(decode);
     return switch (context.settings().reservation()) {
       case ReservationPolicy.None none -> true;
-      case ReservationPolicy.Strict strict -> unpromised > 0;
+      case ReservationPolicy.Strict strict -> unreserved > 0;
       case ReservationPolicy.PredictedRelease release when context.settings().sharedSlots() ->
-          unpromised > 0;
+          unreserved > 0;
       case ReservationPolicy.PredictedRelease release ->
-          isUnseen(set)
-              ? releases(set, horizon, release) + set.spare() >= 1 + caution.margin()
-              : unpromised > 0 || releases(set, horizon, release) + set.spare() >= 1;
+          isSharedWithOtherNodes(set)
+              ? predictedReleases(set, prefillNanos, release) + set.unreserved()
+                  >= 1 + releaseMargin.slots()
+              : unreserved > 0
+                  || predictedReleases(set, prefillNanos, release) + set.unreserved() >= 1;
     };
   }
 
-  /** Whether other nodes use the same engines. */
-  private boolean isUnseen(CandidateSet set) {
-    return set.others() > 0;
+  /** Returns whether other nodes use the same engines, whose reservations this node can't see. */
+  private boolean isSharedWithOtherNodes(CandidateSet set) {
+    return set.heldByOthers() > 0;
   }
 
-  /** Slots of all decode engines that come free, almost certainly, while the KV cache is held. */
-  private double releases(
-      CandidateSet set, long horizon, ReservationPolicy.PredictedRelease policy) {
-    double window = horizon + policy.holdShare() * context.settings().kvHoldNanos();
-    double expected = set.releaseRate() * window;
-    return expected - caution.deviations() * Math.sqrt(expected);
+  /**
+   * Returns a cautious estimate of the slots of all decode engines that are released while the KV
+   * cache is held: the expected number less a margin of standard deviations.
+   */
+  private double predictedReleases(
+      CandidateSet set, long prefillNanos, ReservationPolicy.PredictedRelease policy) {
+    double windowNanos = prefillNanos + policy.holdShare() * context.settings().kvHoldNanos();
+    double expected = set.releaseRate() * windowNanos;
+    return expected - releaseMargin.deviations() * Math.sqrt(expected);
   }
 
-  private long avoidance(RequestState request, UpstreamState state) {
-    return request.avoid == state ? AVOID_PENALTY_NANOS : 0;
+  private long failurePenalty(RequestState request, UpstreamState state) {
+    return request.failedUpstream == state ? FAILED_UPSTREAM_PENALTY_NANOS : 0;
   }
 
   private UpstreamState pickBaseline(CandidateSet set) {
-    int rooms = set.roomyCount();
-    if (rooms == 0) {
+    int count = set.availableCount();
+    if (count == 0) {
       return null;
     }
-    decodes.clear();
-    set.sample(rooms, context.random(), decodes);
+    decodeCandidates.clear();
+    set.sample(count, context.random(), decodeCandidates);
     if (context.settings().placement() instanceof PlacementPolicy.Random) {
-      return decodes.get(context.random().nextInt(rooms));
+      return decodeCandidates.get(context.random().nextInt(count));
     }
     UpstreamState best = null;
-    for (UpstreamState state : decodes) {
+    for (UpstreamState state : decodeCandidates) {
       if (best == null || state.attempts.size() < best.attempts.size()) {
         best = state;
       }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/PlainFlow.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/PlainFlow.java
@@ -11,7 +11,7 @@
 import org.larkkeel.effect.Fact;
 
 /**
- * Follows plain calls from their placement to the answer.
+ * Handles plain calls from their placement to the answer.
  *
  * <p>Not safe for use by several threads.
  *
@@ -29,20 +29,20 @@
 
   void start(RequestState request, Choice choice) {
     long now = core.context.now();
-    UpstreamState service = choice.first();
+    UpstreamState service = choice.upstream();
     Attempt attempt = core.attempts.create(request, service, AttemptKind.PLAIN, now);
     request.plain = attempt;
     request.stage = RequestStage.RUNNING;
     core.fleet.attach(attempt);
-    core.queueing.arm(request);
+    core.queueing.setTimer(request);
     core.context.report(new Fact.Placed(request.id(), attempt.id, service.name));
     core.context.emit(
         new Effect.SendPlain(
-            attempt.id, request.id(), service.name, timeout(request, service, now)));
+            attempt.id, request.id(), service.name, timeoutNanos(request, service, now)));
   }
 
   /**
-   * A service answered in full.
+   * Handles the complete answer of a service.
    *
    * @param attempt the attempt
    */
@@ -51,8 +51,8 @@
     if (request.plain != attempt) {
       return;
     }
-    attempt.upstream.rates.served(core.context.now() - attempt.startedAt);
-    core.fleet.ejections().succeeded(attempt.upstream);
+    attempt.upstream.speeds.recordService(core.context.now() - attempt.startedAt);
+    core.fleet.ejections().recordSuccess(attempt.upstream);
     request.plain = null;
     request.mayHaveRun = true;
     core.fleet.detach(attempt);
@@ -62,13 +62,16 @@
     core.endings.complete(request, attempt);
   }
 
-  /** A call that may be repeated is given up early enough to be repeated. */
-  private static long timeout(RequestState request, UpstreamState service, long now) {
-    long left = request.deadline - now;
-    if (request.once) {
-      return left;
+  /**
+   * Returns the timeout of an attempt. A call that may be retried gets a timeout that leaves time
+   * for a retry; an at-most-once call may use all the time to its deadline.
+   */
+  private static long timeoutNanos(RequestState request, UpstreamState service, long now) {
+    long remainingNanos = request.deadline - now;
+    if (request.atMostOnce) {
+      return remainingNanos;
     }
-    long usual = (long) (TIMEOUT_FACTOR * service.rates.serviceNanos());
-    return Math.min(left, Math.max(MIN_TIMEOUT_NANOS, usual));
+    long expectedNanos = (long) (TIMEOUT_FACTOR * service.speeds.serviceNanos());
+    return Math.min(remainingNanos, Math.max(MIN_TIMEOUT_NANOS, expectedNanos));
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/PoolIndex.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/PoolIndex.java
@@ -19,10 +19,10 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Which upstreams each pool has, kept in step with the configuration by what changed in it.
+ * An index of the members of each pool, updated incrementally with each configuration.
  *
- * <p>Invariant: equals the selection of every upstream by every pool. Not safe for use by several
- * threads.
+ * <p>Invariant: the members of each pool are exactly the upstreams that it selects. Not safe for
+ * use by several threads.
  *
  * @since 0.1
  */
@@ -31,64 +31,64 @@
   private Configuration current = Configuration.EMPTY;
 
   /**
-   * Takes a configuration.
+   * Applies a configuration.
    *
    * @param next the configuration
-   * @return pools that were added or removed, changed, or have other members
+   * @return the pools that were added, removed or changed, or whose members or their models changed
    */
   public Set<PoolName> apply(Configuration next) {
-    Set<PoolName> touched = new LinkedHashSet<>();
-    dropPools(next, touched);
+    Set<PoolName> changedPools = new LinkedHashSet<>();
+    dropPools(next, changedPools);
     for (Upstream upstream : current.upstreams().values()) {
       if (!next.upstreams().containsKey(upstream.name())) {
-        remove(upstream.name(), touched);
+        remove(upstream.name(), changedPools);
       }
     }
     for (Pool pool : next.pools().values()) {
       if (!pool.equals(current.pools().get(pool.name()))) {
-        select(pool, next, touched);
+        selectMembers(pool, next, changedPools);
       }
     }
     for (Upstream upstream : next.upstreams().values()) {
-      Upstream before = current.upstreams().get(upstream.name());
-      if (!upstream.equals(before)) {
-        place(upstream, before, next, touched);
+      Upstream previous = current.upstreams().get(upstream.name());
+      if (!upstream.equals(previous)) {
+        updateMembers(upstream, previous, next, changedPools);
       }
     }
     current = next;
-    return touched;
+    return changedPools;
   }
 
   /**
-   * The members of a pool.
+   * Returns the members of a pool.
    *
-   * @param pool its name
-   * @return names in order; none if there is no such pool
+   * @param pool the name of the pool
+   * @return the names in order; empty if there is no such pool
    */
   public ImmutableSet<UpstreamName> members(PoolName pool) {
     Set<UpstreamName> found = members.get(pool);
     return found == null ? ImmutableSet.of() : ImmutableSet.copyOf(found);
   }
 
-  private void dropPools(Configuration next, Set<PoolName> touched) {
+  private void dropPools(Configuration next, Set<PoolName> changedPools) {
     for (PoolName pool : current.pools().keySet()) {
       if (!next.pools().containsKey(pool)) {
         members.remove(pool);
-        touched.add(pool);
+        changedPools.add(pool);
       }
     }
   }
 
-  private void remove(UpstreamName upstream, Set<PoolName> touched) {
+  private void remove(UpstreamName upstream, Set<PoolName> changedPools) {
     members.forEach(
         (pool, names) -> {
           if (names.remove(upstream)) {
-            touched.add(pool);
+            changedPools.add(pool);
           }
         });
   }
 
-  private void select(Pool pool, Configuration next, Set<PoolName> touched) {
+  private void selectMembers(Pool pool, Configuration next, Set<PoolName> changedPools) {
     Set<UpstreamName> names = new TreeSet<>();
     for (Upstream upstream : next.upstreams().values()) {
       if (pool.contains(upstream)) {
@@ -96,18 +96,18 @@
       }
     }
     members.put(pool.name(), names);
-    touched.add(pool.name());
+    changedPools.add(pool.name());
   }
 
-  private void place(
-      Upstream upstream, Upstream before, Configuration next, Set<PoolName> touched) {
-    boolean sameModels = before != null && before.models().equals(upstream.models());
+  private void updateMembers(
+      Upstream upstream, Upstream previous, Configuration next, Set<PoolName> changedPools) {
+    boolean sameModels = previous != null && previous.models().equals(upstream.models());
     for (Pool pool : next.pools().values()) {
       Set<UpstreamName> names = members.get(pool.name());
       boolean belongs = pool.contains(upstream);
       boolean changed = belongs ? names.add(upstream.name()) : names.remove(upstream.name());
       if (changed || (belongs && !sameModels)) {
-        touched.add(pool.name());
+        changedPools.add(pool.name());
       }
     }
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Predictor.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Predictor.java
@@ -12,16 +12,16 @@
 import org.larkkeel.lib.ModelName;
 
 /**
- * Predicts when steps of a request would be complete.
+ * Predicts the end times and the durations of the steps of a request.
  *
- * <p>All times are on the node's clock, in nanoseconds. Not safe for use by several threads.
+ * <p>Times are on the node's clock, in nanoseconds. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Predictor {
-  private static final long OTHER_DATA_CENTRE_NANOS = 1_000_000L;
+  private static final long CROSS_DATA_CENTRE_NANOS = 1_000_000L;
   private static final double DEFAULT_KV_BYTES_PER_TOKEN = 100_000;
-  private static final double KV_STEP = 0.1;
+  private static final double KV_SMOOTHING = 0.1;
   private static final int ESTIMATE_SAMPLE = 4;
 
   private final Context context;
@@ -31,7 +31,7 @@
   /**
    * Creates a predictor.
    *
-   * @param context what the parts of the router share
+   * @param context the shared state of the router
    */
   public Predictor(Context context) {
     this.context = context;
@@ -39,28 +39,28 @@
   }
 
   /**
-   * Learns the size of a KV cache.
+   * Updates the mean KV cache size per token of a model with a sample.
    *
    * @param request the request
-   * @param bytes the size
+   * @param bytes the size of its KV cache; a value of 0 or less is ignored
    */
-  public void learnKv(RequestState request, long bytes) {
+  public void recordKvSize(RequestState request, long bytes) {
     if (!(request.call instanceof Call.Completion completion) || bytes <= 0) {
       return;
     }
     double sample = (double) bytes / Math.max(1, request.contextTokens());
-    Double known = kvBytesPerToken.get(completion.model());
-    double updated = known == null ? sample : known + KV_STEP * (sample - known);
+    Double previous = kvBytesPerToken.get(completion.model());
+    double updated = previous == null ? sample : previous + KV_SMOOTHING * (sample - previous);
     kvBytesPerToken.put(completion.model(), updated);
   }
 
   /**
-   * Forgets models.
+   * Removes the estimates of models that no upstream is declared for.
    *
-   * @param fleet tells which models are known
+   * @param upstreams the known upstreams
    */
-  public void keepOnly(Fleet fleet) {
-    kvBytesPerToken.keySet().removeIf(model -> !fleet.knows(model));
+  public void retainDeclaredModels(UpstreamTable upstreams) {
+    kvBytesPerToken.keySet().removeIf(model -> !upstreams.isDeclared(model));
   }
 
   /**
@@ -78,49 +78,51 @@
   }
 
   /**
-   * Predicts the end of a prefill that starts now.
+   * Predicts the end of a prefill that is sent now.
    *
    * @param request the request
    * @param engine the prefill engine
-   * @return the time
+   * @return the predicted time
    */
   public long prefillEnd(RequestState request, UpstreamState engine) {
-    double cached = engine.cache.expected(request.prefixes());
-    double work = Math.max(1, request.contextTokens() - cached);
-    return engine.prefills.freeAt(context.now(), engine.rates)
-        + (long) engine.rates.prefillNanos(work)
-        + distance(ownDataCentre, engine.dataCentre());
+    double cachedTokens = engine.cache.expectedTokens(request.prefixes());
+    double prefillTokens = Math.max(1, request.contextTokens() - cachedTokens);
+    return engine.prefills.freeAt(context.now(), engine.speeds)
+        + (long) engine.speeds.prefillNanos(prefillTokens)
+        + networkDelayNanos(ownDataCentre, engine.dataCentre());
   }
 
   /**
-   * Predicts the end of a transfer.
+   * Predicts the end of the transfer of a KV cache.
    *
-   * @param bytes its size
-   * @param from the engine that holds the KV cache
+   * @param bytes the size
+   * @param from the prefill engine that holds the KV cache
    * @param to the decode engine
-   * @param notBefore when it can start
-   * @return the time
+   * @param notBefore the earliest start of the transfer
+   * @return the predicted time
    */
   public long transferEnd(long bytes, UpstreamState from, UpstreamState to, long notBefore) {
     long free = Math.max(from.link.freeAt(context.now()), to.link.freeAt(context.now()));
-    long nanos = Math.max(from.link.nanos(bytes), to.link.nanos(bytes));
-    return Math.max(notBefore, free) + nanos + distance(from.dataCentre(), to.dataCentre());
+    long nanos = Math.max(from.link.transferNanos(bytes), to.link.transferNanos(bytes));
+    return Math.max(notBefore, free)
+        + nanos
+        + networkDelayNanos(from.dataCentre(), to.dataCentre());
   }
 
   /**
-   * Predicts the time between tokens if one more request runs.
+   * Predicts the time between tokens if one more request runs at an engine.
    *
    * @param engine the decode engine
-   * @return nanoseconds a token
+   * @return nanoseconds per token
    */
   public double decodeNanos(UpstreamState engine) {
     SlotLedger slots = engine.slots;
-    int batch = slots.active() + slots.reserved() + slots.others() + 1;
-    return engine.rates.decodeNanos(Math.min(batch, slots.limit()));
+    int batch = slots.active() + slots.reserved() + slots.heldByOthers() + 1;
+    return engine.speeds.decodeNanos(Math.min(batch, slots.limit()));
   }
 
   /**
-   * Predicts the tokens that a request still has to get.
+   * Predicts the number of tokens that a request has yet to receive.
    *
    * @param request the request
    * @return tokens
@@ -128,32 +130,32 @@
   public double remainingTokens(RequestState request) {
     return switch (request.call) {
       case Call.Completion completion ->
-          request.route.lengths.remaining(completion.maxTokens(), request.tokens);
+          request.route.outputLengths.remaining(completion.maxTokens(), request.deliveredTokens);
       case Call.Plain plain -> 0;
     };
   }
 
   /**
-   * Predicts the answer of a plain call that starts now.
+   * Predicts the time of the answer to a plain call that is sent now.
    *
    * @param service the service
-   * @return the time
+   * @return the predicted time
    */
   public long serviceEnd(UpstreamState service) {
     double share = (double) service.slots.active() / Math.max(1, service.slots.limit());
     return context.now()
-        + (long) (service.rates.serviceNanos() * (1 + share))
-        + distance(ownDataCentre, service.dataCentre());
+        + (long) (service.speeds.serviceNanos() * (1 + share))
+        + networkDelayNanos(ownDataCentre, service.dataCentre());
   }
 
   /**
-   * Predicts the time to the first token, or to the answer of a plain call, if nothing is in the
-   * way.
+   * Predicts the minimum time to the first token, or to the answer of a plain call, at idle
+   * upstreams.
    *
    * @param request the request
    * @return nanoseconds
    */
-  public long bestCase(RequestState request) {
+  public long minFirstNanos(RequestState request) {
     Route route = request.route;
     CandidateSet set = request.isPlain() ? route.service() : route.prefill();
     double best = Double.MAX_VALUE;
@@ -162,32 +164,32 @@
       UpstreamState state = set.all().get(i);
       double nanos =
           request.isPlain()
-              ? state.rates.serviceNanos()
-              : state.rates.prefillNanos(request.contextTokens())
-                  + state.link.nanos(kvBytes(request));
+              ? state.speeds.serviceNanos()
+              : state.speeds.prefillNanos(request.contextTokens())
+                  + state.link.transferNanos(kvBytes(request));
       best = Math.min(best, nanos);
     }
     return count == 0 ? 0 : (long) best;
   }
 
   /**
-   * Predicts the time to the last token if nothing is in the way.
+   * Predicts the minimum time to the last token at idle upstreams.
    *
    * @param request the request
    * @return nanoseconds
    */
-  public long bestCaseToEnd(RequestState request) {
-    double decode = Double.MAX_VALUE;
+  public long minTotalNanos(RequestState request) {
+    double nanosPerToken = Double.MAX_VALUE;
     CandidateSet set = request.route.decode();
     int count = Math.min(ESTIMATE_SAMPLE, set.all().size());
     for (int i = 0; i < count; i++) {
-      decode = Math.min(decode, set.all().get(i).rates.decodeNanos(1));
+      nanosPerToken = Math.min(nanosPerToken, set.all().get(i).speeds.decodeNanos(1));
     }
-    long first = bestCase(request);
-    return count == 0 ? first : first + (long) (decode * remainingTokens(request));
+    long firstNanos = minFirstNanos(request);
+    return count == 0 ? firstNanos : firstNanos + (long) (nanosPerToken * remainingTokens(request));
   }
 
-  private static long distance(String from, String to) {
-    return from.isEmpty() || from.equals(to) ? 0 : OTHER_DATA_CENTRE_NANOS;
+  private static long networkDelayNanos(String from, String to) {
+    return from.isEmpty() || from.equals(to) ? 0 : CROSS_DATA_CENTRE_NANOS;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/PrefillLedger.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/PrefillLedger.java
@@ -7,7 +7,7 @@
 package org.larkkeel.router.internal;
 
 /**
- * The prefill work inside one engine, as far as this node knows.
+ * The known prefill work at one engine.
  *
  * <p>Not safe for use by several threads.
  *
@@ -15,70 +15,73 @@
  */
 public final class PrefillLedger {
   private int running;
-  private long tokens;
+  private long pendingTokens;
   private long lastEventAt;
-  private int others;
+  private int prefillsOfOthers;
 
   /**
-   * A prefill starts.
+   * Records the start of a prefill of this node.
    *
    * @param now the time
-   * @param work tokens to compute
+   * @param prefillTokens the number of tokens to compute
    */
-  public void started(long now, int work) {
+  public void started(long now, int prefillTokens) {
     if (running == 0) {
       lastEventAt = now;
     }
     running++;
-    tokens += work;
+    pendingTokens += prefillTokens;
   }
 
   /**
-   * A prefill ended, however it did.
+   * Records the end of a prefill of this node, whether it completed or failed.
    *
    * @param now the time
-   * @param work the tokens given at the start
-   * @return since when the engine was free for it at the earliest
+   * @param prefillTokens the number of tokens given at the start
+   * @return the earliest time at which the engine can have started to compute this prefill
    */
-  public long ended(long now, int work) {
-    final long before = lastEventAt;
+  public long ended(long now, int prefillTokens) {
+    final long previousEventAt = lastEventAt;
     running--;
-    tokens -= work;
+    pendingTokens -= prefillTokens;
     lastEventAt = now;
-    return before;
+    return previousEventAt;
   }
 
   /**
-   * Takes the number of prefills of other nodes inside the engine.
+   * Sets the number of prefills of other nodes at the engine.
    *
-   * @param count a number
+   * @param count the number
    */
-  public void setOthers(int count) {
-    others = count;
+  public void setPrefillsOfOthers(int count) {
+    prefillsOfOthers = count;
   }
 
   /**
-   * Prefills of this node.
+   * Returns the number of prefills of this node at the engine.
    *
-   * @return a count
+   * @return the number
    */
   public int running() {
     return running;
   }
 
   /**
-   * Predicts when the engine has done all that it has.
+   * Predicts the time at which the engine has finished its current work. Prefills of other nodes
+   * are assumed to have the mean size of this node's prefills.
    *
    * @param now the time
-   * @param rates its rates
+   * @param speeds the estimated speeds of the engine
    * @return nanoseconds, not before now
    */
-  public long freeAt(long now, Rates rates) {
-    if (running == 0 && others == 0) {
+  public long freeAt(long now, SpeedEstimates speeds) {
+    if (running == 0 && prefillsOfOthers == 0) {
       return now;
     }
-    double mean = running == 0 ? 0 : (double) tokens / running;
-    double work = rates.prefillNanos(mean) * running + rates.prefillNanos(mean) * others;
-    return Math.max(now, lastEventAt + (long) work);
+    double meanTokens = running == 0 ? 0 : (double) pendingTokens / running;
+    double workNanos =
+        speeds.prefillNanos(meanTokens) * running
+            + speeds.prefillNanos(meanTokens) * prefillsOfOthers;
+    return Math.max(now, lastEventAt + (long) workNanos);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/PrefixCache.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/PrefixCache.java
@@ -13,112 +13,117 @@
 import org.larkkeel.lib.Incarnation;
 
 /**
- * What one upstream is believed to keep in its prefix cache.
+ * The known contents of the prefix cache of one upstream.
  *
- * <p>Events come late and with gaps, so the belief is weighted by how often it proved right.
- * Invariant: at most {@link #MAX_KEYS} keys, the oldest go first. Not safe for use by several
- * threads.
+ * <p>Events arrive late and with gaps, so predictions are weighted by the measured share of known
+ * prefixes that prefills found in the cache. Invariant: at most {@link #MAX_KEYS} keys are kept;
+ * the oldest are dropped first. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class PrefixCache {
-  /** The most keys kept of one upstream. */
+  /** The maximum number of keys kept of one upstream. */
   public static final int MAX_KEYS = 512;
 
-  private static final double TRUST_STEP = 0.1;
-  private static final double TRUST_AFTER_GAP = 0.7;
+  private static final double ACCURACY_SMOOTHING = 0.1;
+  private static final double MAX_ACCURACY_AFTER_GAP = 0.7;
 
-  private final UpstreamState owner;
+  private final UpstreamState upstream;
   private final PrefixIndex index;
   private final LinkedHashSet<Long> keys = new LinkedHashSet<>();
   private Incarnation incarnation;
 
-  /** The start that a report has ended; null if none has. */
-  private Incarnation former;
+  /** The incarnation that ended with the last reported restart; null if none was reported. */
+  private Incarnation endedIncarnation;
 
   private long sequence;
-  private double trust = 1;
+  private double accuracy = 1;
 
   /**
    * Creates an empty cache.
    *
-   * @param owner the upstream
-   * @param index the index over all upstreams, which is kept in step
+   * @param upstream the upstream
+   * @param index the index over all upstreams, which is updated with this object
    */
-  public PrefixCache(UpstreamState owner, PrefixIndex index) {
-    this.owner = owner;
+  public PrefixCache(UpstreamState upstream, PrefixIndex index) {
+    this.upstream = upstream;
     this.index = index;
   }
 
   /**
-   * Takes a published change; one that is older than the last, or of an older start, is dropped.
+   * Applies a published change; ignores a change that is older than the last one or belongs to an
+   * earlier incarnation.
    *
-   * @param start the start of the engine
-   * @param number the number of the change
-   * @param stored keys stored
-   * @param removed keys removed
+   * @param changeIncarnation the incarnation of the engine
+   * @param changeSequence the sequence number of the change
+   * @param stored the keys that were stored
+   * @param removed the keys that were removed
    */
-  public void changed(
-      Incarnation start, long number, ImmutableLongArray stored, ImmutableLongArray removed) {
-    if (start.equals(former) || (incarnation != null && start.compareTo(incarnation) < 0)) {
+  public void applyChange(
+      Incarnation changeIncarnation,
+      long changeSequence,
+      ImmutableLongArray stored,
+      ImmutableLongArray removed) {
+    if (changeIncarnation.equals(endedIncarnation)
+        || (incarnation != null && changeIncarnation.compareTo(incarnation) < 0)) {
       return;
     }
-    if (!start.equals(incarnation)) {
+    if (!changeIncarnation.equals(incarnation)) {
       clear();
-      incarnation = start;
-    } else if (number <= sequence) {
+      incarnation = changeIncarnation;
+    } else if (changeSequence <= sequence) {
       return;
-    } else if (number > sequence + 1) {
-      trust = Math.min(trust, TRUST_AFTER_GAP);
+    } else if (changeSequence > sequence + 1) {
+      accuracy = Math.min(accuracy, MAX_ACCURACY_AFTER_GAP);
     }
-    sequence = number;
+    sequence = changeSequence;
     removed.forEach(this::remove);
     stored.forEach(this::add);
   }
 
   /**
-   * Learns from a prefill that this node ordered.
+   * Records the result of a prefill of this node.
    *
-   * @param prefixes the prefixes of its prompt, now in the cache
-   * @param predicted tokens believed to be in the cache before
-   * @param found tokens that were in the cache
+   * @param prefixes the prefixes of the prompt, which are now in the cache
+   * @param known the number of tokens known to be in the cache before the prefill
+   * @param found the number of tokens that the prefill found in the cache
    */
-  public void used(PrefixKeys prefixes, int predicted, int found) {
-    if (predicted > 0) {
-      trust += TRUST_STEP * (Math.min(1.0, (double) found / predicted) - trust);
+  public void recordPrefill(PrefixKeys prefixes, int known, int found) {
+    if (known > 0) {
+      accuracy += ACCURACY_SMOOTHING * (Math.min(1.0, (double) found / known) - accuracy);
     }
     prefixes.keys().forEach(this::add);
   }
 
   /**
-   * The engine has reported that it started again; forgets what was there before, and ignores what
-   * is still told of it.
+   * Handles the restart of the engine: clears the contents and ignores later events of the previous
+   * incarnation.
    *
-   * @param start its start, which may be smaller than the one before
+   * @param newIncarnation the new incarnation, which can be smaller than the previous one
    */
-  public void restarted(Incarnation start) {
-    if (!start.equals(incarnation)) {
+  public void restarted(Incarnation newIncarnation) {
+    if (!newIncarnation.equals(incarnation)) {
       clear();
-      former = incarnation;
-      incarnation = start;
+      endedIncarnation = incarnation;
+      incarnation = newIncarnation;
     }
   }
 
-  /** Forgets everything. */
+  /** Removes all keys and resets the weight of predictions. */
   public void clear() {
-    keys.forEach(key -> index.remove(key, owner));
+    keys.forEach(key -> index.remove(key, upstream));
     keys.clear();
     sequence = 0;
-    trust = 1;
+    accuracy = 1;
   }
 
   /**
-   * Tokens of a prompt that are believed to be cached, whatever the trust.
+   * Returns the number of tokens of a prompt whose prefixes are known to be cached, unweighted.
    *
    * @param prefixes the prefixes of the prompt
    * @return tokens
    */
-  public int believed(PrefixKeys prefixes) {
+  public int knownTokens(PrefixKeys prefixes) {
     int pieces = 0;
     while (pieces < prefixes.keys().length() && keys.contains(prefixes.keys().get(pieces))) {
       pieces++;
@@ -127,22 +132,22 @@
   }
 
   /**
-   * Tokens of a prompt that are expected to be found.
+   * Returns the number of tokens of a prompt that a prefill is expected to find in the cache.
    *
    * @param prefixes the prefixes of the prompt
-   * @return tokens, weighted by trust
+   * @return the known tokens, weighted by the measured accuracy
    */
-  public double expected(PrefixKeys prefixes) {
-    return keys.isEmpty() ? 0 : believed(prefixes) * trust;
+  public double expectedTokens(PrefixKeys prefixes) {
+    return keys.isEmpty() ? 0 : knownTokens(prefixes) * accuracy;
   }
 
   /**
-   * Tells whether a prefix is believed to be there.
+   * Returns whether a prefix is known to be cached.
    *
-   * @param key its key
+   * @param key the key of the prefix
    * @return true if so
    */
-  public boolean holds(long key) {
+  public boolean contains(long key) {
     return keys.contains(key);
   }
 
@@ -152,18 +157,18 @@
       return;
     }
     keys.add(key);
-    index.add(key, owner);
+    index.add(key, upstream);
     if (keys.size() > MAX_KEYS) {
       Iterator<Long> oldest = keys.iterator();
-      long gone = oldest.next();
+      long dropped = oldest.next();
       oldest.remove();
-      index.remove(gone, owner);
+      index.remove(dropped, upstream);
     }
   }
 
   private void remove(long key) {
     if (keys.remove(key)) {
-      index.remove(key, owner);
+      index.remove(key, upstream);
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/PrefixIndex.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/PrefixIndex.java
@@ -13,26 +13,26 @@
 import java.util.Map;
 
 /**
- * Which upstreams are believed to hold which prompt prefixes.
+ * An index from prompt prefixes to the upstreams that are known to have them cached.
  *
- * <p>Invariant: holds exactly the pairs that the caches of the upstreams hold. Not safe for use by
- * several threads.
+ * <p>Invariant: contains exactly the pairs of the {@link PrefixCache} of each upstream. Not safe
+ * for use by several threads.
  *
  * @since 0.1
  */
 public final class PrefixIndex {
-  private final Map<Long, List<UpstreamState>> holders = new HashMap<>();
+  private final Map<Long, List<UpstreamState>> upstreamsByPrefix = new HashMap<>();
 
   /**
-   * Finds those that hold the longest prefix that anyone holds.
+   * Returns the upstreams that have the longest cached prefix of a prompt.
    *
-   * @param keys the prefixes of a prompt, shortest first
-   * @return the upstreams; none if nobody holds the first piece
+   * @param keys the prefixes of the prompt, shortest first
+   * @return the upstreams; empty if no upstream has the first prefix
    */
-  public List<UpstreamState> longest(ImmutableLongArray keys) {
+  public List<UpstreamState> withLongestPrefix(ImmutableLongArray keys) {
     List<UpstreamState> best = List.of();
     for (int i = 0; i < keys.length(); i++) {
-      List<UpstreamState> found = holders.get(keys.get(i));
+      List<UpstreamState> found = upstreamsByPrefix.get(keys.get(i));
       if (found == null) {
         break;
       }
@@ -42,26 +42,26 @@
   }
 
   /**
-   * The number of prefixes known.
+   * Returns the number of prefixes in the index.
    *
-   * @return a count
+   * @return the number
    */
   public int size() {
-    return holders.size();
+    return upstreamsByPrefix.size();
   }
 
   void add(long key, UpstreamState upstream) {
-    holders.computeIfAbsent(key, k -> new ArrayList<>(1)).add(upstream);
+    upstreamsByPrefix.computeIfAbsent(key, k -> new ArrayList<>(1)).add(upstream);
   }
 
   void remove(long key, UpstreamState upstream) {
-    List<UpstreamState> found = holders.get(key);
+    List<UpstreamState> found = upstreamsByPrefix.get(key);
     if (found == null) {
       return;
     }
     found.remove(upstream);
     if (found.isEmpty()) {
-      holders.remove(key);
+      upstreamsByPrefix.remove(key);
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Queueing.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Queueing.java
@@ -11,17 +11,20 @@
 import org.larkkeel.router.QueuePolicy;
 
 /**
- * Puts requests into lanes and watches their times.
+ * Adds requests to lanes and enforces their targets and deadlines while they wait.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class Queueing {
-  private static final long HOPELESS_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long EXPIRED_EXTRA_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** The KV cache may be there a little longer than is counted on. */
-  private static final double HOLD_LIMIT = 1.4;
+  /**
+   * The time after which a held KV cache is abandoned, as a multiple of the expected hold time: an
+   * engine may hold it a little longer than expected.
+   */
+  private static final double MAX_HOLD_FACTOR = 1.4;
 
   private final Core core;
 
@@ -29,16 +32,16 @@
     this.core = core;
   }
 
-  /** Puts a request into the lane that it belongs to. */
+  /** Adds a request to the lane for its state and size. */
   void enqueue(RequestState request) {
     request.stage = RequestStage.QUEUED;
     request.delayedUntil = 0;
-    request.route.lane(laneOf(request)).add(request);
-    core.fleet.ready(request.route);
-    arm(request);
+    request.route.lane(laneKindOf(request)).add(request);
+    core.fleet.markReady(request.route);
+    setTimer(request);
   }
 
-  /** Puts a request into its lane after a delay. */
+  /** Adds a request to its lane after a delay. */
   void enqueueAfter(RequestState request, long delayNanos) {
     if (delayNanos <= 0) {
       enqueue(request);
@@ -46,19 +49,21 @@
     }
     request.stage = RequestStage.QUEUED;
     request.delayedUntil = core.context.now() + delayNanos;
-    arm(request);
+    setTimer(request);
   }
 
-  /** Sets the timer of a request to the next moment that matters to it. */
-  void arm(RequestState request) {
-    core.context.timers().set(request.timer, Math.min(request.deadline, nextMoment(request)));
+  /**
+   * Sets the timer of a request to the next time at which its stage or the deadline needs a check.
+   */
+  void setTimer(RequestState request) {
+    core.context.timers().set(request.timer, Math.min(request.deadline, nextCheckAt(request)));
   }
 
-  /** The timer of a request was due. */
-  void due(RequestState request) {
+  /** Handles the timer of a request. */
+  void timerFired(RequestState request) {
     long now = core.context.now();
     if (request.stage == RequestStage.RECORDING) {
-      core.endings.answer(request);
+      core.endings.answerCaller(request);
       return;
     }
     if (now >= request.deadline) {
@@ -66,83 +71,91 @@
       return;
     }
     switch (request.stage) {
-      case QUEUED -> dueInQueue(request);
-      case PLACED -> core.decodeFlow.holdEnded(request);
-      default -> arm(request);
+      case QUEUED -> timerFiredInQueue(request);
+      case KV_HELD -> core.decodeFlow.holdTimeEnded(request);
+      default -> setTimer(request);
     }
   }
 
-  /** When an unplaced request must be placed to meet its target. */
-  long latestStart(RequestState request) {
-    return request.firstTarget - core.predictor.bestCase(request);
+  /** Returns the latest time at which a request can be placed to meet its target. */
+  long latestStartForTarget(RequestState request) {
+    return request.targetAt - core.predictor.minFirstNanos(request);
   }
 
-  /** What a choice promises a request that waits. */
-  enum Prospect {
-    /** It meets its target, or has none to meet any more. */
-    IN_TIME,
-    /** It would meet its target only at an upstream that has no room now. */
-    LATER,
-    /** It can't meet its target, or not even its deadline. */
-    MISSED
+  /** The predicted result of starting a request at the chosen upstreams. */
+  enum Feasibility {
+    /** The request meets its target, or has no target that is still enforced. */
+    MEETS_TARGET,
+    /** The request could meet its target only at an upstream without free capacity now. */
+    NEEDS_CAPACITY,
+    /** The request can't meet its target, or not even its deadline, at any upstream. */
+    MISSES_TARGET
   }
 
-  /** Tells whether a request is in time at the upstreams chosen for it. */
-  Prospect prospect(RequestState request, Choice choice) {
+  /** Predicts whether a request meets its target and its deadline at the chosen upstreams. */
+  Feasibility feasibility(RequestState request, Choice choice) {
     if (!(core.context.settings().queue() instanceof QueuePolicy.ByDeadline)) {
-      return Prospect.IN_TIME;
+      return Feasibility.MEETS_TARGET;
     }
     long now = core.context.now();
-    boolean trial = isTrial(request, choice);
-    if (request.tokens == 0 && !trial && now + choice.lastNanos() > request.deadline) {
-      return now > latestToEnd(request) ? Prospect.MISSED : Prospect.LATER;
+    boolean idleService = isToIdleService(request, choice);
+    if (request.deliveredTokens == 0
+        && !idleService
+        && now + choice.totalNanos() > request.deadline) {
+      return now > latestStartForDeadline(request)
+          ? Feasibility.MISSES_TARGET
+          : Feasibility.NEEDS_CAPACITY;
     }
-    long first = trial ? now : now + choice.firstNanos();
-    if (!sheds(request) || first <= request.firstTarget) {
-      return Prospect.IN_TIME;
+    long firstAt = idleService ? now : now + choice.firstNanos();
+    if (!enforcesTarget(request) || firstAt <= request.targetAt) {
+      return Feasibility.MEETS_TARGET;
     }
-    return now > latestStart(request) ? Prospect.MISSED : Prospect.LATER;
+    return now > latestStartForTarget(request)
+        ? Feasibility.MISSES_TARGET
+        : Feasibility.NEEDS_CAPACITY;
   }
 
   /**
-   * Tells whether a plain call goes to an idle service. No estimate rules that out: one that did,
-   * such as one learnt while this node was paused, would get no sample that corrects it.
+   * Returns whether a plain call would go to an idle service. Such a call starts whatever the
+   * estimate says: an estimate that is too long, for example one measured while this node was
+   * paused, would otherwise get no sample that corrects it.
    */
-  private static boolean isTrial(RequestState request, Choice choice) {
-    return request.isPlain() && choice.first().attempts.isEmpty();
+  private static boolean isToIdleService(RequestState request, Choice choice) {
+    return request.isPlain() && choice.upstream().attempts.isEmpty();
   }
 
-  /** When an unplaced request must be placed to be answered before its deadline. */
-  private long latestToEnd(RequestState request) {
-    return request.deadline - core.predictor.bestCaseToEnd(request);
+  /** Returns the latest time at which a request can be placed to meet its deadline. */
+  private long latestStartForDeadline(RequestState request) {
+    return request.deadline - core.predictor.minTotalNanos(request);
   }
 
-  private void dueInQueue(RequestState request) {
+  private void timerFiredInQueue(RequestState request) {
     if (request.delayedUntil != 0) {
       enqueue(request);
       return;
     }
     long now = core.context.now();
-    if (now >= latestToEnd(request) || (sheds(request) && now >= latestStart(request))) {
-      missed(request);
+    if (now >= latestStartForDeadline(request)
+        || (enforcesTarget(request) && now >= latestStartForTarget(request))) {
+      targetMissed(request);
       return;
     }
-    arm(request);
+    setTimer(request);
   }
 
-  /** A request that waits can't meet its target any more. */
-  void missed(RequestState request) {
-    if (core.context.now() >= latestToEnd(request)) {
+  /** Handles a waiting request that can't meet its target. */
+  void targetMissed(RequestState request) {
+    if (core.context.now() >= latestStartForDeadline(request)) {
       expire(request);
       return;
     }
-    if (request.route.isInteractive() && request.attempts == 0) {
-      long wait = request.route.pace.wait(request.route.queued());
-      core.endings.giveUp(
+    if (request.route.isInteractive() && request.attemptCount == 0) {
+      long retryAfterNanos = request.route.departures.predictedWaitNanos(request.route.queued());
+      core.endings.fail(
           request,
           ErrorKind.OVERLOADED,
           ErrorKind.UPSTREAM_FAILED,
-          wait,
+          retryAfterNanos,
           "The first token can't come in time: the queue is too long.");
       return;
     }
@@ -152,42 +165,49 @@
   }
 
   private void expire(RequestState request) {
-    long wait = request.route.pace.wait(request.route.queued()) + HOPELESS_WAIT_NANOS;
-    core.endings.giveUp(
+    long retryAfterNanos =
+        request.route.departures.predictedWaitNanos(request.route.queued())
+            + EXPIRED_EXTRA_WAIT_NANOS;
+    core.endings.fail(
         request,
         ErrorKind.EXPIRED_IN_QUEUE,
         ErrorKind.DEADLINE_EXCEEDED,
-        wait,
+        retryAfterNanos,
         "The deadline passed.");
   }
 
-  private long nextMoment(RequestState request) {
+  private long nextCheckAt(RequestState request) {
     return switch (request.stage) {
-      case QUEUED -> nextMomentInQueue(request);
-      case PLACED ->
-          request.heldSince + (long) (HOLD_LIMIT * core.context.settings().kvHoldNanos());
+      case QUEUED -> nextCheckInQueueAt(request);
+      case KV_HELD ->
+          request.kvHeldSince + (long) (MAX_HOLD_FACTOR * core.context.settings().kvHoldNanos());
       default -> request.deadline;
     };
   }
 
-  private long nextMomentInQueue(RequestState request) {
+  private long nextCheckInQueueAt(RequestState request) {
     if (request.delayedUntil != 0) {
       return request.delayedUntil;
     }
-    long last = latestToEnd(request);
-    return sheds(request) ? Math.min(last, latestStart(request)) : last;
+    long latestStart = latestStartForDeadline(request);
+    return enforcesTarget(request)
+        ? Math.min(latestStart, latestStartForTarget(request))
+        : latestStart;
   }
 
-  /** Whether a request that waits is refused or served late once it misses its target. */
-  private boolean sheds(RequestState request) {
+  /**
+   * Returns whether a waiting request is refused or moved to the late lane when it misses its
+   * target.
+   */
+  private boolean enforcesTarget(RequestState request) {
     return !request.late
-        && request.attempts == 0
+        && request.attemptCount == 0
         && core.context.settings().queue() instanceof QueuePolicy.ByDeadline;
   }
 
-  private LaneKind laneOf(RequestState request) {
-    if (request.attempts > 0) {
-      return LaneKind.AGAIN;
+  private LaneKind laneKindOf(RequestState request) {
+    if (request.attemptCount > 0) {
+      return LaneKind.RETRY;
     }
     if (request.late) {
       return LaneKind.LATE;
@@ -196,6 +216,6 @@
     if (tokens <= core.context.settings().smallPromptTokens()) {
       return LaneKind.SMALL;
     }
-    return LaneKind.ofSize(tokens, request.route.usualPrompt());
+    return LaneKind.ofSize(tokens, request.route.meanPromptTokens());
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/RequestStage.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/RequestStage.java
@@ -7,31 +7,31 @@
 package org.larkkeel.router.internal;
 
 /**
- * Where a request is.
+ * The stage of a request.
  *
- * <p>{@code RECEIVED -> QUEUED -> PREFILLING -> PLACED -> TRANSFERRING -> DECODING -> RECORDING},
- * or {@code QUEUED -> RUNNING -> RECORDING} for a plain call; from each to an end, and back to
- * {@code QUEUED} for another attempt.
+ * <p>{@code RECEIVED -> QUEUED -> PREFILLING -> KV_HELD -> TRANSFERRING -> DECODING -> RECORDING},
+ * or {@code QUEUED -> RUNNING -> RECORDING} for a plain call; each can be followed by {@code
+ * ENDED}, and by {@code QUEUED} for a retry.
  *
  * @since 0.1
  */
 public enum RequestStage {
-  /** Waits for its claim. */
+  /** The request waits for its claim. */
   RECEIVED,
-  /** Waits in a lane, or for the end of a delay before another attempt. */
+  /** The request waits in a lane, or for the end of the delay before a retry. */
   QUEUED,
-  /** An engine computes its KV cache. */
+  /** A prefill engine computes the KV cache. */
   PREFILLING,
-  /** Its KV cache is held and waits for a decode slot. */
-  PLACED,
-  /** Its KV cache moves. */
+  /** The KV cache is held at the prefill engine until a decode slot is free. */
+  KV_HELD,
+  /** The KV cache is transferred to the decode engine. */
   TRANSFERRING,
-  /** Tokens are generated. */
+  /** The decode engine generates tokens. */
   DECODING,
-  /** A service works on it. */
+  /** A service runs the plain call. */
   RUNNING,
-  /** It is answered and the outcome is being recorded. */
+  /** The answer is complete and the outcome is being recorded. */
   RECORDING,
-  /** Its last effect is given out. */
+  /** The last effect was emitted. */
   ENDED
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/RequestState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/RequestState.java
@@ -12,7 +12,7 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * What the router keeps of one request.
+ * The state of one request in progress.
  *
  * <p>Invariant: a request in stage {@code ENDED} is in no table, lane or ledger. Not safe for use
  * by several threads.
@@ -20,112 +20,112 @@
  * @since 0.1
  */
 public final class RequestState {
-  /** What was asked. */
+  /** The request as it was received. */
   public final Call call;
 
-  /** When it arrived. */
+  /** The time of arrival. */
   public final long arrivedAt;
 
-  /** Its next moment: a deadline, the end of a delay or of a hold. */
+  /** The timer for the next deadline, target, end of a retry delay or end of a KV cache hold. */
   public final Timer timer;
 
-  /** Its rule and pools; changes when the configuration does. */
+  /** The route, which follows changes of the configuration. */
   public Route route;
 
-  /** Where it is. */
+  /** The current stage. */
   public RequestStage stage = RequestStage.RECEIVED;
 
-  /** When the first token, or the answer of a plain call, is wanted. */
-  public long firstTarget;
+  /** The target time of the first token, or of the answer of a plain call. */
+  public long targetAt;
 
-  /** When it is given up. */
+  /** The time at which the request fails if it has no answer. */
   public long deadline;
 
-  /** The claim of its run; null if none was asked for. */
+  /** The claim of the at-most-once run; null if none was requested. */
   public Attempt claim;
 
-  /** The prefill that runs, or whose KV cache is held; null if none. */
+  /** The prefill that runs or whose KV cache is held at the prefill engine; null if none. */
   public Attempt prefill;
 
-  /** The decode that transfers or generates; null if none. */
+  /** The decode attempt, from the start of its transfer; null if none. */
   public Attempt decode;
 
-  /** The prefill whose KV cache has moved and is not yet known to be used; null if none. */
-  public Attempt moved;
+  /** The prefill whose KV cache has been transferred but not yet used for a token; null if none. */
+  public Attempt transferredPrefill;
 
-  /** The plain call under way; null if none. */
+  /** The plain call in progress; null if none. */
   public Attempt plain;
 
-  /** The attempt whose answer is being recorded; null before. */
-  public Attempt answered;
+  /** The attempt whose answer is being recorded; null before that. */
+  public Attempt answeredAttempt;
 
-  /** The decode engine that has promised a slot; null if none. */
-  public UpstreamState promised;
+  /** The decode engine at which a slot is reserved; null if none. */
+  public UpstreamState reservedDecode;
 
-  /** Bytes promised on the links of prefill and decode engine. */
-  public long promisedBytes;
+  /** The bytes reserved on the links of the prefill and the decode engine. */
+  public long reservedLinkBytes;
 
-  /** Size of the KV cache held. */
+  /** The size of the held KV cache in bytes; 0 if none is held. */
   public long kvBytes;
 
-  /** When the KV cache began to be held. */
-  public long heldSince;
+  /** The time since when the KV cache is held. */
+  public long kvHeldSince;
 
-  /** Attempts made, from queue to upstream. */
-  public int attempts;
+  /** The number of attempts at upstreams, without those that were refused for lack of capacity. */
+  public int attemptCount;
 
-  /** Decode engines tried with the KV cache that is held. */
-  public int transfers;
+  /** The number of failed transfers of the KV cache that is held. */
+  public int failedTransfers;
 
-  /** The broken transfer whose cancel has to end before the next; null if none. */
-  public AttemptId settling;
+  /** The failed transfer whose cancel must end before the next transfer; null if none. */
+  public AttemptId cancelledTransfer;
 
-  /** Tokens of the answer passed on. */
-  public int tokens;
+  /** The number of tokens of the answer that were delivered to the caller. */
+  public int deliveredTokens;
 
-  /** When the first token was passed on; 0 before. */
+  /** The time at which the first token was delivered; 0 before that. */
   public long firstTokenAt;
 
-  /** When a delay before another attempt ends; 0 if there is none. */
+  /** The end of the delay before a retry; 0 if there is none. */
   public long delayedUntil;
 
-  /** The upstream to avoid in the next attempt; null if none. */
-  public UpstreamState avoid;
+  /** The upstream of the last failed attempt, which the next one avoids if it can; null if none. */
+  public UpstreamState failedUpstream;
 
-  /** Whether an upstream may have run it, in part or in full. */
+  /** True if an upstream may have run the request, in part or completely. */
   public boolean mayHaveRun;
 
-  /** Whether any upstream has answered it, be it by a refusal. */
-  public boolean reached;
+  /** True if an attempt got as far as an upstream, even if that refused it. */
+  public boolean reachedUpstream;
 
-  /** Whether it may run only once. */
-  public boolean once;
+  /** True if the request must run at most once. */
+  public boolean atMostOnce;
 
-  /** Whether its run is claimed durably. */
+  /** True if the at-most-once run is claimed durably. */
   public boolean claimed;
 
-  /** Whether nobody waits for its answer any more. */
+  /** True if the caller has left and nobody waits for the answer. */
   public boolean callerGone;
 
-  /** Whether it missed its target while it waited and is served after the others. */
+  /** True if the request missed its target in the queue and is served after the others. */
   public boolean late;
 
-  /** Whether the last refusal was for want of room rather than of an upstream. */
-  public boolean crowded;
+  /** True if the last refusal was for lack of capacity rather than of an upstream. */
+  public boolean refusedForCapacity;
 
-  /** The lane that it waits in; null if it waits in none. */
+  /** The lane in which the request waits; null if none. */
   Lane lane;
 
-  /** Its order within its lane, by finish tag of its workspace. */
+  /** The queue of its workspace within the lane; null if the request is in no lane. */
   WorkspaceQueue workspaceQueue;
 
   /**
    * Creates the state of a request.
    *
-   * @param call what was asked
-   * @param route its rule and pools
-   * @param now when it arrived
-   * @param onTimer what is done at its next moment
+   * @param call the request as it was received
+   * @param route the route; null until one is found
+   * @param now the time of arrival
+   * @param onTimer the action of the request's timer
    */
   public RequestState(Call call, Route route, long now, Runnable onTimer) {
     this.call = call;
@@ -135,7 +135,7 @@
   }
 
   /**
-   * Its id.
+   * Returns the id of the request.
    *
    * @return the id
    */
@@ -144,18 +144,19 @@
   }
 
   /**
-   * Tokens that a prefill has to cover: the prompt and what was passed on.
+   * Returns the number of tokens that a prefill must cover: the prompt and the delivered part of
+   * the answer.
    *
    * @return tokens
    */
   public int contextTokens() {
-    return call.promptTokens() + tokens;
+    return call.promptTokens() + deliveredTokens;
   }
 
   /**
-   * The keys of the prompt's prefixes.
+   * Returns the keys of the prompt's prefixes.
    *
-   * @return keys; none for a plain call
+   * @return the keys; {@link PrefixKeys#NONE} for a plain call
    */
   public PrefixKeys prefixes() {
     return switch (call) {
@@ -165,7 +166,7 @@
   }
 
   /**
-   * Tells whether it is a plain call.
+   * Returns whether this is a plain call.
    *
    * @return true if so
    */
@@ -174,7 +175,7 @@
   }
 
   /**
-   * Tells whether anything of it is at an upstream now.
+   * Returns whether an attempt of the request is at an upstream now.
    *
    * @return true if so
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/RetryBudget.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/RetryBudget.java
@@ -10,7 +10,7 @@
 import org.larkkeel.router.RetryPolicy;
 
 /**
- * Whether and after what delay a failed attempt may be followed by another.
+ * The retry budget: limits the retries in proportion to the first attempts and sets their delays.
  *
  * <p>Not safe for use by several threads.
  *
@@ -20,7 +20,7 @@
   private static final int MAX_DOUBLINGS = 16;
 
   private final RetryPolicy policy;
-  private double saved;
+  private double balance;
 
   /**
    * Creates a full budget.
@@ -29,50 +29,51 @@
    */
   public RetryBudget(RetryPolicy policy) {
     this.policy = policy;
-    this.saved =
+    this.balance =
         switch (policy) {
-          case RetryPolicy.Blind blind -> 0;
+          case RetryPolicy.Immediate immediate -> 0;
           case RetryPolicy.Budgeted budgeted -> budgeted.burst();
         };
   }
 
-  /** A first attempt earns a share of a retry. */
-  public void earn() {
+  /** Adds the share of a retry that a first attempt earns. */
+  public void deposit() {
     if (policy instanceof RetryPolicy.Budgeted budgeted) {
-      saved = Math.min(budgeted.burst(), saved + budgeted.share());
+      balance = Math.min(budgeted.burst(), balance + budgeted.share());
     }
   }
 
   /**
-   * Takes a retry from the budget.
+   * Withdraws one retry from the budget.
    *
-   * @return true if it may be made
+   * @return true if the retry is allowed
    */
-  public boolean spend() {
-    if (policy instanceof RetryPolicy.Blind) {
+  public boolean tryWithdraw() {
+    if (policy instanceof RetryPolicy.Immediate) {
       return true;
     }
-    if (saved < 1) {
+    if (balance < 1) {
       return false;
     }
-    saved--;
+    balance--;
     return true;
   }
 
   /**
-   * The delay before a retry.
+   * Returns the delay before a retry.
    *
-   * @param retry 1 for the first
+   * @param retry the number of the retry, 1 for the first
    * @param random the source of the jitter
-   * @return nanoseconds, between half and all of the delay that doubles with each retry
+   * @return nanoseconds, between half and all of a delay that doubles with each retry up to a
+   *     maximum
    */
-  public long delay(int retry, SplittableRandom random) {
+  public long delayNanos(int retry, SplittableRandom random) {
     return switch (policy) {
-      case RetryPolicy.Blind blind -> 0;
+      case RetryPolicy.Immediate immediate -> 0;
       case RetryPolicy.Budgeted budgeted -> {
         int doublings = Math.min(retry - 1, MAX_DOUBLINGS);
-        long full = Math.min(budgeted.maxNanos(), budgeted.baseNanos() << doublings);
-        yield full / 2 + random.nextLong(full / 2 + 1);
+        long maxDelayNanos = Math.min(budgeted.maxNanos(), budgeted.baseNanos() << doublings);
+        yield maxDelayNanos / 2 + random.nextLong(maxDelayNanos / 2 + 1);
       }
     };
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Route.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Route.java
@@ -19,7 +19,8 @@
 import org.larkkeel.lib.RuleName;
 
 /**
- * The requests of one rule for one model: where they may go and which of them wait.
+ * The route of the requests of one rule for one model: the candidate upstreams and the waiting
+ * requests.
  *
  * <p>Not safe for use by several threads.
  *
@@ -27,59 +28,59 @@
  */
 public final class Route {
   /**
-   * What identifies a route.
+   * The key of a route.
    *
-   * @param rule the rule
+   * @param rule the name of the rule
    * @param model the model; empty for plain calls
    */
   public record Key(RuleName rule, Optional<ModelName> model) {}
 
-  private static final double PROMPT_STEP = 0.02;
+  private static final double PROMPT_SMOOTHING = 0.02;
 
-  /** What identifies it. */
+  /** The key of the route. */
   public final Key key;
 
-  /** A lane of each kind. */
+  /** The lanes, one of each kind. */
   final ImmutableMap<LaneKind, Lane> lanes;
 
-  /** Requests whose KV cache is held and that wait for a decode slot, oldest first. */
+  /** The requests whose KV cache is held until a decode slot is free, oldest first. */
   final Map<RequestId, RequestState> held = new LinkedHashMap<>();
 
-  /** How long its answers are. */
-  final OutputLengths lengths;
+  /** The distribution of the lengths of answers. */
+  final OutputLengths outputLengths;
 
-  /** How fast it is served while requests wait. */
-  final Pace pace = new Pace();
+  /** The rate at which requests leave the lanes. */
+  final DepartureRate departures = new DepartureRate();
 
   private Rule rule;
   private CandidateSet prefill;
   private CandidateSet decode;
   private CandidateSet service;
-  private int sinceLate;
-  private double usualPrompt;
+  private int servedSinceLate;
+  private double meanPromptTokens;
   boolean listed;
 
   /**
    * Creates a route without upstreams.
    *
-   * @param key what identifies it
-   * @param rule its rule
-   * @param guess tokens expected of an answer before any was seen
+   * @param key the key of the route
+   * @param rule the rule
+   * @param defaultOutputTokens the expected length of an answer before any was observed, in tokens
    */
-  public Route(Key key, Rule rule, int guess) {
+  public Route(Key key, Rule rule, int defaultOutputTokens) {
     this.key = key;
     this.rule = rule;
-    this.lengths = new OutputLengths(guess);
+    this.outputLengths = new OutputLengths(defaultOutputTokens);
     lanes = Maps.toMap(EnumSet.allOf(LaneKind.class), kind -> new Lane());
   }
 
   /**
-   * Sets where its requests may go.
+   * Sets the rule and the candidate upstreams.
    *
-   * @param newRule its rule as it is now
-   * @param newPrefill prefill engines
-   * @param newDecode decode engines
-   * @param newService services
+   * @param newRule the current rule
+   * @param newPrefill the prefill engines
+   * @param newDecode the decode engines
+   * @param newService the services
    */
   public void update(
       Rule newRule, CandidateSet newPrefill, CandidateSet newDecode, CandidateSet newService) {
@@ -93,7 +94,7 @@
     service.routes().add(this);
   }
 
-  /** Takes the route off its candidate sets. */
+  /** Removes the route from its candidate sets. */
   public void detach() {
     if (prefill != null) {
       prefill.routes().remove(this);
@@ -103,16 +104,16 @@
   }
 
   /**
-   * Its rule.
+   * Returns the rule.
    *
-   * @return the rule as it is now
+   * @return the current rule
    */
   public Rule rule() {
     return rule;
   }
 
   /**
-   * Prefill engines.
+   * Returns the prefill engines.
    *
    * @return the set
    */
@@ -121,7 +122,7 @@
   }
 
   /**
-   * Decode engines.
+   * Returns the decode engines.
    *
    * @return the set
    */
@@ -130,7 +131,7 @@
   }
 
   /**
-   * Services.
+   * Returns the services.
    *
    * @return the set
    */
@@ -139,7 +140,7 @@
   }
 
   /**
-   * Tells whether its requests are refused early rather than served late.
+   * Returns whether requests that miss their target are refused rather than served late.
    *
    * @return true if so
    */
@@ -148,7 +149,7 @@
   }
 
   /**
-   * Tells whether its requests are plain calls, which need no decode slot.
+   * Returns whether the requests are plain calls, which need no decode slot.
    *
    * @return true if so
    */
@@ -157,7 +158,7 @@
   }
 
   /**
-   * Tells whether any upstream could take its requests, be it full or ejected.
+   * Returns whether there are upstreams for the requests, even if these are full or ejected.
    *
    * @return true if so
    */
@@ -169,19 +170,19 @@
   }
 
   /**
-   * One of its lanes.
+   * Returns a lane.
    *
-   * @param kind which
-   * @return the lane
+   * @param kind the kind of lane
+   * @return the lane, not null
    */
   public Lane lane(LaneKind kind) {
     return lanes.get(kind);
   }
 
   /**
-   * Requests that wait in its lanes.
+   * Returns the number of requests in the lanes.
    *
-   * @return a count
+   * @return the number
    */
   public int queued() {
     int count = 0;
@@ -192,39 +193,42 @@
   }
 
   /**
-   * Learns from the prompt of a request that arrived.
+   * Updates the mean prompt size with a request that arrived.
    *
-   * @param tokens its size
+   * @param tokens the size of its prompt
    */
-  void arrived(int tokens) {
-    usualPrompt = usualPrompt == 0 ? tokens : usualPrompt + PROMPT_STEP * (tokens - usualPrompt);
+  void recordArrival(int tokens) {
+    meanPromptTokens =
+        meanPromptTokens == 0
+            ? tokens
+            : meanPromptTokens + PROMPT_SMOOTHING * (tokens - meanPromptTokens);
   }
 
   /**
-   * The mean size of its prompts.
+   * Returns the mean size of prompts.
    *
    * @return tokens
    */
-  double usualPrompt() {
-    return usualPrompt;
+  double meanPromptTokens() {
+    return meanPromptTokens;
   }
 
   /**
-   * Counts a request served, so that late ones get their small share.
+   * Counts a served request, so that the late lane gets its turn at intervals.
    *
-   * @param kind the lane that it came from
+   * @param kind the kind of the lane of the request
    */
-  void served(LaneKind kind) {
-    sinceLate = kind == LaneKind.LATE ? 0 : sinceLate + 1;
+  void recordServed(LaneKind kind) {
+    servedSinceLate = kind == LaneKind.LATE ? 0 : servedSinceLate + 1;
   }
 
   /**
-   * Tells whether it is the turn of a late request.
+   * Returns whether it is the turn of a late request.
    *
-   * @param every a late one is served after so many others
+   * @param interval the number of other requests served between two turns
    * @return true if so
    */
-  boolean isTurnOfLate(int every) {
-    return sinceLate >= every;
+  boolean isLateTurn(int interval) {
+    return servedSinceLate >= interval;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Routes.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Routes.java
@@ -22,70 +22,72 @@
 /**
  * The routes in use.
  *
- * <p>Invariant: at most one route a rule and declared model. Not safe for use by several threads.
+ * <p>Invariant: at most one route for each pair of a rule and a declared model. Not safe for use by
+ * several threads.
  *
  * @since 0.1
  */
 public final class Routes {
   private final Context context;
-  private final Fleet fleet;
+  private final UpstreamTable upstreams;
   private final RuleIndex rules = new RuleIndex();
   private final Map<Route.Key, Route> routes = new HashMap<>();
   private Configuration current = Configuration.EMPTY;
 
   /**
-   * Creates a table without routes.
+   * Creates an empty table.
    *
-   * @param context what the parts of the router share
-   * @param fleet the upstreams
+   * @param context the shared state of the router
+   * @param upstreams the upstreams
    */
-  public Routes(Context context, Fleet fleet) {
+  public Routes(Context context, UpstreamTable upstreams) {
     this.context = context;
-    this.fleet = fleet;
+    this.upstreams = upstreams;
   }
 
   /**
-   * Takes a configuration that the fleet has taken.
+   * Applies a configuration, which the table of upstreams must have applied before.
    *
    * @param next the configuration
-   * @return routes whose rule is gone; their requests have to be routed anew
+   * @return the removed routes, whose rule or model no longer exists; their requests must be
+   *     rerouted
    */
   public List<Route> apply(Configuration next) {
     current = next;
     rules.apply(next);
-    List<Route> gone = new ArrayList<>();
+    List<Route> removed = new ArrayList<>();
     for (Route route : routes.values()) {
       Rule rule = next.rules().get(route.key.rule());
-      if (rule == null || !route.key.model().map(fleet::knows).orElse(true)) {
-        gone.add(route);
+      if (rule == null || !route.key.model().map(upstreams::isDeclared).orElse(true)) {
+        removed.add(route);
       } else {
         update(route, rule);
-        fleet.ready(route);
+        upstreams.markReady(route);
       }
     }
-    for (Route route : gone) {
+    for (Route route : removed) {
       routes.remove(route.key);
       route.detach();
     }
-    fleet.prune();
-    return gone;
+    upstreams.removeUnusedSets();
+    return removed;
   }
 
   /**
-   * Finds the rule that takes a request.
+   * Returns the rule that matches a request.
    *
    * @param call the request
-   * @return the rule; empty if none does
+   * @return the rule; empty if none matches
    */
   public Optional<Rule> rule(Call call) {
     return rules.find(call);
   }
 
   /**
-   * Finds the route of a request.
+   * Returns the route of a request; creates it if needed.
    *
    * @param call the request
-   * @param rule its rule
+   * @param rule the rule of the request
    * @return the route; empty if no upstream is declared for its model
    */
   public Optional<Route> route(Call call, Rule rule) {
@@ -94,7 +96,7 @@
           case Call.Completion completion -> Optional.of(completion.model());
           case Call.Plain plain -> Optional.empty();
         };
-    if (!model.map(fleet::knows).orElse(true)) {
+    if (!model.map(upstreams::isDeclared).orElse(true)) {
       return Optional.empty();
     }
     Route.Key key = new Route.Key(rule.name(), model);
@@ -108,17 +110,17 @@
   }
 
   /**
-   * The pools of a rule.
+   * Returns the pools that a rule selects.
    *
    * @param rule the rule
-   * @return the pools in order of name
+   * @return the pools, ordered by name
    */
   public List<Pool> pools(Rule rule) {
     return current.pools().values().stream().filter(p -> rule.pools().matches(p.labels())).toList();
   }
 
   /**
-   * All routes.
+   * Returns all routes.
    *
    * @return the routes, in no order
    */
@@ -127,11 +129,11 @@
   }
 
   /**
-   * The interactive routes without upstreams, whose requests must not wait for one to come.
+   * Returns the interactive routes without upstreams, whose requests must not wait for a new one.
    *
    * @return the routes
    */
-  public List<Route> stranded() {
+  public List<Route> interactiveWithoutUpstreams() {
     return routes.values().stream().filter(r -> r.isInteractive() && !r.hasUpstreams()).toList();
   }
 
@@ -140,8 +142,8 @@
     Optional<ModelName> model = route.key.model();
     route.update(
         rule,
-        fleet.candidates(Role.PREFILL, pools, model),
-        fleet.candidates(Role.DECODE, pools, model),
-        fleet.candidates(Role.SERVICE, pools, Optional.empty()));
+        upstreams.candidates(Role.PREFILL, pools, model),
+        upstreams.candidates(Role.DECODE, pools, model),
+        upstreams.candidates(Role.SERVICE, pools, Optional.empty()));
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/RuleIndex.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/RuleIndex.java
@@ -25,10 +25,10 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Finds the rule that takes a request, by model first.
+ * An index of the rules by model that finds the rule of a request.
  *
- * <p>Invariant: gives what a search of all rules by descending priority, then by name, gives. Not
- * safe for use by several threads.
+ * <p>Invariant: the result equals that of a search of all rules by descending priority, then by
+ * name. Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -39,11 +39,11 @@
   private ImmutableSortedMap<RuleName, Rule> rules = ImmutableSortedMap.of();
   private ImmutableSortedMap<WorkspaceName, Workspace> workspaces = ImmutableSortedMap.of();
   private final Map<ModelName, ImmutableList<Rule>> byModel = new HashMap<>();
-  private ImmutableList<Rule> anyModel = ImmutableList.of();
-  private ImmutableList<Rule> plain = ImmutableList.of();
+  private ImmutableList<Rule> anyModelRules = ImmutableList.of();
+  private ImmutableList<Rule> plainRules = ImmutableList.of();
 
   /**
-   * Takes a configuration.
+   * Applies a configuration.
    *
    * @param next the configuration
    */
@@ -59,16 +59,17 @@
   }
 
   /**
-   * Finds the rule of a request.
+   * Returns the rule of a request.
    *
    * @param call the request
-   * @return the first that matches; empty if none does
+   * @return the first rule that matches; empty if none does
    */
   public Optional<Rule> find(Call call) {
     ImmutableList<Rule> candidates =
         switch (call) {
-          case Call.Completion completion -> byModel.getOrDefault(completion.model(), anyModel);
-          case Call.Plain ignored -> plain;
+          case Call.Completion completion ->
+              byModel.getOrDefault(completion.model(), anyModelRules);
+          case Call.Plain ignored -> plainRules;
         };
     for (Rule rule : candidates) {
       if (matches(rule.match(), call)) {
@@ -80,11 +81,11 @@
 
   private void rebuild(List<Rule> ordered) {
     byModel.clear();
-    anyModel =
+    anyModelRules =
         ordered.stream()
             .filter(r -> r.match().model().isEmpty() && r.match().pathPrefix().isEmpty())
             .collect(ImmutableList.toImmutableList());
-    plain =
+    plainRules =
         ordered.stream()
             .filter(r -> r.match().model().isEmpty())
             .collect(ImmutableList.toImmutableList());
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/ShareBucket.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/ShareBucket.java
@@ -9,7 +9,7 @@
 import org.larkkeel.lib.TokenBucket;
 
 /**
- * A rate limit that saves up for a short burst; something larger than that leaves a debt.
+ * A token bucket with a short burst; an amount above the burst leaves a debt.
  *
  * <p>Not safe for use by several threads.
  *
@@ -21,10 +21,10 @@
   private TokenBucket bucket;
 
   /**
-   * Sets the rate.
+   * Sets the rate of the limit.
    *
    * @param now the time
-   * @param perSecond units a second, above 0
+   * @param perSecond units per second, above 0
    */
   public void setRate(long now, double perSecond) {
     double capacity = Math.max(1, perSecond * BURST_SECONDS);
@@ -36,18 +36,18 @@
   }
 
   /**
-   * Tells how long it is until an amount may be taken. The rate has been set.
+   * Returns the time until an amount may be taken. The rate must have been set.
    *
    * @param now the time
    * @param amount units
-   * @return nanoseconds; 0 if it may be taken now
+   * @return nanoseconds; 0 if the amount may be taken now
    */
   public long waitFor(long now, double amount) {
     return bucket.timeUntil(amount, now);
   }
 
   /**
-   * Takes an amount; nothing happens before a rate is set.
+   * Takes an amount; does nothing before a rate is set.
    *
    * @param amount units
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/SlotAsker.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/SlotDemandReporter.java
@@ -13,55 +13,55 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Tells the owners of slots how many this node can use; only while it has work.
+ * Reports to the owners of slots how many slots this node can use, while it has requests.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
-public final class SlotAsker {
-  private static final int HEADROOM = 1;
+public final class SlotDemandReporter {
+  private static final int HEADROOM_SLOTS = 1;
 
   private final Core core;
   private final Timer timer;
-  private final Map<UpstreamName, Integer> told = new HashMap<>();
+  private final Map<UpstreamName, Integer> reported = new HashMap<>();
 
-  SlotAsker(Core core) {
+  SlotDemandReporter(Core core) {
     this.core = core;
-    this.timer = new Timer(this::ask);
+    this.timer = new Timer(this::reportAll);
   }
 
-  /** Begins to ask if slots are shared and there is work. */
-  public void wake() {
+  /** Starts the periodic reports if slots are shared and there are requests. */
+  public void start() {
     if (core.context.settings().sharedSlots() && !timer.isSet() && !core.requests.isEmpty()) {
-      ask();
+      reportAll();
     }
   }
 
-  private void ask() {
+  private void reportAll() {
     for (UpstreamState state : core.fleet.all()) {
-      int wanted = wanted(state);
-      Integer before = told.get(state.name);
-      if (wanted > 0 || before != null) {
-        tell(state, wanted);
+      int needed = neededSlots(state);
+      Integer previous = reported.get(state.name);
+      if (needed > 0 || previous != null) {
+        report(state, needed);
       }
     }
-    told.keySet().removeIf(name -> core.fleet.get(name) == null);
+    reported.keySet().removeIf(name -> core.fleet.get(name) == null);
     if (!core.requests.isEmpty()) {
       core.context.timers().set(timer, core.context.now() + core.context.settings().wantNanos());
     }
   }
 
-  private void tell(UpstreamState state, int wanted) {
-    if (wanted == 0) {
-      told.remove(state.name);
+  private void report(UpstreamState state, int needed) {
+    if (needed == 0) {
+      reported.remove(state.name);
     } else {
-      told.put(state.name, wanted);
+      reported.put(state.name, needed);
     }
-    core.context.emit(new Effect.WantSlots(state.name, wanted));
+    core.context.emit(new Effect.WantSlots(state.name, needed));
   }
 
-  private static int wanted(UpstreamState state) {
+  private static int neededSlots(UpstreamState state) {
     int waiting = 0;
     boolean takesSlots = false;
     for (Membership member : state.memberships) {
@@ -74,7 +74,7 @@
       return 0;
     }
     int used = state.slots.active() + state.slots.reserved();
-    int wanted = used + waiting;
-    return wanted == 0 ? 0 : Math.min(state.slots.limit(), wanted + HEADROOM);
+    int needed = used + waiting;
+    return needed == 0 ? 0 : Math.min(state.slots.limit(), needed + HEADROOM_SLOTS);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/SlotLedger.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/SlotLedger.java
@@ -9,31 +9,33 @@
 import org.larkkeel.event.LoadReport;
 
 /**
- * The slots of one upstream: those that this node holds or has promised, and those of others.
+ * The slots of one upstream: those that this node holds or has reserved, and those that other nodes
+ * hold.
  *
- * <p>A report describes the past, so what others hold is the reported number less what this node
- * held at that time. Invariant: no count is negative. Not safe for use by several threads.
+ * <p>A load report describes a past time, so the slots of other nodes are the reported number less
+ * what this node held at that time. Invariant: no count is negative. Not safe for use by several
+ * threads.
  *
  * @since 0.1
  */
 public final class SlotLedger {
-  private static final int HISTORY = 512;
-  private static final long REFUSAL_NANOS = 300_000_000L;
+  private static final int HISTORY_SIZE = 512;
+  private static final long REFUSAL_EFFECT_NANOS = 300_000_000L;
 
-  private final long[] times = new long[HISTORY];
-  private final int[] counts = new int[HISTORY];
+  private final long[] times = new long[HISTORY_SIZE];
+  private final int[] counts = new int[HISTORY_SIZE];
   private int written;
   private int limit;
   private int granted = -1;
   private long grantedUntil;
   private int active;
   private int reserved;
-  private int others;
-  private int refusals;
+  private int heldByOthers;
+  private int recentRefusals;
   private long refusedUntil;
 
   /**
-   * Sets the number of slots of the upstream.
+   * Sets the configured number of slots of the upstream.
    *
    * @param slots a number above 0
    */
@@ -42,9 +44,9 @@
   }
 
   /**
-   * Takes a grant of slots for this node.
+   * Applies a grant of slots to this node.
    *
-   * @param slots slots that this node may use
+   * @param slots the number of slots that this node may use
    * @param until the end of the grant
    */
   public void grant(int slots, long until) {
@@ -53,138 +55,139 @@
   }
 
   /**
-   * Takes what the upstream said of itself.
+   * Applies a load report of the upstream.
    *
    * @param report the report
    */
-  public void reported(LoadReport report) {
+  public void applyReport(LoadReport report) {
     if (report.slots() > 0) {
       limit = report.slots();
     }
-    others = Math.max(0, report.running() + report.waiting() - activeAt(report.asOf()));
-    refusals = 0;
+    heldByOthers = Math.max(0, report.running() + report.waiting() - activeAt(report.asOf()));
+    recentRefusals = 0;
   }
 
   /**
-   * The upstream refused for want of a slot, so for a short time one less is counted on.
+   * Records a refusal for lack of a slot; for a short time, one slot less is considered usable.
    *
    * @param now the time
    */
-  public void refused(long now) {
-    refusals = refusals(now) + 1;
-    refusedUntil = now + REFUSAL_NANOS;
+  public void recordRefusal(long now) {
+    recentRefusals = recentRefusals(now) + 1;
+    refusedUntil = now + REFUSAL_EFFECT_NANOS;
   }
 
-  /** Forgets what others and this node held: the upstream started anew. */
+  /** Resets the slots of other nodes and the history of this node, as the upstream restarted. */
   public void restarted() {
-    others = 0;
-    refusals = 0;
+    heldByOthers = 0;
+    recentRefusals = 0;
     written = 0;
   }
 
   /**
-   * A slot is taken.
+   * Records that this node takes a slot.
    *
    * @param now the time
    */
   public void take(long now) {
     active++;
-    note(now);
+    recordHistory(now);
   }
 
   /**
-   * A slot is given back.
+   * Records that this node releases a slot.
    *
    * @param now the time
    */
   public void release(long now) {
     active--;
-    note(now);
+    recordHistory(now);
   }
 
-  /** Promises a slot to a request that is not there yet. */
+  /** Reserves a slot for a request that is not yet at the upstream. */
   public void reserve() {
     reserved++;
   }
 
-  /** Takes a promise back. */
+  /** Removes a reservation. */
   public void unreserve() {
     reserved--;
   }
 
   /**
-   * Slots that this node may use, those it holds included.
+   * Returns the number of slots that this node may use, including those that it holds.
    *
    * @param now the time
-   * @param shared whether slots are granted; without a valid grant the share is used
-   * @param nodes live nodes
-   * @return a number not below 0
+   * @param shared true if slots are granted by their owner; without a valid grant, an equal share
+   *     of the slots over the live nodes is used
+   * @param nodes the number of live nodes
+   * @return the number, at least 0
    */
   public int usable(long now, boolean shared, int nodes) {
-    int left = Math.max(0, limit - others - refusals(now));
+    int available = Math.max(0, limit - heldByOthers - recentRefusals(now));
     if (!shared) {
-      return left;
+      return available;
     }
     if (granted >= 0 && now < grantedUntil) {
-      return Math.min(granted, left);
+      return Math.min(granted, available);
     }
-    return Math.min(left, Math.max(1, limit / Math.max(1, nodes)));
+    return Math.min(available, Math.max(1, limit / Math.max(1, nodes)));
   }
 
   /**
-   * Slots of the upstream.
+   * Returns the number of slots of the upstream.
    *
-   * @return a number
+   * @return the number
    */
   public int limit() {
     return limit;
   }
 
   /**
-   * Slots that this node holds.
+   * Returns the number of slots that this node holds.
    *
-   * @return a number
+   * @return the number
    */
   public int active() {
     return active;
   }
 
   /**
-   * Slots that this node has promised to requests on their way.
+   * Returns the number of slots that this node has reserved for requests not yet at the upstream.
    *
-   * @return a number
+   * @return the number
    */
   public int reserved() {
     return reserved;
   }
 
   /**
-   * Slots held by others, as far as known.
+   * Returns the number of slots that other nodes hold according to the last load report.
    *
-   * @return a number
+   * @return the number
    */
-  public int others() {
-    return others;
+  public int heldByOthers() {
+    return heldByOthers;
   }
 
-  private int refusals(long now) {
-    return now < refusedUntil ? refusals : 0;
+  private int recentRefusals(long now) {
+    return now < refusedUntil ? recentRefusals : 0;
   }
 
-  private void note(long now) {
-    int place = written % HISTORY;
-    times[place] = now;
-    counts[place] = active;
+  private void recordHistory(long now) {
+    int index = written % HISTORY_SIZE;
+    times[index] = now;
+    counts[index] = active;
     written++;
   }
 
   private int activeAt(long time) {
-    int oldest = Math.max(0, written - HISTORY);
+    int oldest = Math.max(0, written - HISTORY_SIZE);
     for (int i = written - 1; i >= oldest; i--) {
-      if (times[i % HISTORY] <= time) {
-        return counts[i % HISTORY];
+      if (times[i % HISTORY_SIZE] <= time) {
+        return counts[i % HISTORY_SIZE];
       }
     }
-    return written > HISTORY ? counts[oldest % HISTORY] : 0;
+    return written > HISTORY_SIZE ? counts[oldest % HISTORY_SIZE] : 0;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/StatusView.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/StatusView.java
@@ -20,7 +20,7 @@
 import org.larkkeel.router.RouterStatus.UpstreamStatus;
 
 /**
- * Describes the router for operators; changes nothing.
+ * Creates read-only views of the state of the router for operators.
  *
  * <p>Not safe for use by several threads.
  *
@@ -32,23 +32,23 @@
   /**
    * Creates a view.
    *
-   * @param core the parts of the router
+   * @param core the components of the router
    */
   public StatusView(Core core) {
     this.core = core;
   }
 
   /**
-   * Describes the router.
+   * Returns the current status of the router.
    *
-   * @param revision the configuration in force
-   * @return a view of it as it is now
+   * @param revision the revision of the configuration in force
+   * @return an immutable snapshot
    */
   public RouterStatus status(Revision revision) {
     int queued = core.routes.all().stream().mapToInt(Route::queued).sum();
     return new RouterStatus(
         revision,
-        core.arrivals.isStopping(),
+        core.arrivals.isDraining(),
         core.requests.size(),
         queued,
         core.attempts.size(),
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Tells why a request would go where.
+   * Explains where a request would be placed and why.
    *
    * @param call the request
    * @return the explanation
@@ -82,7 +82,7 @@
         rule.map(Rule::name),
         pools.stream().map(Pool::name).collect(ImmutableList.toImmutableList()),
         candidates.build(),
-        route.map(r -> r.pace.wait(queued)).orElse(0L),
+        route.map(r -> r.departures.predictedWaitNanos(queued)).orElse(0L),
         queued);
   }
 
@@ -91,19 +91,19 @@
       Role role,
       ImmutableList<Pool> pools,
       Optional<Route> route,
-      ImmutableList.Builder<Candidate> into) {
+      ImmutableList.Builder<Candidate> builder) {
     for (UpstreamState state : core.fleet.all()) {
       boolean selected =
           pools.stream()
               .filter(p -> p.role() == role)
               .anyMatch(p -> p.upstreams().matches(state.config().labels()));
       if (selected && state.isConfigured()) {
-        into.add(
+        builder.add(
             new Candidate(
                 state.name,
                 role,
                 verdict(call, role, state, route),
-                Math.max(0, core.fleet.unpromised(state)),
+                Math.max(0, core.fleet.unreservedSlots(state)),
                 state.attempts.size(),
                 predicted(call, role, state, route)));
       }
@@ -114,10 +114,10 @@
     if (call instanceof Call.Completion completion && !state.serves(completion.model())) {
       return Verdict.OTHER_MODEL;
     }
-    if (!state.takesRequests()) {
+    if (!state.acceptsRequests()) {
       return Verdict.EJECTED;
     }
-    return route.map(r -> setOf(r, role).hasRoom(state)).orElse(false)
+    return route.map(r -> candidatesOf(r, role).hasCapacity(state)).orElse(false)
         ? Verdict.FITS
         : Verdict.FULL;
   }
@@ -136,7 +136,7 @@
     };
   }
 
-  private static CandidateSet setOf(Route route, Role role) {
+  private static CandidateSet candidatesOf(Route route, Role role) {
     return switch (role) {
       case PREFILL -> route.prefill();
       case DECODE -> route.decode();
@@ -149,11 +149,11 @@
     return new UpstreamStatus(
         state.name,
         state.isConfigured(),
-        state.health.isOut(),
-        state.slots.usable(core.context.now(), shared, core.fleet.nodes()),
-        Math.max(0, core.fleet.unpromised(state)),
+        state.health.isEjectedOrProbing(),
+        state.slots.usable(core.context.now(), shared, core.fleet.nodeCount()),
+        Math.max(0, core.fleet.unreservedSlots(state)),
         state.attempts.size(),
-        state.rates.prefillTokensPerSecond(),
-        state.rates.decodeNanosPerToken());
+        state.speeds.prefillTokensPerSecond(),
+        state.speeds.decodeNanosPerToken());
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Timer.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Timer.java
@@ -7,10 +7,10 @@
 package org.larkkeel.router.internal;
 
 /**
- * One moment at which something is to be done; it can be moved or cleared.
+ * A timer that can be set, moved and cleared in a {@link TimerQueue}.
  *
- * <p>Invariant: in at most one place of at most one {@link TimerQueue}. Not safe for use by several
- * threads.
+ * <p>Invariant: a timer is in at most one queue, at the index that it knows. Not safe for use by
+ * several threads.
  *
  * @since 0.1
  */
@@ -24,22 +24,22 @@
   /**
    * Creates a timer that is not set.
    *
-   * @param action what is done when it is due
+   * @param action the action to run when the timer fires
    */
   public Timer(Runnable action) {
     this.action = action;
   }
 
   /**
-   * Tells whether the timer is set.
+   * Returns whether the timer is set.
    *
-   * @return true if it waits in a queue
+   * @return true if it is in a queue
    */
   public boolean isSet() {
     return index != UNSET;
   }
 
-  /** Does what the timer is for. */
+  /** Runs the action. */
   void fire() {
     action.run();
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/TimerQueue.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/TimerQueue.java
@@ -9,15 +9,15 @@
 import java.util.Arrays;
 
 /**
- * Timers in a binary heap that knows each one's place, so that a cleared timer leaves nothing.
+ * A binary heap of timers. Each timer knows its index, so a cleared timer is removed at once.
  *
- * <p>Invariant: the number of entries is the number of timers set. Not safe for use by several
+ * <p>Invariant: the heap contains exactly the timers that are set. Not safe for use by several
  * threads.
  *
  * @since 0.1
  */
 public final class TimerQueue {
-  /** The time of the next timer if there is none. */
+  /** The value of {@link #next} if no timer is set. */
   public static final long NEVER = Long.MAX_VALUE;
 
   private static final int INITIAL_CAPACITY = 64;
@@ -26,10 +26,10 @@
   private int size;
 
   /**
-   * Sets a timer, or moves it if it is set.
+   * Sets a timer; moves it if it is already set.
    *
    * @param timer the timer
-   * @param at when it is due, nanoseconds
+   * @param at the time at which the timer fires, in nanoseconds
    */
   public void set(Timer timer, long at) {
     if (!timer.isSet()) {
@@ -49,20 +49,20 @@
     if (!timer.isSet()) {
       return;
     }
-    final int place = timer.index;
+    final int index = timer.index;
     size--;
     Timer last = heap[size];
     heap[size] = null;
     timer.index = Timer.UNSET;
     if (last != timer) {
-      put(last, place);
-      siftUp(place);
+      put(last, index);
+      siftUp(index);
       siftDown(last.index);
     }
   }
 
   /**
-   * Does what the timers due until a time are for, earliest first.
+   * Fires the timers that are due at or before a time, earliest first.
    *
    * @param now the time
    */
@@ -75,18 +75,18 @@
   }
 
   /**
-   * The time of the earliest timer.
+   * Returns the time of the earliest timer.
    *
-   * @return nanoseconds, or {@link #NEVER}
+   * @return nanoseconds; {@link #NEVER} if no timer is set
    */
   public long next() {
     return size == 0 ? NEVER : heap[0].at;
   }
 
   /**
-   * The number of timers set.
+   * Returns the number of timers that are set.
    *
-   * @return a count
+   * @return the number
    */
   public int size() {
     return size;
@@ -101,39 +101,39 @@
     size++;
   }
 
-  private void put(Timer timer, int place) {
-    heap[place] = timer;
-    timer.index = place;
+  private void put(Timer timer, int index) {
+    heap[index] = timer;
+    timer.index = index;
   }
 
   private void siftUp(int start) {
     Timer timer = heap[start];
-    int place = start;
-    while (place > 0) {
-      int parent = (place - 1) >>> 1;
+    int index = start;
+    while (index > 0) {
+      int parent = (index - 1) >>> 1;
       if (heap[parent].at <= timer.at) {
         break;
       }
-      put(heap[parent], place);
-      place = parent;
+      put(heap[parent], index);
+      index = parent;
     }
-    put(timer, place);
+    put(timer, index);
   }
 
   private void siftDown(int start) {
     Timer timer = heap[start];
-    int place = start;
-    while (2 * place + 1 < size) {
-      int child = 2 * place + 1;
+    int index = start;
+    while (2 * index + 1 < size) {
+      int child = 2 * index + 1;
       if (child + 1 < size && heap[child + 1].at < heap[child].at) {
         child++;
       }
       if (heap[child].at >= timer.at) {
         break;
       }
-      put(heap[child], place);
-      place = child;
+      put(heap[child], index);
+      index = child;
     }
-    put(timer, place);
+    put(timer, index);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/UpstreamState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/UpstreamState.java
@@ -18,40 +18,40 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * What the router knows of one upstream; kept while the configuration has it or attempts are there.
+ * The known state of one upstream; kept while the upstream is configured or has attempts.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class UpstreamState {
-  private static final long RELEASE_RATE_NANOS = 50_000_000L;
+  private static final long RELEASE_RATE_MAX_AGE_NANOS = 50_000_000L;
 
-  /** The name. */
+  /** The name of the upstream. */
   public final UpstreamName name;
 
-  /** How fast it works. */
-  public final Rates rates;
+  /** The estimated speeds. */
+  public final SpeedEstimates speeds;
 
-  /** Its slots. */
+  /** The slots. */
   public final SlotLedger slots = new SlotLedger();
 
-  /** Its link. */
+  /** The transfers on the link. */
   public final LinkLedger link = new LinkLedger();
 
-  /** Its prefill work. */
+  /** The prefill work. */
   public final PrefillLedger prefills = new PrefillLedger();
 
-  /** Its prefix cache. */
+  /** The known contents of the prefix cache. */
   public final PrefixCache cache;
 
-  /** Whether it gets requests. */
+  /** The ejection state. */
   public final Health health;
 
-  /** When its ejection ends. */
+  /** The timer for the end of an ejection. */
   public final Timer probeTimer;
 
-  /** Attempts of this node that are there. */
+  /** The attempts of this node at the upstream. */
   public final Map<AttemptId, Attempt> attempts = new LinkedHashMap<>();
 
   final List<Membership> memberships = new ArrayList<>(2);
@@ -61,23 +61,23 @@
   private boolean configured;
   private Incarnation incarnation;
   private LoadReport report;
-  private int unanswered;
+  private int failedQueries;
   private double releaseRate;
   private long releaseRateUntil;
 
   /**
    * Creates the state of an upstream.
    *
-   * @param config what the configuration says
-   * @param prior what is known of its like
-   * @param index the index of prefixes
-   * @param health whether it gets requests
-   * @param onProbe what is done when an ejection ends
+   * @param config the configured upstream
+   * @param similar the speeds of similar upstreams, used until this one has samples
+   * @param index the index of prefixes over all upstreams
+   * @param health the ejection state
+   * @param onProbe the action at the end of an ejection
    */
   public UpstreamState(
-      Upstream config, Rates prior, PrefixIndex index, Health health, Runnable onProbe) {
+      Upstream config, SpeedEstimates similar, PrefixIndex index, Health health, Runnable onProbe) {
     this.name = config.name();
-    this.rates = new Rates(prior);
+    this.speeds = new SpeedEstimates(similar);
     this.cache = new PrefixCache(this, index);
     this.health = health;
     this.probeTimer = new Timer(onProbe);
@@ -85,9 +85,9 @@
   }
 
   /**
-   * Takes what the configuration says now.
+   * Applies a changed configuration of the upstream.
    *
-   * @param newConfig the upstream
+   * @param newConfig the configured upstream
    */
   public void configure(Upstream newConfig) {
     config = newConfig;
@@ -97,22 +97,22 @@
     link.setRate(newConfig.linkBytesPerSecond());
   }
 
-  /** The configuration has it no more. */
-  public void removeConfig() {
+  /** Records that the configuration no longer contains the upstream. */
+  public void markRemoved() {
     configured = false;
   }
 
   /**
-   * What the configuration says, or said last.
+   * Returns the configured upstream.
    *
-   * @return the upstream
+   * @return the upstream as last configured
    */
   public Upstream config() {
     return config;
   }
 
   /**
-   * Tells whether the configuration has it.
+   * Returns whether the configuration contains the upstream.
    *
    * @return true if so
    */
@@ -121,24 +121,24 @@
   }
 
   /**
-   * Its data centre.
+   * Returns the data centre of the upstream.
    *
-   * @return the name, empty if it has no such label
+   * @return the name; empty if the upstream has no such label
    */
   public String dataCentre() {
     return dataCentre;
   }
 
   /**
-   * Takes a report of its load. One of another start tells of a later life, also if the start is
-   * smaller, as clocks are set back; unless it describes a time before the last report, so that it
-   * is late news of an earlier life and is ignored.
+   * Applies a load report. A report of another incarnation means that the upstream restarted, even
+   * if the incarnation is smaller, as clocks can be set back. If such a report describes a time
+   * before the last report, it is a late one of an earlier incarnation and is ignored.
    *
    * @param newReport the report
-   * @return true if it started anew since the last one
+   * @return true if the upstream restarted since the last report
    */
-  public boolean reported(LoadReport newReport) {
-    unanswered = 0;
+  public boolean applyReport(LoadReport newReport) {
+    failedQueries = 0;
     boolean restarted = incarnation != null && !newReport.incarnation().equals(incarnation);
     if (restarted && newReport.asOf() < report.asOf()) {
       return false;
@@ -149,16 +149,17 @@
     }
     incarnation = newReport.incarnation();
     report = newReport;
-    slots.reported(newReport);
-    prefills.setOthers(Math.max(0, newReport.running() + newReport.waiting() - prefills.running()));
+    slots.applyReport(newReport);
+    prefills.setPrefillsOfOthers(
+        Math.max(0, newReport.running() + newReport.waiting() - prefills.running()));
     return restarted;
   }
 
   /**
-   * Tells whether a report names the same models as the last one.
+   * Returns whether a report names the same models as the last one.
    *
    * @param newReport the report
-   * @return true if the set of models that it serves does not change
+   * @return true if the set of served models does not change
    */
   public boolean reportsModels(LoadReport newReport) {
     return report == null
@@ -167,26 +168,26 @@
   }
 
   /**
-   * Its load could not be asked for.
+   * Counts a failed query of the load.
    *
-   * @return how often in a row
+   * @return the number of consecutive failed queries
    */
-  public int unanswered() {
-    unanswered++;
-    return unanswered;
+  public int countFailedQuery() {
+    failedQueries++;
+    return failedQueries;
   }
 
   /**
-   * Tells whether its last report is missing.
+   * Returns whether the last query of the load failed.
    *
-   * @return true if it did not answer the last time
+   * @return true if so
    */
-  public boolean isSilent() {
-    return unanswered > 0;
+  public boolean isUnresponsive() {
+    return failedQueries > 0;
   }
 
   /**
-   * The start that it last reported.
+   * Returns the incarnation that the upstream last reported.
    *
    * @return the incarnation; null if unknown
    */
@@ -195,10 +196,11 @@
   }
 
   /**
-   * Tells whether it serves a model.
+   * Returns whether the upstream serves a model.
    *
    * @param model the model
-   * @return true if it is declared for it and has not reported that it is missing
+   * @return true if the upstream is declared for the model and the last report, if it names any
+   *     models, contains it
    */
   public boolean serves(ModelName model) {
     return config.models().contains(model)
@@ -206,33 +208,33 @@
   }
 
   /**
-   * Tells whether a new request may be sent to it.
+   * Returns whether the upstream accepts new requests.
    *
-   * @return true if it is configured, not leaving, and healthy enough
+   * @return true if it is configured, not leaving, and either not ejected or free for a probe
    */
-  public boolean takesRequests() {
-    return configured && !config.isLeaving() && health.takes(attempts.size());
+  public boolean acceptsRequests() {
+    return configured && !config.isLeaving() && health.accepts(attempts.size());
   }
 
   /**
-   * Predicts the rate at which slots come free; at most some time old.
+   * Returns the predicted rate of slot releases, which is recomputed only at intervals.
    *
    * @param now the time
-   * @return slots a nanosecond
+   * @return slots per nanosecond
    */
   double releaseRate(long now) {
     if (now >= releaseRateUntil) {
-      releaseRateUntil = now + RELEASE_RATE_NANOS;
-      releaseRate = Releases.rate(this, now);
+      releaseRateUntil = now + RELEASE_RATE_MAX_AGE_NANOS;
+      releaseRate = ReleasePredictor.rate(this, now);
     }
     return releaseRate;
   }
 
-  void join(Membership member) {
+  void addMembership(Membership member) {
     memberships.add(member);
   }
 
-  void leave(Membership member) {
+  void removeMembership(Membership member) {
     memberships.remove(member);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Fleet.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/UpstreamTable.java
@@ -27,22 +27,22 @@
 import org.larkkeel.router.ReservationPolicy;
 
 /**
- * All upstreams, and the candidate sets over them.
+ * The known upstreams and the candidate sets over them.
  *
- * <p>Invariant: each candidate set has exactly the upstreams that its pools select and that serve
- * its model. Not safe for use by several threads.
+ * <p>Invariant: each candidate set contains exactly the upstreams that its pools select and that
+ * serve its model. Not safe for use by several threads.
  *
  * @since 0.1
  */
-public final class Fleet {
+public final class UpstreamTable {
   private static final String GENERATION_LABEL = "gen";
 
   /**
-   * What identifies a candidate set.
+   * The key of a candidate set.
    *
-   * @param role what the upstreams do
-   * @param pools the pools that they are in
-   * @param model the model that they serve; empty for any
+   * @param role the role of the upstreams
+   * @param pools the pools that select the upstreams
+   * @param model the model that the upstreams serve; empty for any
    */
   private record SetKey(Role role, ImmutableSet<PoolName> pools, Optional<ModelName> model) {}
 
@@ -51,26 +51,26 @@
   private final PrefixIndex prefixes = new PrefixIndex();
   private final PoolIndex pools = new PoolIndex();
   private final Map<UpstreamName, UpstreamState> states = new TreeMap<>();
-  private final Map<SetKey, CandidateSet> sets = new HashMap<>();
-  private final Map<String, Rates> priors = new HashMap<>();
-  private final Rates overall = new Rates(null);
-  private final Set<Route> ready = new LinkedHashSet<>();
-  private ImmutableSet<ModelName> models = ImmutableSet.of();
+  private final Map<SetKey, CandidateSet> candidateSets = new HashMap<>();
+  private final Map<String, SpeedEstimates> speedsByKind = new HashMap<>();
+  private final SpeedEstimates overallSpeeds = new SpeedEstimates(null);
+  private final Set<Route> readyRoutes = new LinkedHashSet<>();
+  private ImmutableSet<ModelName> declaredModels = ImmutableSet.of();
   private Configuration current = Configuration.EMPTY;
-  private int nodes = 1;
+  private int nodeCount = 1;
 
   /**
-   * Creates an empty fleet.
+   * Creates an empty table.
    *
-   * @param context what the parts of the router share
+   * @param context the shared state of the router
    */
-  public Fleet(Context context) {
+  public UpstreamTable(Context context) {
     this.context = context;
     this.ejections = new Ejections(context, this);
   }
 
   /**
-   * Takes a configuration; what is known of upstreams that stay is kept.
+   * Applies a configuration; the state of upstreams that remain is kept.
    *
    * @param next the configuration
    */
@@ -85,58 +85,58 @@
     }
     for (UpstreamState state : Set.copyOf(states.values())) {
       if (!next.upstreams().containsKey(state.name)) {
-        state.removeConfig();
-        forgetIfIdle(state);
+        state.markRemoved();
+        removeIfIdle(state);
       }
     }
-    Set<PoolName> touched = pools.apply(next);
+    Set<PoolName> changedPools = pools.apply(next);
     current = next;
-    models =
+    declaredModels =
         next.upstreams().values().stream()
             .flatMap(u -> u.models().stream())
             .collect(ImmutableSet.toImmutableSet());
-    rebuild(touched);
-    states.values().forEach(this::gained);
-    touched.forEach(this::reportIfEmpty);
+    refillSets(changedPools);
+    states.values().forEach(this::capacityFreed);
+    changedPools.forEach(this::reportIfEmpty);
   }
 
   /**
-   * Drops the candidate sets that no route uses.
+   * Removes the candidate sets that no route uses.
    *
-   * <p>To be called after the routes have taken a new configuration.
+   * <p>Must be called after the routes have applied a new configuration.
    */
-  public void prune() {
-    sets.values().removeIf(this::dropIfUnused);
+  public void removeUnusedSets() {
+    candidateSets.values().removeIf(this::clearIfUnused);
   }
 
   /**
-   * Finds or makes the candidate set of a role.
+   * Returns the candidate set of a role; creates it if needed.
    *
-   * @param role what the upstreams do
-   * @param among the pools of the rule, of any role
+   * @param role the role of the upstreams
+   * @param rulePools the pools of the rule, of any role
    * @param model the model; empty for any
-   * @return the set
+   * @return the set, not null
    */
-  public CandidateSet candidates(Role role, Collection<Pool> among, Optional<ModelName> model) {
+  public CandidateSet candidates(Role role, Collection<Pool> rulePools, Optional<ModelName> model) {
     ImmutableSet<PoolName> names =
-        among.stream()
+        rulePools.stream()
             .filter(p -> p.role() == role)
             .map(Pool::name)
             .collect(ImmutableSet.toImmutableSet());
     SetKey key = new SetKey(role, names, model);
-    CandidateSet set = sets.get(key);
+    CandidateSet set = candidateSets.get(key);
     if (set == null) {
       set = new CandidateSet(role);
-      sets.put(key, set);
+      candidateSets.put(key, set);
       fill(key, set);
     }
     return set;
   }
 
   /**
-   * Finds an upstream.
+   * Returns an upstream.
    *
-   * @param name its name
+   * @param name the name of the upstream
    * @return its state; null if unknown
    */
   public UpstreamState get(UpstreamName name) {
@@ -144,26 +144,26 @@
   }
 
   /**
-   * All upstreams.
+   * Returns all upstreams.
    *
-   * @return their states in order of name
+   * @return the states, ordered by name
    */
   public Collection<UpstreamState> all() {
     return states.values();
   }
 
   /**
-   * Tells whether any upstream is declared for a model.
+   * Returns whether any upstream is declared for a model.
    *
    * @param model the model
-   * @return true if so
+   * @return true if the configuration in force has such an upstream
    */
-  public boolean knows(ModelName model) {
-    return models.contains(model);
+  public boolean isDeclared(ModelName model) {
+    return declaredModels.contains(model);
   }
 
   /**
-   * Which upstreams get no requests because they failed.
+   * Returns the ejections of upstreams.
    *
    * @return the ejections
    */
@@ -172,7 +172,7 @@
   }
 
   /**
-   * The index of prompt prefixes.
+   * Returns the index of prompt prefixes.
    *
    * @return the index
    */
@@ -185,114 +185,119 @@
    *
    * @param count a number above 0
    */
-  public void setNodes(int count) {
-    nodes = Math.max(1, count);
+  public void setNodeCount(int count) {
+    nodeCount = Math.max(1, count);
   }
 
   /**
-   * The number of live nodes.
+   * Returns the number of live nodes.
    *
    * @return a number above 0
    */
-  public int nodes() {
-    return nodes;
+  public int nodeCount() {
+    return nodeCount;
   }
 
   /**
-   * The models that an upstream reported changed, so the candidate sets may have to.
+   * Updates the candidate sets after a change of the models that an upstream reports.
    *
    * @param state the upstream
    */
   public void modelsChanged(UpstreamState state) {
-    Set<PoolName> touched = new LinkedHashSet<>();
+    Set<PoolName> changedPools = new LinkedHashSet<>();
     for (PoolName pool : current.pools().keySet()) {
       if (pools.members(pool).contains(state.name)) {
-        touched.add(pool);
+        changedPools.add(pool);
       }
     }
-    rebuild(touched);
-    gained(state);
+    refillSets(changedPools);
+    capacityFreed(state);
   }
 
   /**
-   * Slots that this node may use at an upstream and that are free.
+   * Returns the number of free slots that this node may use at an upstream.
    *
    * @param state the upstream
-   * @return a number; negative if more are held than may be used
+   * @return the number; negative if this node holds more slots than it may use
    */
-  public int free(UpstreamState state) {
+  public int freeSlots(UpstreamState state) {
     boolean shared = context.settings().sharedSlots();
-    return state.slots.usable(context.now(), shared, nodes) - state.slots.active();
+    return state.slots.usable(context.now(), shared, nodeCount) - state.slots.active();
   }
 
   /**
-   * Free slots that are not promised.
+   * Returns the number of free slots that this node may use and that are not reserved.
    *
    * @param state the upstream
-   * @return a number; negative if overbooked
+   * @return the number; negative if overbooked
    */
-  public int unpromised(UpstreamState state) {
-    return free(state) - state.slots.reserved();
+  public int unreservedSlots(UpstreamState state) {
+    return freeSlots(state) - state.slots.reserved();
   }
 
   /**
-   * Updates whether an upstream has room after something was taken.
+   * Updates the candidate sets after capacity of an upstream was taken.
    *
    * @param state the upstream
    */
-  public void lost(UpstreamState state) {
+  public void capacityTaken(UpstreamState state) {
     for (int i = 0; i < state.memberships.size(); i++) {
-      update(state, state.memberships.get(i));
+      updateMembership(state, state.memberships.get(i));
     }
   }
 
   /**
-   * Updates whether an upstream has room after something may have been given back, and makes the
-   * routes that it serves ready.
+   * Updates the candidate sets after capacity of an upstream may have been freed, and marks the
+   * routes that it can serve as ready.
    *
    * @param state the upstream
    */
-  public void gained(UpstreamState state) {
+  public void capacityFreed(UpstreamState state) {
     for (int i = 0; i < state.memberships.size(); i++) {
       Membership member = state.memberships.get(i);
-      if (update(state, member)) {
-        ready.addAll(member.set.routes());
+      if (updateMembership(state, member)) {
+        readyRoutes.addAll(member.set.routes());
       }
     }
   }
 
-  private boolean update(UpstreamState state, Membership member) {
-    boolean room = hasRoom(state, member.set.role());
-    member.set.setRoomy(member, room);
+  private boolean updateMembership(UpstreamState state, Membership member) {
+    boolean available = hasCapacity(state, member.set.role());
+    member.set.setAvailable(member, available);
     if (member.set.role() == Role.DECODE) {
-      boolean takes = takesRequests(state);
-      double rate = takes ? state.releaseRate(context.now()) : 0;
-      int usable = takes ? free(state) + state.slots.active() : 0;
-      member.set.count(member, takes ? unpromised(state) : 0, usable, state.slots.others(), rate);
+      boolean accepts = acceptsRequests(state);
+      double releaseRate = accepts ? state.releaseRate(context.now()) : 0;
+      int usable = accepts ? freeSlots(state) + state.slots.active() : 0;
+      member.set.updateTotals(
+          member,
+          accepts ? unreservedSlots(state) : 0,
+          usable,
+          state.slots.heldByOthers(),
+          releaseRate);
     }
-    return room;
+    return available;
   }
 
   /**
-   * Makes a route ready to be served.
+   * Marks a route as ready to be served.
    *
    * @param route the route
    */
-  public void ready(Route route) {
-    ready.add(route);
+  public void markReady(Route route) {
+    readyRoutes.add(route);
   }
 
   /**
-   * The routes whose requests may have become placeable; cleared by who serves them.
+   * Returns the ready routes, whose requests may have become placeable.
    *
-   * @return a set that may be changed
+   * @return the set itself, which the dispatcher clears
    */
-  public Set<Route> ready() {
-    return ready;
+  public Set<Route> readyRoutes() {
+    return readyRoutes;
   }
 
   /**
-   * Notes that an attempt is at its upstream.
+   * Records that an attempt is at its upstream.
    *
    * @param attempt the attempt
    */
@@ -301,33 +306,33 @@
     state.attempts.put(attempt.id, attempt);
     switch (attempt.kind) {
       case PREFILL -> {
-        attempt.computing = true;
-        state.prefills.started(context.now(), attempt.tokens);
+        attempt.prefilling = true;
+        state.prefills.started(context.now(), attempt.prefillTokens);
       }
       case DECODE, PLAIN -> takeSlot(attempt);
-      default -> throw new IllegalStateException("a claim has no upstream");
+      default -> throw new IllegalStateException("a claim attempt has no upstream");
     }
-    lost(state);
+    capacityTaken(state);
   }
 
   /**
-   * Notes that a prefill computes no more; its KV cache may be held.
+   * Records the end of the computation of a prefill; its KV cache may still be held.
    *
    * @param attempt the attempt
-   * @return since when the engine was free for it at the earliest
+   * @return the earliest time at which the engine can have started to compute this prefill
    */
-  public long computed(Attempt attempt) {
-    if (!attempt.computing) {
+  public long prefillEnded(Attempt attempt) {
+    if (!attempt.prefilling) {
       return attempt.startedAt;
     }
-    attempt.computing = false;
-    long freeSince = attempt.upstream.prefills.ended(context.now(), attempt.tokens);
-    gained(attempt.upstream);
+    attempt.prefilling = false;
+    long freeSince = attempt.upstream.prefills.ended(context.now(), attempt.prefillTokens);
+    capacityFreed(attempt.upstream);
     return Math.max(freeSince, attempt.startedAt);
   }
 
   /**
-   * Notes that an attempt is no longer at its upstream, or no longer takes anything there.
+   * Records that an attempt has left its upstream, or no longer uses capacity there.
    *
    * @param attempt the attempt
    */
@@ -336,14 +341,14 @@
     if (state.attempts.remove(attempt.id) == null) {
       return;
     }
-    computed(attempt);
+    prefillEnded(attempt);
     releaseSlot(attempt);
-    forgetIfIdle(state);
-    gained(state);
+    removeIfIdle(state);
+    capacityFreed(state);
   }
 
-  private boolean hasRoom(UpstreamState state, Role role) {
-    if (!takesRequests(state)) {
+  private boolean hasCapacity(UpstreamState state, Role role) {
+    if (!acceptsRequests(state)) {
       return false;
     }
     if (context.settings().queue() instanceof QueuePolicy.Immediate) {
@@ -351,16 +356,16 @@
     }
     return switch (role) {
       case PREFILL -> state.prefills.running() < context.settings().prefillDepth();
-      case SERVICE -> free(state) > 0;
-      case DECODE -> unpromised(state) + overbooking(state) > 0;
+      case SERVICE -> freeSlots(state) > 0;
+      case DECODE -> unreservedSlots(state) + overbookableSlots(state) > 0;
     };
   }
 
-  private boolean takesRequests(UpstreamState state) {
-    return context.settings().ejection() ? state.takesRequests() : state.isConfigured();
+  private boolean acceptsRequests(UpstreamState state) {
+    return context.settings().ejection() ? state.acceptsRequests() : state.isConfigured();
   }
 
-  private int overbooking(UpstreamState state) {
+  private int overbookableSlots(UpstreamState state) {
     return switch (context.settings().reservation()) {
       case ReservationPolicy.None none -> state.slots.limit();
       case ReservationPolicy.Strict strict -> 0;
@@ -382,18 +387,22 @@
   }
 
   private UpstreamState create(Upstream upstream) {
-    Rates prior = priors.computeIfAbsent(kindOf(upstream.labels()), k -> new Rates(overall));
+    SpeedEstimates similar =
+        speedsByKind.computeIfAbsent(
+            speedsKey(upstream.labels()), k -> new SpeedEstimates(overallSpeeds));
     Health health = new Health(context.settings().ejectAfter(), context.settings().ejectNanos());
     UpstreamState[] self = new UpstreamState[1];
-    self[0] = new UpstreamState(upstream, prior, prefixes, health, () -> ejections.probe(self[0]));
+    self[0] =
+        new UpstreamState(
+            upstream, similar, prefixes, health, () -> ejections.startProbing(self[0]));
     return self[0];
   }
 
-  private static String kindOf(Labels labels) {
+  private static String speedsKey(Labels labels) {
     return labels.get(GENERATION_LABEL).orElse("") + "/" + labels.get("role").orElse("");
   }
 
-  private void forgetIfIdle(UpstreamState state) {
+  private void removeIfIdle(UpstreamState state) {
     if (!state.isConfigured() && state.attempts.isEmpty()) {
       states.remove(state.name);
       state.cache.clear();
@@ -401,10 +410,10 @@
     }
   }
 
-  private void rebuild(Set<PoolName> touched) {
-    sets.forEach(
+  private void refillSets(Set<PoolName> changedPools) {
+    candidateSets.forEach(
         (key, set) -> {
-          if (key.pools().stream().anyMatch(touched::contains)) {
+          if (key.pools().stream().anyMatch(changedPools::contains)) {
             fill(key, set);
           }
         });
@@ -421,10 +430,10 @@
       }
     }
     set.setMembers(members);
-    members.forEach(this::gained);
+    members.forEach(this::capacityFreed);
   }
 
-  private boolean dropIfUnused(CandidateSet set) {
+  private boolean clearIfUnused(CandidateSet set) {
     if (!set.routes().isEmpty()) {
       return false;
     }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/WorkspaceQueue.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/WorkspaceQueue.java
@@ -14,20 +14,22 @@
 /**
  * The requests of one workspace in one lane, in order of arrival.
  *
+ * <p>The queues of a lane are ordered by start tag, then by creation.
+ *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class WorkspaceQueue implements Comparable<WorkspaceQueue> {
   final WorkspaceName workspace;
-  final long number;
+  final long sequence;
   final Map<RequestId, RequestState> requests = new LinkedHashMap<>();
   double startTag;
   double finishTag;
 
-  WorkspaceQueue(WorkspaceName workspace, long number) {
+  WorkspaceQueue(WorkspaceName workspace, long sequence) {
     this.workspace = workspace;
-    this.number = number;
+    this.sequence = sequence;
   }
 
   RequestState head() {
@@ -37,7 +39,7 @@
   @Override
   public int compareTo(WorkspaceQueue other) {
     int byTag = Double.compare(startTag, other.startTag);
-    return byTag != 0 ? byTag : Long.compare(number, other.number);
+    return byTag != 0 ? byTag : Long.compare(sequence, other.sequence);
   }
 
   @Override
@@ -47,6 +49,6 @@
 
   @Override
   public int hashCode() {
-    return Long.hashCode(number);
+    return Long.hashCode(sequence);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Parts of the router, one job each; not for use from outside. */
+/** The components of the router; not for use outside the router package. */
 package org.larkkeel.router.internal;
--- a/org.larkkeel/src/main/java/org/larkkeel/router/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/package-info.java
@@ -5,7 +5,7 @@
  */
 
 /**
- * The router: a pure, single-threaded reducer from events to effects that places requests on
- * upstreams.
+ * The router core: a pure, single-threaded reducer that maps events to effects and places requests
+ * at upstreams.
  */
 package org.larkkeel.router;
