--- a/org.larkkeel/src/main/java/org/larkkeel/router/Router.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/Router.java
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Explains where a request would be placed and why, without changing any state.
+   * Explains where a request would be placed and why, without placing it; emits no effects.
    *
    * @param call the request
    * @return the explanation
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Arrivals.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Arrivals.java
@@ -157,6 +157,7 @@
     }
   }
 
+  /** Returns whether a request with a predicted wait would miss its target or its deadline. */
   private boolean wouldMissTarget(RequestState request, long waitNanos) {
     if (waitNanos == 0) {
       return false;
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Health.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Health.java
@@ -94,7 +94,7 @@
     return wasEjected;
   }
 
-  /** Ends the ejection; from now on one request at a time probes the upstream. */
+  /** Ends the ejection; from now on, one request at a time probes the upstream. */
   public void startProbing() {
     if (state == State.EJECTED) {
       state = State.PROBING;
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/SpeedEstimates.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/SpeedEstimates.java
@@ -42,7 +42,7 @@
    * Adds a sample of a prefill.
    *
    * @param tokens the number of computed tokens, above 0
-   * @param nanos time taken
+   * @param nanos the duration
    */
   public void recordPrefill(int tokens, long nanos) {
     prefill.add(tokens, (double) nanos);
@@ -79,7 +79,7 @@
   /**
    * Adds a sample of a plain call.
    *
-   * @param nanos time taken
+   * @param nanos the duration
    */
   public void recordService(long nanos) {
     service.add(1, (double) nanos);
@@ -91,7 +91,7 @@
   /**
    * Predicts the duration of a prefill.
    *
-   * @param tokens tokens to compute
+   * @param tokens the number of tokens to compute
    * @return nanoseconds
    */
   public double prefillNanos(double tokens) {
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/StatusView.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/StatusView.java
@@ -20,7 +20,7 @@
 import org.larkkeel.router.RouterStatus.UpstreamStatus;
 
 /**
- * Creates read-only views of the state of the router for operators.
+ * Creates views of the state of the router for operators; emits no effects.
  *
  * <p>Not safe for use by several threads.
  *
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Explains where a request would be placed and why.
+   * Explains where a request would be placed and why, without placing it.
    *
    * @param call the request
    * @return the explanation
