--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/limits/LimitTest.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/limits/LimitTest.java
@@ -27,12 +27,12 @@
   private static final long FLUSH = 20 * MILLI;
   private static final int SECONDS = 30;
 
-  /** Counts what all nodes admit against one limit. */
+  /** One owner and its holders in virtual time; counts the requests that all nodes admit. */
   static final class Sim {
     final List<LimitHolder> holders = new ArrayList<>();
     final LimitOwner owner;
     final Random random = new Random(17);
-    double loss;
+    double lossProbability;
     long admitted;
     long admittedTokens;
     long refused;
@@ -46,12 +46,12 @@
       }
     }
 
-    /** Offers requests at a rate over all nodes, each of a number of prompt tokens. */
+    /** Sends requests to random nodes at a total rate, each with the given prompt tokens. */
     void run(int seconds, int perSecond, long tokens) {
       long id = 0;
-      double due = 0;
+      double dueRequests = 0;
       for (long end = now + seconds * 1_000L * MILLI; now < end; now += MILLI) {
-        for (due += perSecond / 1_000.0; due >= 1; due--) {
+        for (dueRequests += perSecond / 1_000.0; dueRequests >= 1; dueRequests--) {
           LimitHolder holder = holders.get(random.nextInt(holders.size()));
           count(holder.acquire(now, id++, tokens, now + 500 * MILLI), tokens);
         }
@@ -72,12 +72,12 @@
       }
       messages++;
       NodeId id = new NodeId(new HostName("host-" + node), new Incarnation(1));
-      if (random.nextDouble() < loss) {
+      if (random.nextDouble() < lossProbability) {
         holder.askLost();
         return;
       }
       LimitGrant grant = owner.ask(now, id, ask.get());
-      if (random.nextDouble() < loss) {
+      if (random.nextDouble() < lossProbability) {
         holder.askLost();
         return;
       }
@@ -96,9 +96,9 @@
     }
   }
 
-  /** What is admitted over all nodes. */
+  /** Tests of the admitted rate over all nodes. */
   public static class Accuracy {
-    /** Numbers of nodes. */
+    /** The number of nodes and the probability that a message is lost. */
     @DataProvider
     public Object[][] sizes() {
       return new Object[][] {{1, 0.0}, {8, 0.0}, {8, 0.2}, {330, 0.0}, {330, 0.2}};
@@ -107,7 +107,7 @@
     @Test(dataProvider = "sizes")
     public void requestsStayWithinLimitAndUseIt(int nodes, double loss) {
       Sim sim = new Sim(nodes, new RateLimit(100, 1_000_000));
-      sim.loss = loss;
+      sim.lossProbability = loss;
       sim.run(SECONDS, 300, 10);
       long limit = 100L * SECONDS;
       assertTrue(sim.admitted <= limit + 100, "admitted: " + sim.admitted);
@@ -117,7 +117,7 @@
     @Test(dataProvider = "sizes")
     public void promptTokensStayWithinLimitAndUseIt(int nodes, double loss) {
       Sim sim = new Sim(nodes, new RateLimit(10_000, 20_000));
-      sim.loss = loss;
+      sim.lossProbability = loss;
       sim.run(SECONDS, 100, 500);
       long limit = 20_000L * SECONDS;
       assertTrue(sim.admittedTokens <= limit + 20_000, "tokens: " + sim.admittedTokens);
@@ -127,16 +127,16 @@
     @Test(dataProvider = "sizes")
     public void demandBelowLimitIsNotRefused(int nodes, double loss) {
       Sim sim = new Sim(nodes, new RateLimit(100, 1_000_000));
-      sim.loss = loss;
+      sim.lossProbability = loss;
       sim.run(SECONDS, 60, 10);
       assertTrue(sim.refused <= 60 * SECONDS / 100, "refused: " + sim.refused);
     }
   }
 
-  /** Cost and idempotence. */
+  /** Tests of the number of messages, of idempotence and of single grants. */
   public static class Messages {
     @Test
-    public void inactiveWorkspaceCostsNothing() {
+    public void inactiveWorkspaceSendsNoMessages() {
       Sim sim = new Sim(330, new RateLimit(100, 1_000_000));
       sim.run(5, 60, 10);
       sim.run(5, 0, 10);
@@ -147,14 +147,14 @@
     }
 
     @Test
-    public void repeatedAskGetsSameGrant() {
+    public void retransmittedRequestGetsSameGrant() {
       LimitOwner owner = new LimitOwner(new RateLimit(10, 10), 0);
       NodeId holder = new NodeId(new HostName("host-1"), new Incarnation(1));
       LimitAsk ask = new LimitAsk("w", 1, 4, 4, 0, 0, 0);
       LimitGrant first = owner.ask(0, holder, ask);
       assertEquals(owner.ask(0, holder, ask), first);
       LimitGrant next = owner.ask(0, holder, new LimitAsk("w", 2, 100, 0, 0, 0, 0));
-      assertEquals(next.requests(), 3, "the repeated ask was counted twice");
+      assertEquals(next.requests(), 3, "the retransmitted message took units twice");
     }
 
     @Test
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/limits/LimitTrial.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/limits/LimitTrial.java
@@ -9,8 +9,8 @@
 import java.util.Locale;
 
 /**
- * Measures in virtual time how exactly a limit holds over many nodes, and what it costs in
- * messages.
+ * Measures in virtual time the deviation of the admitted rate from the limit over many nodes, and
+ * the number of messages. A program, not a test.
  */
 public final class LimitTrial {
   private static final int SECONDS = 60;
@@ -24,7 +24,8 @@
    * @param args unused
    */
   public static void main(String[] args) {
-    System.out.println("nodes loss offered/s admitted/s error% refused/s asks/s asks/request");
+    System.out.println(
+        "nodes loss offered/s admitted/s error% refused/s messages/s messages/request");
     for (int nodes : new int[] {1, 8, 330}) {
       for (double loss : new double[] {0, 0.2}) {
         for (int offered : new int[] {50, 95, 150, 1_000}) {
@@ -36,7 +37,7 @@
 
   private static void measure(int nodes, double loss, int offered) {
     LimitTest.Sim sim = new LimitTest.Sim(nodes, new RateLimit(LIMIT, 1_000_000));
-    sim.loss = loss;
+    sim.lossProbability = loss;
     sim.run(SECONDS, offered, 10);
     double admitted = (double) sim.admitted / SECONDS;
     double error = 100.0 * (admitted - Math.min(LIMIT, offered)) / Math.min(LIMIT, offered);
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/ownership/OwnershipTest.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/ownership/OwnershipTest.java
@@ -30,7 +30,7 @@
     return hosts;
   }
 
-  /** Against a recomputation by sorting. */
+  /** Compares the owner with a naive computation over all hosts. */
   public static class Differential {
     @Test
     public void ownerHasGreatestWeight() {
@@ -55,7 +55,7 @@
     }
   }
 
-  /** What changes when a host goes. */
+  /** Tests of which keys move when a host is removed, and of their distribution. */
   public static class Movement {
     @Test
     public void onlyKeysOfLostHostMove() {
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void nobodyOwnsWithoutHosts() {
+    public void noOwnerWithoutHosts() {
       assertEquals(new Ownership(List.of()).ownerOf("key"), Optional.empty());
     }
   }
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotSim.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotSim.java
@@ -20,7 +20,7 @@
 import org.larkkeel.lib.Incarnation;
 import org.larkkeel.peer.membership.NodeId;
 
-/** Holders and owners of one key in virtual time, over a network with seeded faults. */
+/** Simulates holders and owners of one key in virtual time, over a network with seeded faults. */
 final class SlotSim {
   static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   private static final String KEY = "u1";
@@ -30,10 +30,10 @@
   private final SlotSettings settings;
   final List<SlotOwner> owners = new ArrayList<>();
   final List<Node> nodes = new ArrayList<>();
-  long shortest = 20 * MILLI;
-  long longest = 100 * MILLI;
-  double loss;
-  double duplication;
+  long minRunNanos = 20 * MILLI;
+  long maxRunNanos = 100 * MILLI;
+  double lossProbability;
+  double duplicationProbability;
   long now;
   long messages;
   long order;
@@ -51,7 +51,7 @@
     }
   }
 
-  /** One node with its requests. */
+  /** A node with its slot holder and requests. */
   final class Node {
     final NodeId id;
     final SlotHolder holder = new SlotHolder(KEY, settings, now);
@@ -66,9 +66,9 @@
       this.id = new NodeId(new HostName("host-" + number), new Incarnation(1));
     }
 
-    void acquire(long request, int priority, long patience) {
+    void acquire(long request, int priority, long timeoutNanos) {
       waiting.add(request);
-      take(holder.acquire(now, request, priority, now + patience));
+      apply(holder.acquire(now, request, priority, now + timeoutNanos));
     }
 
     void setOwner(int next) {
@@ -76,13 +76,14 @@
       holder.ownerChanged(now);
     }
 
-    private void take(List<SlotHolder.Outcome> outcomes) {
+    private void apply(List<SlotHolder.Outcome> outcomes) {
       for (SlotHolder.Outcome outcome : outcomes) {
         waiting.remove(outcome.id());
         if (outcome.result() == SlotHolder.Result.ACQUIRED) {
           acquired++;
           finishAt.put(
-              outcome.id(), now + shortest + (long) (random.nextDouble() * (longest - shortest)));
+              outcome.id(),
+              now + minRunNanos + (long) (random.nextDouble() * (maxRunNanos - minRunNanos)));
         } else {
           timedOut++;
         }
@@ -99,14 +100,14 @@
           });
       for (long request : done) {
         finishAt.remove(request);
-        take(holder.release(now, request));
+        apply(holder.release(now, request));
       }
-      take(holder.tick(now));
+      apply(holder.tick(now));
     }
 
     private void flush() {
       Optional<SlotReport> report = holder.report(now);
-      report.ifPresent(sent -> send(() -> reported(this, owner, sent)));
+      report.ifPresent(sent -> send(() -> deliverReport(this, owner, sent)));
     }
   }
 
@@ -118,18 +119,18 @@
     }
   }
 
-  private void reported(Node node, int owner, SlotReport report) {
-    answer(owner, owners.get(owner).on(new SlotEvent.Reported(now, node.id, report)));
+  private void deliverReport(Node node, int owner, SlotReport report) {
+    sendGrants(owner, owners.get(owner).on(new SlotEvent.Reported(now, node.id, report)));
   }
 
-  private void answer(int owner, List<SlotOwner.Answer> answers) {
+  private void sendGrants(int owner, List<SlotOwner.Answer> answers) {
     for (SlotOwner.Answer answer : answers) {
       for (Node node : nodes) {
         if (node.id.equals(answer.holder()) && !node.dead) {
           send(
               () -> {
                 if (node.owner == owner) {
-                  node.take(node.holder.granted(now, answer.grant()));
+                  node.apply(node.holder.granted(now, answer.grant()));
                 }
               });
         }
@@ -139,18 +140,18 @@
 
   private void send(Runnable delivery) {
     messages++;
-    int copies = random.nextDouble() < duplication ? 2 : 1;
+    int copies = random.nextDouble() < duplicationProbability ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      if (random.nextDouble() >= loss) {
+      if (random.nextDouble() >= lossProbability) {
         long delay = MILLI + (long) (random.nextDouble() * 4 * MILLI);
         queue.add(new Scheduled(now + delay, order++, delivery));
       }
     }
   }
 
-  /** Runs in steps of a millisecond, with a flush each given number of steps. */
-  void run(long time, int flushEvery, Runnable eachStep) {
-    long end = now + time;
+  /** Advances the time in steps of 1 ms, with a flush every {@code flushEvery} steps. */
+  void run(long durationNanos, int flushEvery, Runnable eachStep) {
+    long end = now + durationNanos;
     for (long step = 0; now < end; step++) {
       now += MILLI;
       while (!queue.isEmpty() && queue.peek().at() <= now) {
@@ -158,7 +159,7 @@
       }
       for (int i = 0; i < owners.size(); i++) {
         if (owners.get(i).nextDeadline() <= now) {
-          answer(i, owners.get(i).on(new SlotEvent.Tick(now)));
+          sendGrants(i, owners.get(i).on(new SlotEvent.Tick(now)));
         }
       }
       for (Node node : nodes) {
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotTest.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotTest.java
@@ -26,20 +26,20 @@
 public class SlotTest {
   private static final int CAPACITY = 20;
 
-  /** Short and long leases share one mechanism. */
+  /** Tests that slots are never overbooked and leases end, with short and with long leases. */
   public static class Safety {
-    /** Settings of a few and of many nodes. */
+    /** Settings for a few and for many nodes, with the number of nodes. */
     @DataProvider
     public Object[][] settings() {
       return new Object[][] {{SlotSettings.perRequest(), 8}, {SlotSettings.standing(), 64}};
     }
 
-    /** The naive count of what holders have must never exceed the owner's count or capacity. */
+    /** The sum of slots that holders have must never exceed the owner's count or the capacity. */
     @Test(dataProvider = "settings")
     public void neverOverbooksUnderLossAndDuplication(SlotSettings settings, int nodes) {
       SlotSim sim = new SlotSim(settings, nodes, 1, CAPACITY, 7);
-      sim.loss = 0.1;
-      sim.duplication = 0.2;
+      sim.lossProbability = 0.1;
+      sim.duplicationProbability = 0.2;
       Random random = new Random(7);
       AtomicLong requests = new AtomicLong();
       sim.run(
@@ -51,7 +51,8 @@
               node.acquire(requests.incrementAndGet(), random.nextInt(3), 2_000 * MILLI);
             }
             assertTrue(sim.held() <= CAPACITY, "held: " + sim.held());
-            assertTrue(sim.held() <= sim.owners.get(0).leased(), "the owner counts too few");
+            assertTrue(
+                sim.held() <= sim.owners.get(0).leased(), "the owner counts too few leased slots");
           });
       int served = sim.nodes.stream().mapToInt(node -> node.acquired).sum();
       assertTrue(served > 3_000, "served: " + served + " of " + requests);
@@ -72,7 +73,7 @@
     }
 
     @Test
-    public void silentHolderExpires() {
+    public void unresponsiveHolderExpires() {
       SlotSim sim = new SlotSim(SlotSettings.perRequest(), 1, 1, CAPACITY, 4);
       sim.nodes.get(0).acquire(1, 0, 5_000 * MILLI);
       sim.run(220 * MILLI, 5, () -> {});
@@ -83,7 +84,7 @@
     }
 
     @Test
-    public void newOwnerCountsWhatRunsBeforeItKnowsTheLeases() {
+    public void newOwnerCountsRunningRequestsBeforeItKnowsTheirLeases() {
       SlotOwner owner = new SlotOwner("u1", SlotSettings.perRequest(), 0);
       long later = SlotSettings.perRequest().takeoverDelay();
       owner.on(new SlotEvent.Capacity(later, CAPACITY, 18));
@@ -96,7 +97,7 @@
     }
   }
 
-  /** Who gets a free slot. */
+  /** Tests of the order in which free slots are granted. */
   public static class Order {
     @Test
     public void priorityGoesFirstThenArrival() {
@@ -146,13 +147,13 @@
     }
   }
 
-  /** Cost in messages, and two owners at once. */
+  /** Tests of the number of messages, and of overbooking while nodes disagree on the owner. */
   public static class Bounds {
     @Test
     public void messagesDoNotGrowWithRequests() {
       long few = messagesFor(1);
       long many = messagesFor(10);
-      assertTrue(many < 2 * few, few + " messages, at ten times the requests " + many);
+      assertTrue(many < 2 * few, few + " messages, with ten times the requests " + many);
     }
 
     private static long messagesFor(int perStep) {
@@ -171,7 +172,7 @@
     }
 
     @Test
-    public void disagreementEndsOnceNodesAgree() {
+    public void overbookingEndsOnceNodesAgree() {
       SlotSim sim = new SlotSim(SlotSettings.perRequest(), 8, 2, CAPACITY, 9);
       AtomicLong requests = new AtomicLong();
       AtomicInteger worst = new AtomicInteger();
@@ -187,14 +188,17 @@
         sim.nodes.get(i).setOwner(1);
       }
       sim.run(500 * MILLI, 5, load);
-      assertTrue(worst.get() <= 2 * CAPACITY, "two owners gave out more than each has: " + worst);
+      assertTrue(
+          worst.get() <= 2 * CAPACITY,
+          "two owners granted more than the capacity of each: " + worst);
       for (Node node : sim.nodes) {
         node.setOwner(1);
       }
       sim.run(1_000 * MILLI, 5, load);
       worst.set(0);
       sim.run(1_000 * MILLI, 5, load);
-      assertTrue(worst.get() <= CAPACITY, "still overbooked: " + worst);
+      assertTrue(
+          worst.get() <= CAPACITY, "overbooked after all nodes agree on the owner: " + worst);
     }
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/FairBucket.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/FairBucket.java
@@ -9,11 +9,12 @@
 import org.larkkeel.lib.TokenBucket;
 
 /**
- * A token bucket of one second's units that several nodes take from, so that each gets some.
+ * A token bucket that holds one second's units and is shared by several nodes, none of which can
+ * take all of them at once.
  *
- * <p>Invariant: over any time t at most rate × t plus one second's worth is taken, but for a single
- * need larger than the bucket, which is met from a full bucket and paid for afterwards. Times are
- * nanoseconds. Not safe for use by several threads.
+ * <p>Invariant: over any time t at most rate × t plus one second's units are taken. The exception
+ * is a single request larger than the bucket: it is granted from a full bucket, whose level then
+ * becomes negative. Times are in nanoseconds. Not safe for use by several threads.
  */
 final class FairBucket {
   private final TokenBucket bucket;
@@ -24,35 +25,38 @@
     this.rate = rate;
   }
 
-  void setRate(long next, long now) {
-    bucket.setRate(next, next, now);
-    rate = next;
+  void setRate(long newRate, long now) {
+    bucket.setRate(newRate, newRate, now);
+    rate = newRate;
   }
 
   /**
-   * Takes up to what is wanted. One need is met in full or in part, but nobody gets more than half
-   * of what is there beyond a first unit, so that others get some as well.
+   * Takes up to the wanted number of units.
+   *
+   * <p>One call gets at most half of the level, or one unit if that is more, so that units remain
+   * for other nodes. If the bucket is full and {@code nextRequest}, the units of the caller's next
+   * request, exceeds its size, the call gets exactly {@code nextRequest}.
    */
-  long take(long wanted, long single, long now) {
+  long take(long wanted, long nextRequest, long now) {
     if (wanted <= 0) {
       return 0;
     }
     double level = bucket.level(now);
-    if (level >= rate && single > rate) {
-      bucket.take(single);
-      return single;
+    if (level >= rate && nextRequest > rate) {
+      bucket.take(nextRequest);
+      return nextRequest;
     }
-    long most = (long) Math.max(Math.min(1, level), level / 2);
-    long taken = Math.max(0, Math.min(wanted, most));
+    long max = (long) Math.max(Math.min(1, level), level / 2);
+    long taken = Math.max(0, Math.min(wanted, max));
     bucket.take(taken);
     return taken;
   }
 
-  void giveBack(long units, long now) {
+  void release(long units, long now) {
     bucket.giveBack(Math.max(0, units), now);
   }
 
-  /** Nanoseconds until a number of units is there. */
+  /** Returns the nanoseconds until the given number of units is available. */
   long timeUntil(long units, long now) {
     return bucket.timeUntil(units, now);
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitGrant.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitGrant.java
@@ -7,15 +7,15 @@
 package org.larkkeel.peer.limits;
 
 /**
- * The units that an ask gets.
+ * The owner's answer to a request for units of a workspace's rate limits.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param workspace whose limits
- * @param sequence of the ask
- * @param requests units of requests
- * @param tokens units of prompt tokens
- * @param retryAfter nanoseconds until what is missing may be there; 0 if nothing is missing
+ * @param workspace the name of the workspace
+ * @param sequence the sequence number of the message that this answers
+ * @param requests the granted number of requests
+ * @param tokens the granted number of prompt tokens
+ * @param retryAfter the nanoseconds until the missing units may be available; 0 if none is missing
  * @since 0.1
  */
 public record LimitGrant(
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitHolder.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitHolder.java
@@ -15,102 +15,103 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The units of one workspace at a node that has its requests.
+ * The rate-limit units of one workspace at a node that receives requests of the workspace.
  *
- * <p>A request is admitted in the order of arrival once there are units for it. A request that
- * would wait longer than it can is refused at once. Units ahead of need are asked for as far as the
- * last second's demand suggests, and go back when the demand ends. Deterministic; not safe for use
- * by several threads. Times are nanoseconds.
+ * <p>Requests are admitted in order of arrival as units become available. A request that would wait
+ * beyond its deadline is refused at once. The holder requests units in advance in proportion to the
+ * demand of the last second, and returns unused ones when the demand ends. Deterministic; not safe
+ * for use by several threads. Times are in nanoseconds.
  *
  * @since 0.1
  */
 public final class LimitHolder {
-  private static final long KEEP = TimeUnit.SECONDS.toNanos(1);
+  private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final String workspace;
   private final Deque<Waiting> waiting = new ArrayDeque<>();
   private long requests;
   private long tokens;
   private long sequence;
-  private Optional<LimitAsk> open = Optional.empty();
+  private Optional<LimitAsk> inFlight = Optional.empty();
   private boolean resend;
-  private long askAfter = Long.MIN_VALUE;
+  private long nextMessageAt = Long.MIN_VALUE;
   private long windowStart;
   private long windowRequests;
   private long windowTokens;
-  private long lastRequests;
-  private long lastTokens;
+  private long lastWindowRequests;
+  private long lastWindowTokens;
 
   /**
    * Creates a holder without units.
    *
-   * @param workspace whose limits
-   * @param now nanoseconds
+   * @param workspace the name of the workspace
+   * @param now the current time in nanoseconds
    */
   public LimitHolder(String workspace, long now) {
     this.workspace = workspace;
     this.windowStart = now;
   }
 
-  private record Waiting(long id, long tokens, long until) {}
+  private record Waiting(long id, long tokens, long deadline) {}
 
   /**
-   * The end of a wait.
+   * The decision on one request.
    *
    * @param id the request
    * @param admitted true if the request may run
-   * @param retryAfter if not, the nanoseconds after which it may be repeated
+   * @param retryAfter the nanoseconds after which a refused request may be retried; 0 if admitted
    */
   public record Outcome(long id, boolean admitted, long retryAfter) {}
 
   /**
-   * Asks for one request.
+   * Adds a request, which is admitted or refused now or later.
    *
-   * @param now nanoseconds
-   * @param id names the request at this node
-   * @param promptTokens its prompt tokens
-   * @param until how long it can wait
-   * @return outcomes, with this request's if it is decided already
+   * @param now the current time in nanoseconds
+   * @param id identifies the request at this node
+   * @param promptTokens the number of its prompt tokens
+   * @param deadline the time until which the request can wait, in nanoseconds
+   * @return the decisions made now, on this request or earlier ones
    */
-  public List<Outcome> acquire(long now, long id, long promptTokens, long until) {
-    waiting.addLast(new Waiting(id, promptTokens, until));
+  public List<Outcome> acquire(long now, long id, long promptTokens, long deadline) {
+    waiting.addLast(new Waiting(id, promptTokens, deadline));
     windowRequests++;
     windowTokens += promptTokens;
     List<Outcome> outcomes = admit();
-    outcomes.addAll(refuseHopeless());
+    outcomes.addAll(refuseUnservable());
     return outcomes;
   }
 
   /**
-   * Takes a grant.
+   * Adds the units of a grant.
    *
-   * @param now nanoseconds
-   * @param grant the grant; ignored unless it answers the open ask
-   * @return outcomes
+   * @param now the current time in nanoseconds
+   * @param grant the grant; ignored unless it answers the message in flight
+   * @return the decisions made now
    */
   public List<Outcome> granted(long now, LimitGrant grant) {
-    if (open.isEmpty() || open.get().sequence() != grant.sequence()) {
+    if (inFlight.isEmpty() || inFlight.get().sequence() != grant.sequence()) {
       return List.of();
     }
-    open = Optional.empty();
+    inFlight = Optional.empty();
     requests += grant.requests();
     tokens += grant.tokens();
-    askAfter = now + grant.retryAfter();
+    nextMessageAt = now + grant.retryAfter();
     List<Outcome> outcomes = admit();
-    outcomes.addAll(refuseHopeless());
+    outcomes.addAll(refuseUnservable());
     return outcomes;
   }
 
   /**
-   * Refuses what has waited too long, and closes the window of demand.
+   * Refuses requests whose deadline has passed, and starts a new window for counting demand if the
+   * current one is over.
    *
-   * @param now nanoseconds
-   * @return outcomes
+   * @param now the current time in nanoseconds
+   * @return the decisions made now
    */
   public List<Outcome> tick(long now) {
-    if (now - windowStart >= KEEP) {
-      lastRequests = windowRequests;
-      lastTokens = windowTokens;
+    if (now - windowStart >= WINDOW_NANOS) {
+      lastWindowRequests = windowRequests;
+      lastWindowTokens = windowTokens;
       windowRequests = 0;
       windowTokens = 0;
       windowStart = now;
@@ -119,51 +120,52 @@
     Iterator<Waiting> entries = waiting.iterator();
     while (entries.hasNext()) {
       Waiting entry = entries.next();
-      if (entry.until() <= now) {
+      if (entry.deadline() <= now) {
         entries.remove();
-        outcomes.add(new Outcome(entry.id(), false, Math.max(0, askAfter - now)));
+        outcomes.add(new Outcome(entry.id(), false, Math.max(0, nextMessageAt - now)));
       }
     }
     return outcomes;
   }
 
   /**
-   * The ask to send, if one is due. Called once a flush.
+   * Returns the message to send to the owner, if one is due. Called once per flush.
    *
-   * @param now nanoseconds
-   * @param flush the nanoseconds between two flushes, for which units are kept ahead
-   * @return the ask, empty if there is nothing to ask for
+   * @param now the current time in nanoseconds
+   * @param flushPeriod the nanoseconds between two flushes; determines the units requested in
+   *     advance
+   * @return the message, empty if there is nothing to request or return
    */
-  public Optional<LimitAsk> ask(long now, long flush) {
-    if (open.isPresent()) {
-      boolean again = resend;
+  public Optional<LimitAsk> ask(long now, long flushPeriod) {
+    if (inFlight.isPresent()) {
+      boolean retransmit = resend;
       resend = false;
-      return again ? open : Optional.empty();
+      return retransmit ? inFlight : Optional.empty();
     }
-    long aheadRequests = ahead(lastRequests, flush);
-    long aheadTokens = ahead(lastTokens, flush);
-    long wantedRequests = waiting.size() + aheadRequests - requests;
-    long wantedTokens = waitingTokens() + aheadTokens - tokens;
-    boolean needed = !waiting.isEmpty() || wantedRequests > aheadRequests / 2;
-    boolean surplus = waiting.isEmpty() && lastRequests + windowRequests == 0;
+    long advanceRequests = unitsInAdvance(lastWindowRequests, flushPeriod);
+    long advanceTokens = unitsInAdvance(lastWindowTokens, flushPeriod);
+    long wantedRequests = waiting.size() + advanceRequests - requests;
+    long wantedTokens = waitingTokens() + advanceTokens - tokens;
+    boolean needed = !waiting.isEmpty() || wantedRequests > advanceRequests / 2;
+    boolean surplus = waiting.isEmpty() && lastWindowRequests + windowRequests == 0;
     if (surplus && (requests > 0 || tokens > 0)) {
-      return open(0, 0);
+      return createMessage(0, 0);
     }
-    if (!needed || askAfter > now || (wantedRequests <= 0 && wantedTokens <= 0)) {
+    if (!needed || nextMessageAt > now || (wantedRequests <= 0 && wantedTokens <= 0)) {
       return Optional.empty();
     }
-    return open(Math.max(0, wantedRequests), Math.max(0, wantedTokens));
+    return createMessage(Math.max(0, wantedRequests), Math.max(0, wantedTokens));
   }
 
-  private Optional<LimitAsk> open(long wantedRequests, long wantedTokens) {
-    boolean giveBack = wantedRequests == 0 && wantedTokens == 0;
-    long returnedRequests = giveBack ? requests : 0;
-    long returnedTokens = giveBack ? tokens : 0;
+  private Optional<LimitAsk> createMessage(long wantedRequests, long wantedTokens) {
+    boolean returnAll = wantedRequests == 0 && wantedTokens == 0;
+    long returnedRequests = returnAll ? requests : 0;
+    long returnedTokens = returnAll ? tokens : 0;
     requests -= returnedRequests;
     tokens -= returnedTokens;
-    long next = waiting.isEmpty() ? 0 : waiting.peekFirst().tokens();
+    long nextTokens = waiting.isEmpty() ? 0 : waiting.peekFirst().tokens();
     sequence++;
-    open =
+    inFlight =
         Optional.of(
             new LimitAsk(
                 workspace,
@@ -172,24 +174,27 @@
                 wantedTokens,
                 returnedRequests,
                 returnedTokens,
-                next));
-    return open;
+                nextTokens));
+    return inFlight;
   }
 
-  /** Sends the open ask again at the next flush, because it or its answer may be lost. */
+  /** Sends the message in flight again at the next flush, since it or its answer may be lost. */
   public void askLost() {
     resend = true;
   }
 
-  /** Another node owns the workspace now: the open ask is dropped, and asked anew if needed. */
+  /**
+   * Drops the message in flight, since another node owns the workspace now. A new one is sent if
+   * units are still needed.
+   */
   public void ownerChanged() {
-    open = Optional.empty();
+    inFlight = Optional.empty();
     resend = false;
   }
 
-  /** Units for two flushes at the last window's rate; none if that is less than one request. */
-  private static long ahead(long inWindow, long flush) {
-    return 2 * inWindow * flush / KEEP;
+  /** Returns the demand of two flushes at the last window's rate, rounded down to whole units. */
+  private static long unitsInAdvance(long lastWindowUnits, long flushPeriod) {
+    return 2 * lastWindowUnits * flushPeriod / WINDOW_NANOS;
   }
 
   private long waitingTokens() {
@@ -211,25 +216,25 @@
     return outcomes;
   }
 
-  private List<Outcome> refuseHopeless() {
+  private List<Outcome> refuseUnservable() {
     List<Outcome> outcomes = new ArrayList<>();
     Iterator<Waiting> entries = waiting.iterator();
     while (entries.hasNext()) {
       Waiting entry = entries.next();
-      if (entry.until() < askAfter) {
+      if (entry.deadline() < nextMessageAt) {
         entries.remove();
-        outcomes.add(new Outcome(entry.id(), false, askAfter - entry.until()));
+        outcomes.add(new Outcome(entry.id(), false, nextMessageAt - entry.deadline()));
       }
     }
     return outcomes;
   }
 
   /**
-   * Tells whether nothing waits, is held or open.
+   * Returns whether no request waits, no units are held and no message is in flight.
    *
    * @return true if the holder may be dropped
    */
   public boolean isIdle() {
-    return waiting.isEmpty() && open.isEmpty() && requests == 0 && tokens == 0;
+    return waiting.isEmpty() && inFlight.isEmpty() && requests == 0 && tokens == 0;
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitOwner.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitOwner.java
@@ -12,16 +12,16 @@
 import org.larkkeel.peer.membership.NodeId;
 
 /**
- * The buckets of one workspace at its owner.
+ * The token buckets of one workspace at the node that owns it.
  *
- * <p>Invariant: all holders together get at most the limit and one second's worth, for as long as
- * the owner stays the same; a new owner starts with full buckets. Deterministic; not safe for use
- * by several threads. Times are nanoseconds.
+ * <p>Invariant: as long as the owner stays the same, all holders together get at most the limit
+ * plus one second's units. A new owner starts with full buckets. Deterministic; not safe for use by
+ * several threads. Times are in nanoseconds.
  *
  * @since 0.1
  */
 public final class LimitOwner {
-  private static final long CONTENTION_TIME = TimeUnit.SECONDS.toNanos(1);
+  private static final long CONTENTION_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final FairBucket requests;
   private final FairBucket tokens;
@@ -33,7 +33,7 @@
    * Creates an owner with full buckets.
    *
    * @param limit the rates
-   * @param now nanoseconds
+   * @param now the current time in nanoseconds
    */
   public LimitOwner(RateLimit limit, long now) {
     this.requests = new FairBucket(limit.requestsPerSecond(), now);
@@ -45,7 +45,7 @@
    * Changes the rates.
    *
    * @param limit the rates
-   * @param now nanoseconds
+   * @param now the current time in nanoseconds
    */
   public void setLimit(RateLimit limit, long now) {
     requests.setRate(limit.requestsPerSecond(), now);
@@ -53,12 +53,13 @@
   }
 
   /**
-   * Grants what an ask may have.
+   * Grants units to a holder, as far as the buckets have them. Idempotent: a retransmitted message
+   * takes no units.
    *
-   * @param now nanoseconds
-   * @param holder who asks
-   * @param ask the ask
-   * @return the grant; that of before if the ask was granted already
+   * @param now the current time in nanoseconds
+   * @param holder the node that requests units
+   * @param ask its message
+   * @return the grant; the previous one if the message is not newer than the last one answered
    */
   public LimitGrant ask(long now, NodeId holder, LimitAsk ask) {
     LimitGrant last = lastGrants.get(holder);
@@ -66,28 +67,29 @@
       return last;
     }
     usedAt = now;
-    requests.giveBack(ask.requestsReturned(), now);
-    tokens.giveBack(ask.tokensReturned(), now);
-    long gotRequests = requests.take(ask.requestsWanted(), 1, now);
-    long gotTokens = tokens.take(ask.tokensWanted(), ask.tokensOfNext(), now);
-    long wait = 0;
-    boolean unmet = gotRequests < ask.requestsWanted() || gotTokens < ask.tokensWanted();
-    noteContender(now, holder, unmet);
-    if (gotRequests < ask.requestsWanted()) {
-      // Each contender waits for its turn, so that asks do not grow with their number.
-      wait = requests.timeUntil(contenders.size(), now);
+    requests.release(ask.requestsReturned(), now);
+    tokens.release(ask.tokensReturned(), now);
+    long grantedRequests = requests.take(ask.requestsWanted(), 1, now);
+    long grantedTokens = tokens.take(ask.tokensWanted(), ask.tokensOfNext(), now);
+    long retryAfter = 0;
+    boolean unmet = grantedRequests < ask.requestsWanted() || grantedTokens < ask.tokensWanted();
+    updateContenders(now, holder, unmet);
+    if (grantedRequests < ask.requestsWanted()) {
+      // Every contender waits until there are units for all of them, so that the message rate does
+      // not grow with their number.
+      retryAfter = requests.timeUntil(contenders.size(), now);
     }
-    if (gotTokens < ask.tokensWanted()) {
-      wait = Math.max(wait, tokens.timeUntil(ask.tokensWanted() - gotTokens, now));
+    if (grantedTokens < ask.tokensWanted()) {
+      retryAfter = Math.max(retryAfter, tokens.timeUntil(ask.tokensWanted() - grantedTokens, now));
     }
     LimitGrant grant =
-        new LimitGrant(ask.workspace(), ask.sequence(), gotRequests, gotTokens, wait);
+        new LimitGrant(ask.workspace(), ask.sequence(), grantedRequests, grantedTokens, retryAfter);
     lastGrants.put(holder, grant);
     return grant;
   }
 
-  private void noteContender(long now, NodeId holder, boolean unmet) {
-    contenders.values().removeIf(since -> now - since > CONTENTION_TIME);
+  private void updateContenders(long now, NodeId holder, boolean unmet) {
+    contenders.values().removeIf(since -> now - since > CONTENTION_NANOS);
     if (unmet) {
       contenders.put(holder, now);
     } else {
@@ -96,7 +98,7 @@
   }
 
   /**
-   * Forgets a dead node. What it held is lost, which errs on the safe side.
+   * Removes a dead node. The units that it held are lost, so the limit is not exceeded.
    *
    * @param holder the node
    */
@@ -106,9 +108,9 @@
   }
 
   /**
-   * When the last ask was granted.
+   * Returns the time of the last grant that was not a retransmission.
    *
-   * @return nanoseconds
+   * @return the time in nanoseconds
    */
   public long usedAt() {
     return usedAt;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/RateLimit.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/RateLimit.java
@@ -7,12 +7,12 @@
 package org.larkkeel.peer.limits;
 
 /**
- * The rates that a workspace may use over all nodes; the buckets hold one second's worth.
+ * The rate limits of a workspace over all nodes. Each token bucket holds one second's units.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param requestsPerSecond at least 1
- * @param tokensPerSecond prompt tokens a second, at least 1
+ * @param requestsPerSecond requests per second, at least 1
+ * @param tokensPerSecond prompt tokens per second, at least 1
  * @since 0.1
  */
 public record RateLimit(long requestsPerSecond, long tokensPerSecond) {
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/package-info.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/package-info.java
@@ -8,8 +8,9 @@
  * Rate limits of workspaces across nodes.
  *
  * <p>{@link org.larkkeel.peer.limits.LimitOwner} runs on the node that owns the workspace and has
- * the token buckets; {@link org.larkkeel.peer.limits.LimitHolder} runs on the nodes that have
- * requests of the workspace, and asks for units as they are needed. Workspaces without requests
- * cost no messages. Both are deterministic state machines. Concurrency limits are slot leases.
+ * the token buckets; {@link org.larkkeel.peer.limits.LimitHolder} runs on each node that receives
+ * requests of the workspace, and requests units as needed. Both are deterministic state machines.
+ * Workspaces without requests cause no messages. Concurrency limits are implemented by slot leases,
+ * not here.
  */
 package org.larkkeel.peer.limits;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/ownership/Ownership.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/ownership/Ownership.java
@@ -16,11 +16,13 @@
 import org.larkkeel.peer.membership.Hashes;
 
 /**
- * Who owns a key: the host with the greatest hash of host and key.
+ * Maps keys to hosts by rendezvous hashing: the owner of a key is the host with the greatest hash
+ * of host and key.
  *
- * <p>Invariants: nodes with the same set of hosts agree; when a host goes, only its keys move, and
- * when one comes, keys move only to it. Ownership decides speed and never safety, since two nodes
- * may disagree for a while. Immutable and safe for use by several threads.
+ * <p>Invariants: nodes with the same set of hosts agree on every owner; if a host is removed, only
+ * its keys move; if one is added, keys move only to it. Nodes with different sets of hosts may
+ * disagree, so safety must not depend on ownership, only speed. Immutable and safe for use by
+ * several threads.
  *
  * @since 0.1
  */
@@ -29,12 +31,12 @@
   private final long[] hashes;
 
   /**
-   * Creates the ownership among hosts.
+   * Creates the ownership among a set of hosts.
    *
-   * @param owners the hosts that may own something
+   * @param candidates the hosts that may own keys; may be empty
    */
-  public Ownership(Collection<HostName> owners) {
-    this.hosts = new TreeSet<>(owners).toArray(HostName[]::new);
+  public Ownership(Collection<HostName> candidates) {
+    this.hosts = new TreeSet<>(candidates).toArray(HostName[]::new);
     this.hashes = new long[hosts.length];
     for (int i = 0; i < hosts.length; i++) {
       hashes[i] = Hashes.of(hosts[i].value());
@@ -42,18 +44,19 @@
   }
 
   /**
-   * Finds the hosts that come first for a key; each next one follows if those before it go.
+   * Returns the first hosts of a key in order of preference. If the owner is removed, the next host
+   * becomes the owner.
    *
-   * @param key names what is owned, never null
-   * @param count how many
-   * @return the owner first; fewer than asked for only if there are not as many hosts
+   * @param key the key, never null
+   * @param count the maximum number of hosts
+   * @return the owner and its successors; fewer than {@code count} only if there are fewer hosts
    */
   public ImmutableList<HostName> ownersOf(String key, int count) {
     long keyHash = Hashes.of(key);
-    Comparator<Integer> heaviest = (a, b) -> compareWeights(b, a, keyHash);
+    Comparator<Integer> byDescendingWeight = (a, b) -> compareWeights(b, a, keyHash);
     return IntStream.range(0, hosts.length)
         .boxed()
-        .sorted(heaviest)
+        .sorted(byDescendingWeight)
         .limit(count)
         .map(i -> hosts[i])
         .collect(ImmutableList.toImmutableList());
@@ -64,10 +67,10 @@
   }
 
   /**
-   * Finds the owner of a key.
+   * Returns the owner of a key.
    *
-   * @param key names what is owned, never null
-   * @return the host, empty only if there are no hosts
+   * @param key the key, never null
+   * @return the owner, empty only if there are no hosts
    */
   public Optional<HostName> ownerOf(String key) {
     if (hosts.length == 0) {
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/ownership/package-info.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/ownership/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Which live node owns a key, by rendezvous hashing. */
+/** Selects the live host that owns a key, by rendezvous hashing. */
 package org.larkkeel.peer.ownership;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotEvent.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotEvent.java
@@ -9,7 +9,7 @@
 import org.larkkeel.peer.membership.NodeId;
 
 /**
- * What happens to a {@link SlotOwner}. Times are nanoseconds of one monotonic clock.
+ * An input of {@link SlotOwner}. Times are in nanoseconds of one monotonic clock.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -18,42 +18,42 @@
 public sealed interface SlotEvent {
 
   /**
-   * When the event happened.
+   * Returns the time of the event.
    *
-   * @return nanoseconds
+   * @return the time in nanoseconds
    */
   long now();
 
   /**
-   * A holder reported.
+   * A holder sent a report.
    *
-   * @param now nanoseconds
-   * @param holder who
-   * @param report what it has and wants
+   * @param now the time of the event in nanoseconds
+   * @param holder the node that sent the report
+   * @param report the report
    */
   record Reported(long now, NodeId holder, SlotReport report) implements SlotEvent {}
 
   /**
    * The upstream reported its load.
    *
-   * @param now nanoseconds
-   * @param slots how many there are
-   * @param running how many were in use when the report was made
+   * @param now the time of the event in nanoseconds
+   * @param slots the number of slots of the upstream
+   * @param running the number of slots in use when the upstream made the report
    */
   record Capacity(long now, int slots, int running) implements SlotEvent {}
 
   /**
-   * A node died: its leases end and its asks are dropped.
+   * A node died: its leases end, and its waiting requests are dropped.
    *
-   * @param now nanoseconds
+   * @param now the time of the event in nanoseconds
    * @param holder the dead incarnation
    */
   record HolderDead(long now, NodeId holder) implements SlotEvent {}
 
   /**
-   * Time has passed; due at {@link SlotOwner#nextDeadline()}.
+   * The time of {@link SlotOwner#nextDeadline()} was reached.
    *
-   * @param now nanoseconds
+   * @param now the time of the event in nanoseconds
    */
   record Tick(long now) implements SlotEvent {}
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotHolder.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotHolder.java
@@ -17,17 +17,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The slots of one key at a node that uses them.
+ * The slots of one key that a node has leased.
  *
- * <p>Requests take idle slots at once or wait, by priority and then in the order of asking, until
- * the owner grants more. Slots that stay idle go back. Invariant: at least as many slots are held
- * as are in use. Deterministic; not safe for use by several threads. Times are nanoseconds.
+ * <p>A request takes an idle slot at once, or waits until the owner grants more; waiting requests
+ * are served by priority, then in order of arrival. Slots that stay idle are returned to the owner.
+ * Invariant: at least as many slots are held as are in use. Deterministic; not safe for use by
+ * several threads. Times are in nanoseconds.
  *
  * @since 0.1
  */
 public final class SlotHolder {
-  /** How long a holder returns free slots after the owner last said that others wait. */
-  private static final long CONTENTION_TIME = TimeUnit.SECONDS.toNanos(1);
+  /** The time for which free slots are returned at once after the owner reported contention. */
+  private static final long CONTENTION_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final String key;
   private final SlotSettings settings;
@@ -35,7 +36,7 @@
   private final List<Waiting> waiting = new ArrayList<>();
   private long epoch = 1;
   private long sequence;
-  private long seen;
+  private long lastGrant;
   private int held;
   private boolean changed;
   private long sentAt;
@@ -48,9 +49,9 @@
   /**
    * Creates a holder without slots.
    *
-   * @param key names what is leased
-   * @param settings times
-   * @param now nanoseconds
+   * @param key identifies the leased slots
+   * @param settings the lease settings
+   * @param now the current time in nanoseconds
    */
   public SlotHolder(String key, SlotSettings settings, long now) {
     this.key = key;
@@ -58,41 +59,41 @@
     this.windowEnd = now + settings.keep();
   }
 
-  private record Waiting(long id, int priority, long until) {}
+  private record Waiting(long id, int priority, long deadline) {}
 
-  /** How an acquisition ended. */
+  /** The result of an acquisition. */
   public enum Result {
-    /** The request has a slot until it is released. */
+    /** The request has a slot until the slot is released. */
     ACQUIRED,
-    /** No slot became free in time. */
+    /** No slot became free before the deadline. */
     TIMED_OUT
   }
 
   /**
-   * The end of a wait.
+   * The outcome of one acquisition.
    *
    * @param id the request
-   * @param result how it ended
+   * @param result the result
    */
   public record Outcome(long id, Result result) {}
 
   /**
-   * Asks for a slot.
+   * Requests a slot.
    *
-   * @param now nanoseconds
-   * @param id names the request at this node
-   * @param priority greater goes first
-   * @param until when the request gives up
-   * @return outcomes, with this request's if a slot was idle
+   * @param now the current time in nanoseconds
+   * @param id identifies the request at this node
+   * @param priority the priority; greater values are served first
+   * @param deadline the time at which the request stops waiting, in nanoseconds
+   * @return the outcomes, including that of this request if a slot was idle
    */
-  public List<Outcome> acquire(long now, long id, int priority, long until) {
-    Waiting entry = new Waiting(id, priority, until);
-    int place = waiting.size();
-    while (place > 0 && waiting.get(place - 1).priority() < priority) {
-      place--;
+  public List<Outcome> acquire(long now, long id, int priority, long deadline) {
+    Waiting entry = new Waiting(id, priority, deadline);
+    int index = waiting.size();
+    while (index > 0 && waiting.get(index - 1).priority() < priority) {
+      index--;
     }
-    waiting.add(place, entry);
-    List<Outcome> outcomes = serve();
+    waiting.add(index, entry);
+    List<Outcome> outcomes = assignIdleSlots();
     if (!waiting.isEmpty()) {
       changed = true;
     }
@@ -100,29 +101,29 @@
   }
 
   /**
-   * Gives a slot back, or gives up waiting. Unknown ids are ignored.
+   * Releases the slot of a request, or cancels its wait. Unknown ids are ignored.
    *
-   * @param now nanoseconds
+   * @param now the current time in nanoseconds
    * @param id the request
-   * @return outcomes of others
+   * @return the outcomes of other requests
    */
   public List<Outcome> release(long now, long id) {
     if (waiting.removeIf(entry -> entry.id() == id)) {
       changed = true;
     }
     if (inUse.remove(id) && now < contendedUntil) {
-      // The owner knows whose turn it is.
+      // The owner decides which waiting request of any node is next.
       returnIdle(1);
     }
-    return serve();
+    return assignIdleSlots();
   }
 
   /**
-   * Takes a grant.
+   * Applies a grant. A grant of another epoch is ignored, and one with another base adds no slots.
    *
-   * @param now nanoseconds
+   * @param now the current time in nanoseconds
    * @param grant the grant
-   * @return outcomes
+   * @return the outcomes
    */
   public List<Outcome> granted(long now, SlotGrant grant) {
     if (grant.epoch() != epoch) {
@@ -132,39 +133,39 @@
       validUntil = sentAt + settings.hold();
       expirable = true;
     }
-    if (grant.base() == seen && grant.number() > seen) {
+    if (grant.base() == lastGrant && grant.number() > lastGrant) {
       held += grant.added();
-      seen = grant.number();
+      lastGrant = grant.number();
       changed = true;
     }
-    contendedUntil = grant.contended() ? now + CONTENTION_TIME : Long.MIN_VALUE;
-    return serve();
+    contendedUntil = grant.contended() ? now + CONTENTION_NANOS : Long.MIN_VALUE;
+    return assignIdleSlots();
   }
 
   /**
-   * Another node owns the key now: what is held is reported to it.
+   * Starts a new epoch, since another node owns the key now. The held slots are reported to it.
    *
-   * @param now nanoseconds
+   * @param now the current time in nanoseconds
    */
   public void ownerChanged(long now) {
     epoch++;
-    seen = 0;
+    lastGrant = 0;
     changed = true;
   }
 
   /**
-   * Ends waits that are over, returns what stayed idle, and gives up idle slots whose lease ran
-   * out.
+   * Ends waits whose deadline has passed, and returns slots that stayed idle for the keep time or
+   * are idle when the lease has expired.
    *
-   * @param now nanoseconds
-   * @return outcomes
+   * @param now the current time in nanoseconds
+   * @return the outcomes
    */
   public List<Outcome> tick(long now) {
     List<Outcome> outcomes = new ArrayList<>();
     Iterator<Waiting> entries = waiting.iterator();
     while (entries.hasNext()) {
       Waiting entry = entries.next();
-      if (entry.until() <= now) {
+      if (entry.deadline() <= now) {
         entries.remove();
         outcomes.add(new Outcome(entry.id(), Result.TIMED_OUT));
         changed = true;
@@ -190,10 +191,11 @@
   }
 
   /**
-   * The report to send, if something changed or the lease needs renewal. Called once a flush.
+   * Returns the report to send, if something changed or the lease needs renewal. Called once per
+   * flush.
    *
-   * @param now nanoseconds
-   * @return the report, empty if there is nothing to say
+   * @param now the current time in nanoseconds
+   * @return the report, empty if none is due
    */
   public Optional<SlotReport> report(long now) {
     if (now < contendedUntil) {
@@ -206,15 +208,15 @@
     changed = false;
     sentAt = now;
     sequence++;
-    return Optional.of(new SlotReport(key, epoch, sequence, seen, held, waits()));
+    return Optional.of(new SlotReport(key, epoch, sequence, lastGrant, held, waitsByPriority()));
   }
 
-  /** Reports again at the next flush, because the last report may be lost. */
+  /** Sends a report at the next flush, since the last one may be lost. */
   public void reportLost() {
     changed = true;
   }
 
-  private List<SlotReport.Wait> waits() {
+  private List<SlotReport.Wait> waitsByPriority() {
     TreeMap<Integer, Integer> counts = new TreeMap<>();
     waiting.forEach(entry -> counts.merge(entry.priority(), 1, Integer::sum));
     List<SlotReport.Wait> waits = new ArrayList<>();
@@ -224,7 +226,7 @@
     return waits;
   }
 
-  private List<Outcome> serve() {
+  private List<Outcome> assignIdleSlots() {
     List<Outcome> outcomes = new ArrayList<>();
     while (idle() > 0 && !waiting.isEmpty()) {
       Waiting next = waiting.removeFirst();
@@ -241,25 +243,25 @@
   }
 
   /**
-   * The slots held.
+   * Returns the number of slots held, in use or idle.
    *
-   * @return a count
+   * @return the number of slots
    */
   public int held() {
     return held;
   }
 
   /**
-   * The slots in use.
+   * Returns the number of slots in use.
    *
-   * @return a count, at most {@link #held()}
+   * @return the number of slots, at most {@link #held()}
    */
   public int used() {
     return inUse.size();
   }
 
   /**
-   * Tells whether nothing is held or waits and everything was reported.
+   * Returns whether no slot is held, no request waits and no report is due.
    *
    * @return true if the holder may be dropped
    */
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotOwner.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotOwner.java
@@ -16,66 +16,66 @@
 import org.larkkeel.peer.membership.NodeId;
 
 /**
- * Counts the slots of one key at its owner and grants free ones, by priority and then in the order
- * of asking.
+ * Tracks the slots of one key at the node that owns it, and grants free slots by priority, then in
+ * order of arrival.
  *
- * <p>Invariant: the sum of what holders may hold, with what they have not yet confirmed and with
- * what runs on the upstream beyond all leases, exceeds the capacity only if the capacity shrank or
- * a new owner learns of leases that an earlier one granted. Deterministic; not safe for use by
- * several threads.
+ * <p>Invariant: the sum of the slots that holders have, the grants that they have not confirmed and
+ * the slots that run at the upstream without a lease exceeds the capacity only if the capacity
+ * shrank or holders report leases of a previous owner. Deterministic; not safe for use by several
+ * threads. Times are in nanoseconds.
  *
  * @since 0.1
  */
 public final class SlotOwner {
   private static final int MAX_WAITS = 1_024;
 
-  /** The part of the capacity by which slots that run without a lease may fall a report. */
+  /** The count of slots without a lease falls by at most capacity / 10 with each load report. */
   private static final int UNLEASED_DECAY = 10;
 
   private final String key;
   private final SlotSettings settings;
-  private final long grantFrom;
+  private final long grantsFrom;
   private final Map<NodeId, Holder> holders = new LinkedHashMap<>();
-  private final TreeMap<Turn, NodeId> waiting = new TreeMap<>();
-  private long arrivals;
+  private final TreeMap<QueuePosition, NodeId> waiting = new TreeMap<>();
+  private long nextArrival;
   private long nextRecall;
   private int capacity;
   private int unleased;
-  private int peakLeased;
+  private int peakLeasedSinceReport;
 
   /**
-   * Creates an owner that knows neither capacity nor leases; it grants nothing before it has heard
-   * of the capacity and the takeover delay has passed.
+   * Creates an owner that knows neither capacity nor leases. It grants nothing until it knows the
+   * capacity and the takeover delay has passed.
    *
-   * @param key names what is leased
-   * @param settings times
-   * @param now nanoseconds
+   * @param key identifies the leased slots
+   * @param settings the lease settings
+   * @param now the current time in nanoseconds
    */
   public SlotOwner(String key, SlotSettings settings, long now) {
     this.key = key;
     this.settings = settings;
-    this.grantFrom = now + settings.takeoverDelay();
-    this.nextRecall = grantFrom;
+    this.grantsFrom = now + settings.takeoverDelay();
+    this.nextRecall = grantsFrom;
   }
 
-  /** The place of a waiting ask: greater priority first, then earlier arrival. */
-  private record Turn(int priority, long arrival) implements Comparable<Turn> {
+  /** The queue position of a waiting request: greater priority first, then earlier arrival. */
+  private record QueuePosition(int priority, long arrival) implements Comparable<QueuePosition> {
     @Override
-    public int compareTo(Turn other) {
+    public int compareTo(QueuePosition other) {
       int byPriority = Integer.compare(other.priority, priority);
       return byPriority != 0 ? byPriority : Long.compare(arrival, other.arrival);
     }
   }
 
-  /** What the owner knows of one holder. */
+  /** The owner's state of one holder. */
   private static final class Holder {
     private long epoch;
     private long sequence;
-    private long seen;
-    private long number;
+    private long lastConfirmed;
+    private long lastGrant;
     private int held;
     private final TreeMap<Long, Integer> unconfirmed = new TreeMap<>();
-    private long expires;
+    private long expiresAt;
 
     int unconfirmedSlots() {
       return unconfirmed.values().stream().mapToInt(Integer::intValue).sum();
@@ -89,54 +89,54 @@
   /**
    * A grant to be sent.
    *
-   * @param holder to whom
-   * @param grant what
+   * @param holder the receiver
+   * @param grant the grant
    */
   public record Answer(NodeId holder, SlotGrant grant) {}
 
   /**
-   * Takes the next event.
+   * Processes the next event.
    *
    * @param event the event
-   * @return the grants to send; a report is always answered
+   * @return the grants to send; each new report is answered, a duplicate or outdated one is not
    */
   public List<Answer> on(SlotEvent event) {
     Map<NodeId, Holder> answered = new LinkedHashMap<>();
     long now = event.now();
     switch (event) {
       case SlotEvent.Reported reported ->
-          reported(reported).ifPresent(holder -> answered.put(reported.holder(), holder));
+          onReport(reported).ifPresent(holder -> answered.put(reported.holder(), holder));
       case SlotEvent.Capacity load -> capacity(load);
-      case SlotEvent.HolderDead dead -> forget(dead.holder());
+      case SlotEvent.HolderDead dead -> removeHolder(dead.holder());
       case SlotEvent.Tick ignored -> {}
     }
     expire(now);
     grant(now, answered);
-    recall(now, answered);
-    peakLeased = Math.max(peakLeased, leased());
+    notifyContention(now, answered);
+    peakLeasedSinceReport = Math.max(peakLeasedSinceReport, leased());
     List<Answer> answers = new ArrayList<>();
     answered.forEach((id, holder) -> answers.add(new Answer(id, grantOf(id, holder))));
     return answers;
   }
 
   /**
-   * When the next {@link SlotEvent.Tick} is due.
+   * Returns the time at which the next {@link SlotEvent.Tick} is due.
    *
-   * @return nanoseconds, {@link Long#MAX_VALUE} if none is
+   * @return the time in nanoseconds, {@link Long#MAX_VALUE} if none is due
    */
   public long nextDeadline() {
     boolean scarce = !waiting.isEmpty() || free() < 0;
     long deadline = scarce ? nextRecall : Long.MAX_VALUE;
     for (Holder holder : holders.values()) {
-      deadline = Math.min(deadline, holder.expires);
+      deadline = Math.min(deadline, holder.expiresAt);
     }
     return deadline;
   }
 
   /**
-   * The slots leased, with those whose grant is not confirmed.
+   * Returns the number of leased slots, including unconfirmed grants.
    *
-   * @return a count
+   * @return the number of slots
    */
   public int leased() {
     int leased = 0;
@@ -147,24 +147,24 @@
   }
 
   /**
-   * The asks that wait.
+   * Returns the number of waiting requests of all holders.
    *
-   * @return a count
+   * @return the number of requests
    */
   public int waiting() {
     return waiting.size();
   }
 
   /**
-   * The slots that could be granted now.
+   * Returns the number of slots that can be granted.
    *
-   * @return a count, negative if more is leased than there is
+   * @return the number of slots, negative if more are in use or leased than exist
    */
   public int free() {
     return capacity - leased() - unleased;
   }
 
-  private Optional<Holder> reported(SlotEvent.Reported event) {
+  private Optional<Holder> onReport(SlotEvent.Reported event) {
     SlotReport report = event.report();
     Holder holder = holders.computeIfAbsent(event.holder(), id -> new Holder());
     if (report.sequence() <= holder.sequence) {
@@ -173,26 +173,26 @@
     if (report.epoch() != holder.epoch) {
       holder.epoch = report.epoch();
       holder.unconfirmed.clear();
-      holder.number = 0;
+      holder.lastGrant = 0;
     }
     final int before = holder.leased();
     holder.sequence = report.sequence();
-    holder.seen = report.seen();
-    holder.number = Math.max(holder.number, report.seen());
+    holder.lastConfirmed = report.seen();
+    holder.lastGrant = Math.max(holder.lastGrant, report.seen());
     holder.held = report.held();
     holder.unconfirmed.headMap(report.seen(), true).clear();
-    holder.expires = event.now() + settings.hold();
-    // What an earlier owner granted was counted as running without a lease until now.
+    holder.expiresAt = event.now() + settings.hold();
+    // Slots that a previous owner granted were counted as running without a lease until now.
     unleased = Math.max(0, unleased - Math.max(0, holder.leased() - before));
-    queue(event.holder(), report, holder.unconfirmedSlots());
+    updateQueue(event.holder(), report, holder.unconfirmedSlots());
     if (holder.leased() == 0 && report.waits().isEmpty()) {
-      holder.expires = event.now() + settings.renewal();
+      holder.expiresAt = event.now() + settings.renewal();
     }
     return Optional.of(holder);
   }
 
-  /** Brings the waiting asks of a holder in line with its report. */
-  private void queue(NodeId id, SlotReport report, int alreadyGranted) {
+  /** Updates the waiting requests of a holder from its report. */
+  private void updateQueue(NodeId id, SlotReport report, int alreadyGranted) {
     TreeMap<Integer, Integer> wanted = new TreeMap<>(Comparator.reverseOrder());
     report.waits().forEach(wait -> wanted.merge(wait.priority(), wait.count(), Integer::sum));
     int served = alreadyGranted;
@@ -210,22 +210,23 @@
     wanted.forEach(
         (priority, count) -> {
           for (int i = 0; i < count; i++) {
-            waiting.put(new Turn(priority, arrivals++), id);
+            waiting.put(new QueuePosition(priority, nextArrival++), id);
           }
         });
   }
 
   private void capacity(SlotEvent.Capacity load) {
     capacity = load.slots();
-    // The report lags: what was leased since the one before may still have been counted in it.
-    int observed = load.running() - Math.max(peakLeased, leased());
-    // Falls slowly, since two owners that both saw room would fill it at once, again and again.
+    // The load report lags: it may still count slots whose lease ended since the previous report.
+    int observed = load.running() - Math.max(peakLeasedSinceReport, leased());
+    // Falls slowly: two owners that both saw free capacity would otherwise both fill it at once,
+    // over and over.
     int lowest = unleased - Math.max(1, capacity / UNLEASED_DECAY);
     unleased = Math.max(0, Math.max(observed, lowest));
-    peakLeased = leased();
+    peakLeasedSinceReport = leased();
   }
 
-  private void forget(NodeId id) {
+  private void removeHolder(NodeId id) {
     holders.remove(id);
     waiting.values().removeIf(id::equals);
   }
@@ -234,15 +235,15 @@
     List<NodeId> expired = new ArrayList<>();
     holders.forEach(
         (id, holder) -> {
-          if (holder.expires <= now) {
+          if (holder.expiresAt <= now) {
             expired.add(id);
           }
         });
-    expired.forEach(this::forget);
+    expired.forEach(this::removeHolder);
   }
 
   private void grant(long now, Map<NodeId, Holder> answered) {
-    if (now < grantFrom) {
+    if (now < grantsFrom) {
       return;
     }
     Map<NodeId, Integer> added = new LinkedHashMap<>();
@@ -254,13 +255,13 @@
     added.forEach(
         (id, slots) -> {
           Holder holder = holders.get(id);
-          holder.unconfirmed.put(++holder.number, slots);
+          holder.unconfirmed.put(++holder.lastGrant, slots);
           answered.put(id, holder);
         });
   }
 
-  /** Tells holders now and then that others wait, so that they return what becomes free. */
-  private void recall(long now, Map<NodeId, Holder> answered) {
+  /** Notifies holders periodically of contention, so that they return slots that become free. */
+  private void notifyContention(long now, Map<NodeId, Holder> answered) {
     boolean scarce = !waiting.isEmpty() || free() < 0;
     if (!scarce || now < nextRecall) {
       return;
@@ -291,8 +292,8 @@
         key,
         holder.epoch,
         holder.sequence,
-        holder.seen,
-        holder.number,
+        holder.lastConfirmed,
+        holder.lastGrant,
         holder.unconfirmedSlots(),
         isContended(id));
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotReport.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotReport.java
@@ -9,26 +9,26 @@
 import java.util.List;
 
 /**
- * What a holder has and wants of one key.
+ * A holder's report of the slots it holds and the requests that wait for slots of one key.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param key names what is leased
- * @param epoch grows each time the holder sees another owner
- * @param sequence grows with each report
+ * @param key identifies the leased slots
+ * @param epoch the owner epoch, which increases each time the owner changes for this holder
+ * @param sequence a number that increases with each report
  * @param seen the number of the last grant that {@code held} includes; 0 at the start of an epoch
- * @param held the slots held, in use or idle
- * @param waits what waits for slots, at most one entry a priority
+ * @param held the number of slots held, in use or idle
+ * @param waits the waiting requests, at most one entry per priority
  * @since 0.1
  */
 public record SlotReport(
     String key, long epoch, long sequence, long seen, int held, List<Wait> waits) {
 
   /**
-   * Requests that wait.
+   * The waiting requests of one priority.
    *
-   * @param priority greater goes first
-   * @param count how many
+   * @param priority the priority; greater values are served first
+   * @param count the number of requests
    */
   public record Wait(int priority, int count) {}
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotSettings.java
@@ -9,21 +9,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times of slot leases, in nanoseconds.
+ * The settings of slot leases. All times are in nanoseconds.
  *
- * <p>With a keep time of 0 each request reserves its slot at the owner. With a longer one a holder
- * keeps slots as long as its demand lasts. Immutable and safe for use by several threads.
+ * <p>With a keep time of 0, each request leases its slot from the owner. With a longer keep time, a
+ * holder keeps slots while its demand lasts. Immutable and safe for use by several threads.
  *
- * @param hold how long a lease lasts without a report
- * @param keep how long a holder keeps slots that it does not use
- * @param takeoverDelay how long a new owner only listens before it grants
- * @param recallPeriod between two recalls while asks wait
+ * @param hold the duration of a lease without a report
+ * @param keep the time for which a holder keeps idle slots
+ * @param takeoverDelay the time for which a new owner collects reports before it grants slots
+ * @param recallPeriod the interval between two contention notices while requests wait
  * @since 0.1
  */
 public record SlotSettings(long hold, long keep, long takeoverDelay, long recallPeriod) {
 
   /**
-   * A slot for each request, for a few nodes.
+   * Returns settings for a few nodes: each request leases its slot.
    *
    * @return the settings
    */
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Slots that follow demand, for hundreds of nodes.
+   * Returns settings for hundreds of nodes: the number of leased slots follows the demand.
    *
    * @return the settings
    */
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/package-info.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/package-info.java
@@ -5,11 +5,12 @@
  */
 
 /**
- * Leases on the decode slots of an upstream, or on anything else that is counted in units.
+ * Leases on the decode slots of an upstream, or on any other countable resource.
  *
  * <p>{@link org.larkkeel.peer.slots.SlotOwner} runs on the node that owns the key, {@link
- * org.larkkeel.peer.slots.SlotHolder} on every node that uses it. Both are deterministic state
- * machines. A holder reports what it holds and what waits, at most once a flush, so messages do not
- * grow with requests; the same report renews the lease and lets a new owner take it over.
+ * org.larkkeel.peer.slots.SlotHolder} on every node that uses its slots. Both are deterministic
+ * state machines. A holder reports its slots and waiting requests at most once per flush, so the
+ * message rate does not grow with the request rate. The same report renews the lease and allows a
+ * new owner to take it over.
  */
 package org.larkkeel.peer.slots;
