--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/BudgetedObjectApiTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/BudgetedObjectApiTest.java
@@ -16,17 +16,17 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.Test;
 
-/** Tests of {@link BudgetedObjectApi} and its parts. */
+/** Tests of {@link BudgetedObjectApi}, its call budget and its circuit breaker. */
 public class BudgetedObjectApiTest {
   private static final CallBudget BUDGET =
       new CallBudget(
           10, 10, 5, Duration.ofSeconds(1), Duration.ofMillis(100), Duration.ofSeconds(2));
 
-  /** The rate. */
+  /** Limiting the rate of calls. */
   public static class Rate {
 
     @Test
-    public void callsAreSpreadAndTheExcessIsRefused() {
+    public void callsArePacedAndExcessCallsAreRefused() {
       ManualScheduler time = new ManualScheduler();
       InMemoryStore store = new InMemoryStore(time);
       ObjectApi api = node(time, store, 1);
@@ -43,11 +43,11 @@
     }
   }
 
-  /** Outages. */
+  /** Calls during and after an outage of the store. */
   public static class Outage {
 
     @Test
-    public void downStoreSeesFewCallsAndReturnsWithoutStampede() {
+    public void outageCausesFewCallsAndRecoveryNoCallBurst() {
       ManualScheduler time = new ManualScheduler();
       InMemoryStore store = new InMemoryStore(time);
       int nodes = 330;
@@ -55,17 +55,18 @@
       store.setOutage(true);
       counter.start();
       time.advance(Duration.ofSeconds(10));
-      int settled = counter.made;
+      int callsBeforeMeasuring = counter.callCount;
       time.advance(Duration.ofSeconds(60));
-      double perNodeSecond = (counter.made - settled) / 60.0 / nodes;
-      assertTrue(perNodeSecond < 1.5, "calls a node and second in the outage: " + perNodeSecond);
+      double perNodeSecond = (counter.callCount - callsBeforeMeasuring) / 60.0 / nodes;
+      assertTrue(
+          perNodeSecond < 1.5, "calls per node and second during the outage: " + perNodeSecond);
       store.setOutage(false);
-      int before = counter.made;
+      int before = counter.callCount;
       time.advance(Duration.ofMillis(100));
-      int burst = counter.made - before;
-      assertTrue(burst < nodes / 2, "calls in the first 100 ms: " + burst);
+      int burst = counter.callCount - before;
+      assertTrue(burst < nodes / 2, "calls in the first 100 ms after the outage: " + burst);
       time.advance(Duration.ofSeconds(5));
-      assertEquals(counter.healthy(), nodes);
+      assertEquals(counter.countSucceeded(), nodes);
     }
   }
 
@@ -74,24 +75,24 @@
     return new BudgetedObjectApi(new InMemoryObjectApi(store, p), BUDGET, p, new Random(seed));
   }
 
-  /** Nodes that each want a read every 50 ms, whatever happens. */
+  /** Nodes that each call the store every 50 ms, regardless of failures. */
   private static final class CallCounter {
-    private static final Duration EAGER = Duration.ofMillis(50);
+    private static final Duration CALL_INTERVAL = Duration.ofMillis(50);
     private final ManualScheduler.Process driver;
     private final List<ObjectApi> nodes = new ArrayList<>();
-    private final boolean[] ok;
-    private int made;
+    private final boolean[] succeeded;
+    private int callCount;
 
     CallCounter(ManualScheduler time, InMemoryStore store, int count) {
       driver = time.newProcess();
-      ok = new boolean[count];
+      succeeded = new boolean[count];
       for (int i = 0; i < count; i++) {
         ManualScheduler.Process p = time.newProcess();
         InMemoryObjectApi raw =
             new InMemoryObjectApi(store, p)
                 .setReadFaults(
                     () -> {
-                      made++;
+                      callCount++;
                       return Fault.NONE;
                     });
         nodes.add(new BudgetedObjectApi(raw, BUDGET, p, new Random(i)));
@@ -105,13 +106,13 @@
     }
 
     private void call(int i) {
-      nodes.get(i).list(ListQuery.of("test")).whenComplete((p, e) -> ok[i] |= e == null);
-      driver.schedule(EAGER, () -> call(i));
+      nodes.get(i).list(ListQuery.of("test")).whenComplete((p, e) -> succeeded[i] |= e == null);
+      driver.schedule(CALL_INTERVAL, () -> call(i));
     }
 
-    long healthy() {
+    long countSucceeded() {
       long n = 0;
-      for (boolean b : ok) {
+      for (boolean b : succeeded) {
         n += b ? 1 : 0;
       }
       return n;
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/ClosedWorkerTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/ClosedWorkerTest.java
@@ -17,12 +17,15 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Calls that are under way when the I/O threads end, as they do before the scheduler. */
+/**
+ * Tests that calls in progress fail when the I/O worker is shut down, which happens before the
+ * scheduler stops.
+ */
 public class ClosedWorkerTest {
-  /** Calls for one answer. */
+  /** Calls with a single answer. */
   public static class Calls {
     @Test
-    public void fail() throws Exception {
+    public void callFailsAfterWorkerShutdown() throws Exception {
       ScriptedServer server = new ScriptedServer();
       server.then(ScriptedServer.SILENCE);
       ExecutorScheduler scheduler = new ExecutorScheduler("test");
@@ -44,7 +47,7 @@
   /** Watches. */
   public static class Watches {
     @Test
-    public void end() throws Exception {
+    public void watchFailsAfterWorkerShutdown() throws Exception {
       ScriptedServer server = new ScriptedServer();
       server.then(ScriptedServer.SILENCE);
       ExecutorScheduler scheduler = new ExecutorScheduler("test");
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/CollectionMirrorTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/CollectionMirrorTest.java
@@ -25,16 +25,16 @@
 import java.util.function.Consumer;
 import org.testng.annotations.Test;
 
-/** A copy of a collection. */
+/** Tests of {@link CollectionMirror}. */
 public class CollectionMirrorTest {
   private static final String COLLECTION = "things";
 
-  private static JsonNode spec(int start) {
-    return JsonNodeFactory.instance.objectNode().put("start", start);
+  private static JsonNode spec(int value) {
+    return JsonNodeFactory.instance.objectNode().put("start", value);
   }
 
-  /** A mirror, and a store that it sees over an API. */
-  private static final class World {
+  /** A mirror with its store and its client of the store. */
+  private static final class Rig {
     final ManualScheduler time = new ManualScheduler();
     final InMemoryStore store = new InMemoryStore(time);
     final ManualScheduler.Process process = time.newProcess();
@@ -43,7 +43,7 @@
     Set<String> names = Set.of();
     ObjectPage stale;
 
-    World(Duration watchLag) {
+    Rig(Duration watchLag) {
       api.setWatchLag(watchLag);
       mirror =
           new CollectionMirror(
@@ -51,17 +51,17 @@
               COLLECTION,
               process,
               new Backoff(Duration.ofMillis(100), Duration.ofSeconds(1), new SplittableRandom(1)),
-              change -> changed());
+              change -> recordNames());
       mirror.start();
       time.advance(Duration.ofSeconds(1));
     }
 
-    private void changed() {
+    private void recordNames() {
       names = Set.copyOf(mirror.objects().keySet());
     }
 
-    /** A mirror of another node, whose watches work. */
-    CollectionMirror another() {
+    /** Starts a mirror of another node, with working watches. */
+    CollectionMirror startPeerMirror() {
       ManualScheduler.Process other = time.newProcess();
       CollectionMirror m =
           new CollectionMirror(
@@ -85,13 +85,13 @@
     }
   }
 
-  /** Watches whose connection has gone silent. */
-  public static class Silent {
+  /** Watches whose connection has become unresponsive without being closed. */
+  public static class UnresponsiveWatch {
     private static final Duration NEVER = Duration.ofHours(1);
 
     @Test
-    public void isReadAnewOnceOthersKnowMore() {
-      World w = new World(NEVER);
+    public void collectionIsListedAgainWhenPeerReportsChange() {
+      Rig w = new Rig(NEVER);
       StoreVersion change = w.create("a");
       w.time.advance(Duration.ofSeconds(5));
       assertEquals(w.names, Set.of());
@@ -103,8 +103,8 @@
     }
 
     @Test
-    public void followsTheStoreAfterwards() {
-      World w = new World(NEVER);
+    public void newWatchDeliversFurtherChanges() {
+      Rig w = new Rig(NEVER);
       w.mirror.others(w.create("a"));
       w.api.setWatchLag(Duration.ofMillis(1));
       w.time.advance(Duration.ofSeconds(1));
@@ -115,20 +115,20 @@
   }
 
   /**
-   * Objects that were removed while the store could not be reached.
+   * Objects that were removed while the store was unreachable.
    *
-   * <p>Seen: upstreams left while the store refused some nodes. From then on each of these took its
-   * watch for dead again and again, up to 20 times in 10 s, since others had seen a change that was
-   * older than its own list. Cause: the change was compared with those of the objects that a node
-   * has, among which a removal is only if it was watched. Proof: a node listed as of version 37,
-   * and looked for the removal 36 until the next change of an upstream.
+   * <p>Guards against restarting a working watch over and over, up to 20 times in 10 s, because of
+   * a removal that the node has only inferred from a list. This happened when a change reported by
+   * a peer was compared only with the changes of the node's objects, which include a removal only
+   * if it was watched: a node that had listed version 37 waited for the removal with version 36
+   * until the next change.
    */
-  public static class Removed {
+  public static class RemovedDuringOutage {
     private static final ObjectKey A = new ObjectKey(COLLECTION, "a");
 
-    /** A mirror that lists after a removal that it did not watch. */
-    private static World afterRemoval() {
-      World w = new World(Duration.ofMillis(1));
+    /** Returns a mirror that has listed after a removal that it did not watch. */
+    private static Rig afterRemoval() {
+      Rig w = new Rig(Duration.ofMillis(1));
       w.create("a");
       w.create("b");
       w.time.advance(Duration.ofSeconds(1));
@@ -142,61 +142,62 @@
     }
 
     @Test
-    public void areNoReasonToReadAnewWhatTheListLacks() {
-      World w = afterRemoval();
+    public void reportOfInferredRemovalDoesNotRestartWatch() {
+      Rig w = afterRemoval();
       w.mirror.others(w.store.version());
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(w.mirror.losses(), 1, "the outage");
     }
 
     @Test
-    public void areNoNewsForThoseThatWatchedThem() {
-      World w = new World(Duration.ofMillis(1));
+    public void peerThatWatchedRemovalKeepsItsWatch() {
+      Rig w = new Rig(Duration.ofMillis(1));
       w.create("a");
       w.create("b");
-      final CollectionMirror watching = w.another();
+      final CollectionMirror watchingPeer = w.startPeerMirror();
       w.time.advance(Duration.ofSeconds(1));
-      w.api.fallSilent();
+      w.api.makeConnectionsUnresponsive();
       w.store.delete(A, w.store.get(A).resourceVersion());
       w.time.advance(Duration.ofMillis(100));
-      w.mirror.others(watching.changeVersion());
+      w.mirror.others(watchingPeer.changeVersion());
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(w.names, Set.of("b"));
-      watching.others(w.mirror.changeVersion());
+      watchingPeer.others(w.mirror.changeVersion());
       w.time.advance(Duration.ofSeconds(2));
-      assertEquals(watching.losses(), 0);
+      assertEquals(watchingPeer.losses(), 0);
     }
 
     /**
-     * A node that lists after a silence is the first to know. What is left out of a list was no
-     * change that it told of, so that nodes that were still silent kept the removed upstream.
+     * The node that lists after an outage is the first to see a removal. Guards against not
+     * reporting a removal that was inferred from a list, so that peers with unresponsive watches
+     * kept the removed object.
      */
     @Test
-    public void areNewsForOthersThatHaveNotSeenThem() {
-      World w = new World(Duration.ofMillis(1));
+    public void inferredRemovalIsReportedToPeers() {
+      Rig w = new Rig(Duration.ofMillis(1));
       w.create("a");
       w.create("b");
-      final CollectionMirror lister = w.another();
+      final CollectionMirror listingPeer = w.startPeerMirror();
       w.time.advance(Duration.ofSeconds(1));
       assertEquals(w.names, Set.of("a", "b"));
-      w.api.fallSilent();
+      w.api.makeConnectionsUnresponsive();
       w.store.setOutage(true);
       w.store.delete(A, w.store.get(A).resourceVersion());
       w.time.advance(Duration.ofSeconds(1));
       w.store.setOutage(false);
       w.time.advance(Duration.ofSeconds(3));
       assertEquals(w.names, Set.of("a", "b"));
-      w.mirror.others(lister.changeVersion());
+      w.mirror.others(listingPeer.changeVersion());
       w.time.advance(Duration.ofSeconds(1));
       assertEquals(w.names, Set.of("b"));
     }
   }
 
-  /** What operators see of it. */
-  public static class Measured {
+  /** The values of the metrics. */
+  public static class Metrics {
     @Test
-    public void tellsHowLongTheStoreWasSilent() {
-      World w = new World(Duration.ofMillis(1));
+    public void timeSinceLastAnswerGrowsUntilNextEvent() {
+      Rig w = new Rig(Duration.ofMillis(1));
       w.time.advance(Duration.ofSeconds(4));
       assertTrue(w.mirror.silence().compareTo(Duration.ofSeconds(4)) >= 0);
       w.create("a");
@@ -205,8 +206,8 @@
     }
 
     @Test
-    public void countsLossesButNotTriesThatFail() {
-      World w = new World(Duration.ofMillis(1));
+    public void outageCountsOnceDespiteFailedRetries() {
+      Rig w = new Rig(Duration.ofMillis(1));
       w.store.setOutage(true);
       w.create("a");
       w.time.advance(Duration.ofSeconds(10));
@@ -217,55 +218,59 @@
     }
   }
 
-  /** Changes that come in series, in a fleet whose watches all end with each of them. */
-  public static class InSeries {
-    private static MirrorFleet fleet(int nodes) {
-      MirrorFleet fleet = new MirrorFleet(nodes, Duration.ofMillis(4), new SplittableRandom(1));
-      fleet.time.advance(Duration.ofSeconds(1));
-      return fleet;
+  /** Frequent changes in a cluster, each of which ends the watches of all nodes. */
+  public static class FrequentChanges {
+    private static MirrorCluster startCluster(int nodes) {
+      MirrorCluster cluster =
+          new MirrorCluster(nodes, Duration.ofMillis(4), new SplittableRandom(1));
+      cluster.time.advance(Duration.ofSeconds(1));
+      return cluster;
     }
 
-    /** The watches of a fleet while a change comes each 50 ms, as when many upstreams register. */
-    private static int watchesDuring(MirrorFleet fleet, int changes) {
-      int before = fleet.store.watches();
+    /**
+     * Returns the number of watches that a cluster starts while an object changes every 50 ms, as
+     * when many upstreams register.
+     */
+    private static int watchesDuring(MirrorCluster cluster, int changes) {
+      int before = cluster.store.watches();
       for (int i = 0; i < changes; i++) {
-        fleet.create("o-" + i);
-        fleet.time.advance(Duration.ofMillis(50));
+        cluster.create("o-" + i);
+        cluster.time.advance(Duration.ofMillis(50));
       }
-      fleet.time.advance(Duration.ofSeconds(1));
-      return fleet.store.watches() - before;
+      cluster.time.advance(Duration.ofSeconds(1));
+      return cluster.store.watches() - before;
     }
 
     @Test
-    public void areSeenByFewCallsOfLargeFleets() {
-      MirrorFleet fleet = fleet(95);
-      int calls = watchesDuring(fleet, 80);
-      // Four seconds at 160 calls a second, the first call of each and the last.
+    public void causeFewCallsInLargeCluster() {
+      MirrorCluster cluster = startCluster(95);
+      int calls = watchesDuring(cluster, 80);
+      // Four seconds at 160 calls per second, plus the first and the last calls of each node.
       assertTrue(calls <= 4 * 160 + 3 * 95, "calls " + calls);
-      fleet.mirrors.forEach(m -> assertEquals(m.objects().size(), 80));
+      cluster.mirrors.forEach(m -> assertEquals(m.objects().size(), 80));
     }
 
     @Test
-    public void areSeenSoonBySmallFleets() {
-      MirrorFleet fleet = fleet(8);
-      fleet.create("a");
-      fleet.time.advance(Duration.ofMillis(20));
-      fleet.create("b");
-      fleet.time.advance(Duration.ofMillis(200));
-      fleet.mirrors.forEach(m -> assertEquals(m.objects().size(), 2));
+    public void areSeenQuicklyInSmallCluster() {
+      MirrorCluster cluster = startCluster(8);
+      cluster.create("a");
+      cluster.time.advance(Duration.ofMillis(20));
+      cluster.create("b");
+      cluster.time.advance(Duration.ofMillis(200));
+      cluster.mirrors.forEach(m -> assertEquals(m.objects().size(), 2));
     }
   }
 
-  /** What the listener is told. */
-  public static class Told {
-    /** A mirror whose listener notes all that it is told. */
-    private static final class Listening {
+  /** The notifications of the listener. */
+  public static class Notifications {
+    /** A mirror whose listener records all notifications. */
+    private static final class ListeningMirror {
       final ManualScheduler time = new ManualScheduler();
       final InMemoryStore store = new InMemoryStore(time);
-      final List<CollectionChange> told = new ArrayList<>();
+      final List<CollectionChange> notifications = new ArrayList<>();
       final CollectionMirror mirror;
 
-      Listening(String... names) {
+      ListeningMirror(String... names) {
         List.of(names).forEach(this::create);
         ManualScheduler.Process process = time.newProcess();
         InMemoryObjectApi api = new InMemoryObjectApi(store, process);
@@ -277,7 +282,7 @@
                 COLLECTION,
                 process,
                 new Backoff(Duration.ofMillis(100), Duration.ofSeconds(1), new SplittableRandom(1)),
-                told::add);
+                notifications::add);
         mirror.start();
         time.advance(Duration.ofSeconds(1));
       }
@@ -295,11 +300,11 @@
         store.delete(key(name), store.get(key(name)).resourceVersion());
       }
 
-      /** Lets the mirror see what the store has by now, and returns what its listener was told. */
-      List<String> next() {
-        told.clear();
+      /** Lets the mirror catch up with the store and returns the notifications of its listener. */
+      List<String> nextNotifications() {
+        notifications.clear();
         time.advance(Duration.ofSeconds(1));
-        return told.stream().map(Told::text).toList();
+        return notifications.stream().map(Notifications::format).toList();
       }
 
       private static ObjectKey key(String name) {
@@ -307,24 +312,27 @@
       }
     }
 
-    private static String text(CollectionChange change) {
+    private static String format(CollectionChange change) {
       return change.changed().stream().map(o -> o.key().name()).toList() + "-" + change.removed();
     }
 
     @Test
-    public void namesAllOfTheFirstList() {
-      Listening l = new Listening("a", "b");
-      assertEquals(l.told.stream().map(Told::text).toList(), List.of("[a, b]-[]"));
+    public void firstListReportsAllObjects() {
+      ListeningMirror l = new ListeningMirror("a", "b");
+      assertEquals(
+          l.notifications.stream().map(Notifications::format).toList(), List.of("[a, b]-[]"));
     }
 
     @Test
-    public void isToldOfAnEmptyListToo() {
-      assertEquals(new Listening().told.stream().map(Told::text).toList(), List.of("[]-[]"));
+    public void emptyFirstListIsReported() {
+      assertEquals(
+          new ListeningMirror().notifications.stream().map(Notifications::format).toList(),
+          List.of("[]-[]"));
     }
 
-    /** The pause after a change is the time in which others come together. */
-    private static Listening pausing(String... names) {
-      Listening l = new Listening(names);
+    /** Returns a mirror in the pause after a change, in which further changes are collected. */
+    private static ListeningMirror mirrorInPause(String... names) {
+      ListeningMirror l = new ListeningMirror(names);
       l.create("d");
       l.time.advance(Duration.ofMillis(20));
       assertTrue(l.mirror.objects().containsKey("d"));
@@ -332,39 +340,39 @@
     }
 
     @Test
-    public void namesWhatComesTogetherOnce() {
-      Listening l = pausing("a", "b", "c");
+    public void changesDuringPauseAreReportedTogether() {
+      ListeningMirror l = mirrorInPause("a", "b", "c");
       l.change("b");
       l.change("c");
       l.change("b");
-      assertEquals(l.next(), List.of("[b, c]-[]"));
+      assertEquals(l.nextNotifications(), List.of("[b, c]-[]"));
     }
 
     @Test
-    public void namesWhatHasGone() {
-      Listening l = new Listening("a", "b");
+    public void removalIsReported() {
+      ListeningMirror l = new ListeningMirror("a", "b");
       l.remove("a");
-      assertEquals(l.next(), List.of("[]-[a]"));
+      assertEquals(l.nextNotifications(), List.of("[]-[a]"));
     }
 
     @Test
-    public void namesOnlyWhatDiffersAfterHistoryWasLost() {
-      Listening l = pausing("a", "b", "c");
+    public void listAfterExpiredWatchReportsOnlyDifferences() {
+      ListeningMirror l = mirrorInPause("a", "b", "c");
       l.change("b");
       l.remove("c");
       l.store.forgetHistory();
-      assertEquals(l.next(), List.of("[b]-[c]"));
+      assertEquals(l.nextNotifications(), List.of("[b]-[c]"));
       assertEquals(l.mirror.objects().keySet(), Set.of("a", "b", "d"));
     }
   }
 
-  /** Lists that are behind what was seen. */
-  public static class Behind {
+  /** Lists that are older than the changes already seen. */
+  public static class StaleList {
     private static final ObjectKey A = new ObjectKey(COLLECTION, "a");
 
-    /** A mirror that is given its next list from before some changes. */
-    private static World behind(Consumer<World> changes) {
-      World w = new World(Duration.ofMillis(1));
+    /** Returns a mirror whose next list predates some changes that it has seen. */
+    private static Rig rigWithStaleList(Consumer<Rig> changes) {
+      Rig w = new Rig(Duration.ofMillis(1));
       w.create("a");
       w.time.advance(Duration.ofSeconds(1));
       ObjectPage before = w.store.list(ListQuery.of(COLLECTION));
@@ -379,8 +387,8 @@
     }
 
     @Test
-    public void bringsNoOlderVersionBack() {
-      World w = behind(x -> x.store.update(A, "thing", spec(1), x.version("a")));
+    public void doesNotRestoreOlderVersion() {
+      Rig w = rigWithStaleList(x -> x.store.update(A, "thing", spec(1), x.version("a")));
       w.api.setWatchLag(Duration.ofHours(1));
       w.time.advance(Duration.ofSeconds(2));
       assertFalse(w.mirror.isFailing());
@@ -388,22 +396,22 @@
     }
 
     @Test
-    public void takesNoNewerObjectAway() {
-      World w = behind(x -> x.create("b"));
+    public void doesNotRemoveNewerObject() {
+      Rig w = rigWithStaleList(x -> x.create("b"));
       w.api.setWatchLag(Duration.ofHours(1));
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(w.names, Set.of("a", "b"));
     }
 
     @Test
-    public void bringsNothingBackThatWasDeleted() {
-      World w =
-          behind(
+    public void doesNotRestoreDeletedObject() {
+      Rig w =
+          rigWithStaleList(
               x -> {
-                StoreVersion made = x.create("c");
+                StoreVersion created = x.create("c");
                 x.time.advance(Duration.ofSeconds(1));
                 x.stale = x.store.list(ListQuery.of(COLLECTION));
-                x.store.delete(new ObjectKey(COLLECTION, "c"), made);
+                x.store.delete(new ObjectKey(COLLECTION, "c"), created);
               });
       w.api.setNextList(w.stale);
       w.api.setWatchLag(Duration.ofHours(1));
@@ -412,15 +420,15 @@
     }
 
     @Test
-    public void isFollowedToTheNewestChange() {
-      World w = behind(x -> x.store.update(A, "thing", spec(1), x.version("a")));
+    public void watchDeliversNewestChangeAfterwards() {
+      Rig w = rigWithStaleList(x -> x.store.update(A, "thing", spec(1), x.version("a")));
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(w.mirror.objects().get("a").spec(), spec(2));
     }
 
     @Test
-    public void isNotTakenAfterNewerCopyOfAnother() {
-      World w = new World(Duration.ofMillis(1));
+    public void isDiscardedAfterNewerCopyOfPeer() {
+      Rig w = new Rig(Duration.ofMillis(1));
       w.create("a");
       w.time.advance(Duration.ofSeconds(1));
       final ObjectPage before = w.store.list(ListQuery.of(COLLECTION));
@@ -438,23 +446,23 @@
     }
   }
 
-  /** Watches that only lag. */
-  public static class Lagging {
+  /** Watches that work, but deliver with a delay. */
+  public static class LaggingWatch {
     @Test
-    public void isNotReadAnewForChangesThatCome() {
-      World w = new World(Duration.ofMillis(200));
+    public void isKeptWhenReportedChangeArrives() {
+      Rig w = new Rig(Duration.ofMillis(200));
       StoreVersion change = w.create("a");
       w.mirror.others(change);
       w.api.setReadFaults(() -> Fault.REFUSE);
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(w.names, Set.of("a"));
-      assertFalse(w.mirror.isFailing(), "nothing was read");
+      assertFalse(w.mirror.isFailing(), "no list was requested");
       assertFalse(change.isAfter(w.mirror.changeVersion()));
     }
 
     @Test
-    public void isNotReadAnewForWhatItKnows() {
-      World w = new World(Duration.ofMillis(1));
+    public void isKeptWhenReportedChangeIsKnown() {
+      Rig w = new Rig(Duration.ofMillis(1));
       StoreVersion change = w.create("a");
       w.time.advance(Duration.ofSeconds(1));
       w.api.setReadFaults(() -> Fault.REFUSE);
@@ -464,19 +472,19 @@
     }
   }
 
-  /** Objects that can not be read, told by the API. */
-  public static class Unreadable {
+  /** Unreadable objects as reported by the object API. */
+  public static class UnreadableObjects {
     private static final EntryProblem PROBLEM =
         new EntryProblem(EntryProblem.Reason.MISSING, "name", "nothing", "a text");
 
     /** A mirror over an API of one page, whose events the test delivers. */
-    private static final class Rig implements InvocationHandler {
+    private static final class ScriptedApiRig implements InvocationHandler {
       final ManualScheduler time = new ManualScheduler();
       final ObjectPage page;
       final CollectionMirror mirror;
       Consumer<WatchEvent> watch;
 
-      Rig(UnreadableObject bad) {
+      ScriptedApiRig(UnreadableObject bad) {
         page =
             new ObjectPage(
                 ImmutableList.of(object("a", 1), object("b", 5)),
@@ -486,7 +494,7 @@
         ObjectApi api =
             (ObjectApi)
                 Proxy.newProxyInstance(
-                    Rig.class.getClassLoader(), new Class<?>[] {ObjectApi.class}, this);
+                    ScriptedApiRig.class.getClassLoader(), new Class<?>[] {ObjectApi.class}, this);
         mirror =
             new CollectionMirror(
                 api,
@@ -525,15 +533,17 @@
     }
 
     @Test
-    public void leavesTheOthersOfItsPage() {
-      Rig r = new Rig(new UnreadableObject("c", new StoreVersion(1, 9), PROBLEM));
+    public void doNotHideOtherObjectsOfTheirPage() {
+      ScriptedApiRig r =
+          new ScriptedApiRig(new UnreadableObject("c", new StoreVersion(1, 9), PROBLEM));
       assertEquals(r.mirror.objects().keySet(), Set.of("a", "b"));
       assertEquals(r.mirror.unreadable().keySet(), Set.of("c"));
     }
 
     @Test
-    public void takesTheNameAwayThatWasGood() {
-      Rig r = new Rig(new UnreadableObject("", new StoreVersion(1, 9), PROBLEM));
+    public void replaceReadableVersion() {
+      ScriptedApiRig r =
+          new ScriptedApiRig(new UnreadableObject("", new StoreVersion(1, 9), PROBLEM));
       r.watch.accept(
           new WatchEvent.Unreadable(new UnreadableObject("b", new StoreVersion(1, 10), PROBLEM)));
       assertEquals(r.mirror.objects().keySet(), Set.of("a"));
@@ -542,23 +552,26 @@
     }
 
     @Test
-    public void isForgottenOnceItIsGood() {
-      Rig r = new Rig(new UnreadableObject("c", new StoreVersion(1, 9), PROBLEM));
+    public void areDroppedOnceReadable() {
+      ScriptedApiRig r =
+          new ScriptedApiRig(new UnreadableObject("c", new StoreVersion(1, 9), PROBLEM));
       r.watch.accept(new WatchEvent.Changed(object("c", 11)));
       assertEquals(r.mirror.objects().keySet(), Set.of("a", "b", "c"));
       assertTrue(r.mirror.unreadable().isEmpty());
     }
 
     @Test
-    public void isForgottenOnceItIsDeleted() {
-      Rig r = new Rig(new UnreadableObject("c", new StoreVersion(1, 9), PROBLEM));
+    public void areDroppedOnceDeleted() {
+      ScriptedApiRig r =
+          new ScriptedApiRig(new UnreadableObject("c", new StoreVersion(1, 9), PROBLEM));
       r.watch.accept(new WatchEvent.Deleted(object("c", 11)));
       assertTrue(r.mirror.unreadable().isEmpty());
     }
 
     @Test
-    public void takesNothingNewerAway() {
-      Rig r = new Rig(new UnreadableObject("c", new StoreVersion(1, 9), PROBLEM));
+    public void doNotReplaceNewerVersion() {
+      ScriptedApiRig r =
+          new ScriptedApiRig(new UnreadableObject("c", new StoreVersion(1, 9), PROBLEM));
       r.watch.accept(new WatchEvent.Changed(object("a", 12)));
       r.watch.accept(
           new WatchEvent.Unreadable(new UnreadableObject("a", new StoreVersion(1, 10), PROBLEM)));
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/Fault.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/Fault.java
@@ -6,15 +6,15 @@
 
 package org.larkkeel.store;
 
-/** What goes wrong with one call. */
+/** An injected fault of one call to the store. */
 public enum Fault {
-  /** Nothing. */
+  /** No fault. */
   NONE,
-  /** The call takes effect, its answer is lost. */
+  /** The call takes effect, but its answer is lost. */
   LOSE_ANSWER,
-  /** The call never arrives; its caller can not tell. */
+  /** The call never arrives, which its caller cannot know. */
   LOSE_REQUEST,
-  /** The caller gives up, then the call takes effect. */
+  /** The call takes effect after its caller has given up. */
   LATE_EFFECT,
   /** The store refuses the call. */
   REFUSE
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/HostListTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/HostListTest.java
@@ -18,7 +18,7 @@
 /** Tests of {@link HostList}. */
 public class HostListTest {
 
-  /** Listing and watching. */
+  /** Following the platform's list. */
   public static class Following {
 
     @Test
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/HttpObjectApiTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/HttpObjectApiTest.java
@@ -27,14 +27,14 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Tests of {@link HttpObjectApi} against answers that are cut, late, lost or refused. */
+/** Tests of {@link HttpObjectApi} with answers that are truncated, late, lost or refused. */
 public class HttpObjectApiTest {
   private static final ObjectKey KEY = new ObjectKey("test", "one");
   private static final String OBJECT =
       "{\"kind\":\"T\",\"metadata\":{\"name\":\"one\",\"resourceVersion\":\"7\"},"
           + "\"spec\":{\"a\":1}}";
 
-  /** A server, a client, and what to release. */
+  /** A scripted server and a client, which are closed after each test. */
   private static class Rig {
     ScriptedServer server;
     ExecutorScheduler scheduler;
@@ -58,7 +58,7 @@
       return new HttpObjectApi(options, worker, scheduler);
     }
 
-    /** Stops both. */
+    /** Stops the server and the client. */
     @AfterMethod(alwaysRun = true)
     public void close() throws IOException {
       api.close();
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Whole answers. */
+  /** Complete answers. */
   public static class Answered extends Rig {
 
     @Test
@@ -102,7 +102,7 @@
     }
 
     @Test
-    public void refusalsAreTold() throws Exception {
+    public void errorStatusesMapToFailures() throws Exception {
       server.then(
           ScriptedServer.answer(404, "", "{}"),
           ScriptedServer.answer(409, "", "{\"reason\":\"AlreadyExists\"}"),
@@ -125,11 +125,11 @@
     }
   }
 
-  /** Answers that do not come, or not whole. */
+  /** Missing and truncated answers. */
   public static class Broken extends Rig {
 
     @Test
-    public void cutWriteHasAnUnknownOutcomeAndCutReadHasNone() throws Exception {
+    public void truncatedAnswerHasUnknownOutcomeForWritesOnly() throws Exception {
       String half = "HTTP/1.1 201 X\r\nCut: yes\r\nContent-Length: 500\r\n\r\n{\"kind\"";
       server.then(ScriptedServer.HANG_UP, half, ScriptedServer.HANG_UP, half);
       assertEquals(failure(api.create(KEY, "T", spec())), new ObjectApiFailure.OutcomeUnknown());
@@ -145,53 +145,54 @@
     }
 
     @Test
-    public void silenceEndsWithTheTimeout() throws Exception {
+    public void unansweredCallEndsWithTheTimeout() throws Exception {
       server.then(ScriptedServer.SILENCE, ScriptedServer.SILENCE);
-      HttpObjectApi hasty = client(Duration.ofMillis(200));
+      HttpObjectApi shortTimeoutApi = client(Duration.ofMillis(200));
       assertEquals(
-          failure(hasty.delete(KEY, new StoreVersion(0, 1))),
+          failure(shortTimeoutApi.delete(KEY, new StoreVersion(0, 1))),
           new ObjectApiFailure.OutcomeUnknown());
-      assertEquals(failure(hasty.get(KEY)), new ObjectApiFailure.Unavailable());
-      hasty.close();
+      assertEquals(failure(shortTimeoutApi.get(KEY)), new ObjectApiFailure.Unavailable());
+      shortTimeoutApi.close();
     }
 
     @Test
-    public void callThatIsGivenUpIsReset() throws Exception {
+    public void timedOutCallResetsItsConnection() throws Exception {
       server.then(ScriptedServer.LISTEN);
-      HttpObjectApi hasty = client(Duration.ofMillis(200));
-      assertEquals(failure(hasty.get(KEY)), new ObjectApiFailure.Unavailable());
+      HttpObjectApi shortTimeoutApi = client(Duration.ofMillis(200));
+      assertEquals(failure(shortTimeoutApi.get(KEY)), new ObjectApiFailure.Unavailable());
       assertTrue(server.isResetSoon());
-      hasty.close();
+      shortTimeoutApi.close();
     }
 
     /**
-     * Connections fall silent together. Seen: a node that found its watch silent read anew over one
-     * kept connection after the other, each silent, for a second each. Cause: only the connection
-     * of the call without an answer was given up. Proof: the next call came on the other one.
+     * Guards against retrying over one unresponsive pooled connection after the other, each for a
+     * full timeout of 1 s. Connections become unresponsive together, so a call without an answer
+     * must discard all pooled connections, not only its own.
      */
     @Test
-    public void callWithoutAnswerLeavesNoConnectionToUseAgain() throws Exception {
-      HttpObjectApi hasty = client(Duration.ofMillis(500));
+    public void timedOutCallDiscardsPooledConnections() throws Exception {
+      HttpObjectApi shortTimeoutApi = client(Duration.ofMillis(500));
       String found = ScriptedServer.answer(200, "", OBJECT);
       server.then(found, found);
-      CompletableFuture<StoredObject> one = hasty.get(KEY);
-      CompletableFuture<StoredObject> other = hasty.get(KEY);
+      CompletableFuture<StoredObject> one = shortTimeoutApi.get(KEY);
+      CompletableFuture<StoredObject> other = shortTimeoutApi.get(KEY);
       await(one);
       await(other);
       assertEquals(server.connections(), 2);
       server.then(ScriptedServer.SILENCE);
-      assertEquals(failure(hasty.get(KEY)), new ObjectApiFailure.Unavailable());
+      assertEquals(failure(shortTimeoutApi.get(KEY)), new ObjectApiFailure.Unavailable());
       server.then(found);
-      await(hasty.get(KEY));
+      await(shortTimeoutApi.get(KEY));
       assertEquals(server.connections(), 3);
-      hasty.close();
+      shortTimeoutApi.close();
     }
 
     @Test
     public void refusedConnectionHadNoEffect() throws Exception {
-      ScriptedServer gone = new ScriptedServer();
-      gone.close();
-      HttpObjectApi a = new HttpObjectApi(HttpClientOptions.of(gone.uri()), worker, scheduler);
+      ScriptedServer closedServer = new ScriptedServer();
+      closedServer.close();
+      HttpObjectApi a =
+          new HttpObjectApi(HttpClientOptions.of(closedServer.uri()), worker, scheduler);
       assertEquals(failure(a.create(KEY, "T", spec())), new ObjectApiFailure.Unavailable());
       a.close();
     }
@@ -221,7 +222,7 @@
     }
 
     @Test
-    public void closedWatchIsReset() throws Exception {
+    public void closedWatchResetsItsConnection() throws Exception {
       server.then(ScriptedServer.LISTEN);
       Watch w = api.watch("test", new StoreVersion(0, 5), Duration.ofSeconds(30), e -> {});
       server.nextRequest();
@@ -230,7 +231,7 @@
     }
 
     @Test
-    public void refusedAndCutWatchesFail() throws Exception {
+    public void refusedAndTruncatedWatchesFail() throws Exception {
       server.then(
           ScriptedServer.answer(410, "", "{}"),
           "HTTP/1.1 200 X\r\nCut: yes\r\nContent-Length: 99\r\n\r\n{");
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/InMemoryObjectApi.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/InMemoryObjectApi.java
@@ -15,19 +15,19 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** One process's client of an {@link InMemoryStore}, with delays and faults. */
+/** A process's client of an {@link InMemoryStore}, with injected delays and faults. */
 public final class InMemoryObjectApi implements ObjectApi {
-  private static final Duration LATE = Duration.ofMillis(700);
+  private static final Duration LATE_EFFECT_DELAY = Duration.ofMillis(700);
 
   private final InMemoryStore store;
   private final ManualScheduler.Process process;
-  private Duration oneWay = Duration.ofMillis(1);
+  private Duration oneWayDelay = Duration.ofMillis(1);
   private Duration watchLag = Duration.ZERO;
   private ObjectPage nextList;
-  private boolean watchesEnd;
+  private boolean watchesEndWithEvents;
   private StoreEra era = StoreEra.NONE;
-  private final List<FakeWatch> open = new ArrayList<>();
-  private Duration answerTime = Duration.ZERO;
+  private final List<FakeWatch> openWatches = new ArrayList<>();
+  private Duration unresponsiveWatchDelay = Duration.ZERO;
   private Supplier<Fault> writeFaults = () -> Fault.NONE;
   private Supplier<Fault> readFaults = () -> Fault.NONE;
 
@@ -37,49 +37,49 @@
     this.process = process;
   }
 
-  /** Asked before each write. */
+  /** Sets the source of faults of writes, called once per write. */
   public InMemoryObjectApi setWriteFaults(Supplier<Fault> faults) {
     writeFaults = faults;
     return this;
   }
 
-  /** Asked before each read. */
+  /** Sets the source of faults of reads, called once per read. */
   public InMemoryObjectApi setReadFaults(Supplier<Fault> faults) {
     readFaults = faults;
     return this;
   }
 
-  /** How long a request or an answer travels. */
+  /** Sets the transmission time of a request or an answer. */
   public InMemoryObjectApi setOneWay(Duration delay) {
-    oneWay = delay;
+    oneWayDelay = delay;
     return this;
   }
 
-  /** Sets what the next list that is answered gives, as of a store that is behind. */
+  /** Sets the answer to the next list, as from a store replica that lags behind. */
   public InMemoryObjectApi setNextList(ObjectPage page) {
     nextList = page;
     return this;
   }
 
-  /** Lets a watch end with the first events that it tells, as a call that waits for them does. */
+  /** Makes each watch end after its first events, like a long poll. */
   public InMemoryObjectApi endWatchesWithEvents() {
-    watchesEnd = true;
+    watchesEndWithEvents = true;
     return this;
   }
 
-  /** Sets how long a watch whose connection is silent lasts beyond its time before it fails. */
-  public InMemoryObjectApi setAnswerTime(Duration time) {
-    answerTime = time;
+  /** Sets the time after its timeout at which a watch on an unresponsive connection fails. */
+  public InMemoryObjectApi setUnresponsiveWatchDelay(Duration delay) {
+    unresponsiveWatchDelay = delay;
     return this;
   }
 
-  /** Lets all connections that are open now fall silent, without an end. New ones work. */
-  public void fallSilent() {
-    open.forEach(w -> w.silent = true);
-    open.clear();
+  /** Makes all open connections unresponsive without closing them. New connections work. */
+  public void makeConnectionsUnresponsive() {
+    openWatches.forEach(w -> w.unresponsive = true);
+    openWatches.clear();
   }
 
-  /** How late watch events come. */
+  /** Sets the additional delay of watch events. */
   public InMemoryObjectApi setWatchLag(Duration lag) {
     watchLag = lag;
     return this;
@@ -92,10 +92,10 @@
 
   @Override
   public CompletableFuture<ObjectPage> list(ListQuery query) {
-    return call(readFaults.get(), new ObjectApiFailure.Unavailable(), () -> listed(query));
+    return call(readFaults.get(), new ObjectApiFailure.Unavailable(), () -> answerList(query));
   }
 
-  private ObjectPage listed(ListQuery query) {
+  private ObjectPage answerList(ListQuery query) {
     ObjectPage page = nextList == null ? store.list(query) : nextList;
     nextList = null;
     return page;
@@ -123,7 +123,7 @@
 
   private <T> CompletableFuture<T> call(Fault fault, ObjectApiFailure lost, Supplier<T> effect) {
     CompletableFuture<T> result = new CompletableFuture<>();
-    Duration travel = fault == Fault.LATE_EFFECT ? LATE : oneWay;
+    Duration travel = fault == Fault.LATE_EFFECT ? LATE_EFFECT_DELAY : oneWayDelay;
     store.process().schedule(travel, () -> arrive(fault, lost, effect, result));
     if (fault == Fault.LATE_EFFECT) {
       answer(result, null, exception(lost));
@@ -155,12 +155,12 @@
       failure = exception(lost);
     } else {
       long now = store.version().era();
-      process.schedule(oneWay, () -> seen(now));
+      process.schedule(oneWayDelay, () -> observeEra(now));
     }
     answer(result, value, failure);
   }
 
-  private void seen(long now) {
+  private void observeEra(long now) {
     if (now > era.number()) {
       era = new StoreEra(now, process.nanoTime());
     }
@@ -173,7 +173,7 @@
 
   private <T> void answer(CompletableFuture<T> result, T value, ObjectApiException failure) {
     process.schedule(
-        oneWay,
+        oneWayDelay,
         () -> {
           if (failure == null) {
             result.complete(value);
@@ -195,79 +195,82 @@
       Consumer<WatchEvent> listener) {
     store.countWatch();
     FakeWatch w = new FakeWatch(collection, resourceVersion, listener);
-    store.process().schedule(oneWay, w::begin);
-    open.removeIf(old -> old.ended.isDone());
-    open.add(w);
-    process.schedule(timeout, w::timeOver);
+    store.process().schedule(oneWayDelay, w::start);
+    openWatches.removeIf(old -> old.ended.isDone());
+    openWatches.add(w);
+    process.schedule(timeout, w::timeOut);
     return w;
   }
 
-  /** A watch that tells the store's history. */
+  /** A watch that delivers the store's history. */
   private final class FakeWatch implements Watch {
     final CompletableFuture<Void> ended = new CompletableFuture<>();
     private final String collection;
     private final Consumer<WatchEvent> listener;
-    private StoreVersion told;
+    private StoreVersion delivered;
     private boolean ending;
-    private boolean silent;
+    private boolean unresponsive;
 
     FakeWatch(String collection, StoreVersion from, Consumer<WatchEvent> listener) {
       this.collection = collection;
-      this.told = from;
+      this.delivered = from;
       this.listener = listener;
     }
 
-    void begin() {
-      store.observe(this::tell);
-      tell();
+    void start() {
+      store.observe(this::deliverChanges);
+      deliverChanges();
     }
 
-    /** The store answers that nothing came, but not on a connection that is silent. */
-    private void timeOver() {
-      if (silent) {
-        process.schedule(answerTime, () -> fail(new ObjectApiFailure.Unavailable()));
+    /**
+     * Ends the watch without events when its timeout expires. On an unresponsive connection the
+     * answer does not arrive, so the watch fails instead.
+     */
+    private void timeOut() {
+      if (unresponsive) {
+        process.schedule(unresponsiveWatchDelay, () -> fail(new ObjectApiFailure.Unavailable()));
       } else {
         ended.complete(null);
       }
     }
 
-    private void tell() {
-      if (ended.isDone() || ending || silent) {
+    private void deliverChanges() {
+      if (ended.isDone() || ending || unresponsive) {
         return;
       }
       if (store.isDown()) {
         fail(new ObjectApiFailure.Unavailable());
         return;
       }
-      Optional<List<WatchEvent>> events = store.since(collection, told);
+      Optional<List<WatchEvent>> events = store.changesSince(collection, delivered);
       if (events.isEmpty()) {
         fail(new ObjectApiFailure.Expired());
         return;
       }
-      told = store.version();
+      delivered = store.version();
       for (WatchEvent e : events.get()) {
-        process.schedule(oneWay.plus(watchLag), () -> deliver(e));
+        process.schedule(oneWayDelay.plus(watchLag), () -> deliver(e));
       }
-      if (watchesEnd && !events.get().isEmpty()) {
+      if (watchesEndWithEvents && !events.get().isEmpty()) {
         ending = true;
-        process.schedule(oneWay.plus(watchLag), this::told);
+        process.schedule(oneWayDelay.plus(watchLag), this::delivered);
       }
     }
 
     private void deliver(WatchEvent e) {
-      if (!ended.isDone() && !silent) {
+      if (!ended.isDone() && !unresponsive) {
         listener.accept(e);
       }
     }
 
-    private void told() {
-      if (!silent) {
+    private void delivered() {
+      if (!unresponsive) {
         ended.complete(null);
       }
     }
 
     private void fail(ObjectApiFailure f) {
-      process.schedule(oneWay, () -> ended.completeExceptionally(exception(f)));
+      process.schedule(oneWayDelay, () -> ended.completeExceptionally(exception(f)));
     }
 
     @Override
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/InMemoryStore.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/InMemoryStore.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The state of the platform's store: objects, versions and the history that watches tell. */
+/** An in-memory store: objects, versions and the history that watches deliver. */
 public final class InMemoryStore {
   private final Map<String, TreeMap<String, StoredObject>> collections = new HashMap<>();
   private final List<Change> history = new ArrayList<>();
@@ -23,18 +23,18 @@
   private final List<Runnable> observers = new ArrayList<>();
   private final ManualScheduler.Process process;
   private StoreVersion version = new StoreVersion(0, 1);
-  private StoreVersion forgotten = StoreVersion.NONE;
+  private StoreVersion historyStart = StoreVersion.NONE;
   private boolean outage;
   private int reads;
   private int writes;
   private int watches;
 
-  /** Creates an empty store with a process of its own. */
+  /** Creates an empty store that runs as its own process. */
   public InMemoryStore(ManualScheduler scheduler) {
     this.process = scheduler.newProcess();
   }
 
-  /** Begins or ends an outage. */
+  /** Starts or ends an outage. */
   public void setOutage(boolean down) {
     outage = down;
   }
@@ -43,27 +43,30 @@
     return outage;
   }
 
-  /** What a store holds at some time. */
-  public record Copy(Map<String, TreeMap<String, StoredObject>> collections, StoreVersion at) {}
+  /** A backup of a store. */
+  public record Backup(Map<String, TreeMap<String, StoredObject>> collections, StoreVersion at) {}
 
-  /** Copies all that the store holds. */
-  public Copy copy() {
+  /** Creates a backup of the store. */
+  public Backup backUp() {
     Map<String, TreeMap<String, StoredObject>> copied = new HashMap<>();
     collections.forEach((name, objects) -> copied.put(name, new TreeMap<>(objects)));
-    return new Copy(copied, version);
+    return new Backup(copied, version);
   }
 
-  /** Comes back from a copy; versions since are given out again, in another era. */
-  public void restore(Copy copy) {
-    version = new StoreVersion(version.era() + 1, copy.at().number());
+  /**
+   * Restores the store from a backup. Version numbers used since the backup are assigned again, in
+   * a new era.
+   */
+  public void restore(Backup backup) {
+    version = new StoreVersion(version.era() + 1, backup.at().number());
     collections.clear();
-    copy.collections().forEach((name, objects) -> collections.put(name, ofThisEra(objects)));
+    backup.collections().forEach((name, objects) -> collections.put(name, withCurrentEra(objects)));
     history.clear();
-    forgotten = version;
+    historyStart = version;
     List.copyOf(observers).forEach(Runnable::run);
   }
 
-  private TreeMap<String, StoredObject> ofThisEra(TreeMap<String, StoredObject> objects) {
+  private TreeMap<String, StoredObject> withCurrentEra(TreeMap<String, StoredObject> objects) {
     TreeMap<String, StoredObject> now = new TreeMap<>();
     objects.forEach(
         (name, o) -> {
@@ -73,33 +76,33 @@
     return now;
   }
 
-  /** Makes watches from before now expire. */
+  /** Discards the history, so that watches from earlier versions fail as expired. */
   public void forgetHistory() {
-    forgotten = version;
+    historyStart = version;
     history.clear();
   }
 
-  /** Calls counted so far: gets and lists. */
+  /** Returns the number of gets and lists so far. */
   public int reads() {
     return reads;
   }
 
-  /** Calls counted so far: creates, updates and deletes. */
+  /** Returns the number of creates, updates and deletes so far. */
   public int writes() {
     return writes;
   }
 
-  /** Calls counted so far: watches. */
+  /** Returns the number of watches so far. */
   public int watches() {
     return watches;
   }
 
-  /** All objects of a collection, ordered by name. */
+  /** Returns all objects of a collection, ordered by name. */
   public ImmutableList<StoredObject> all(String collection) {
     return ImmutableList.copyOf(objects(collection).values());
   }
 
-  /** All objects ever created, deleted ones included. */
+  /** Returns all objects ever created, including deleted ones. */
   public ImmutableList<StoredObject> created() {
     return ImmutableList.copyOf(created);
   }
@@ -165,9 +168,12 @@
     watches++;
   }
 
-  /** The changes of a collection after a version; empty if they are forgotten. */
-  Optional<List<WatchEvent>> since(String collection, StoreVersion from) {
-    if (forgotten.isAfter(from) || !from.isOfEraOf(version) || from.isAfter(version)) {
+  /**
+   * Returns the changes of a collection after a version; empty if the history since then is not
+   * available.
+   */
+  Optional<List<WatchEvent>> changesSince(String collection, StoreVersion from) {
+    if (historyStart.isAfter(from) || !from.isSameEraAs(version) || from.isAfter(version)) {
       return Optional.empty();
     }
     return Optional.of(
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/ManualScheduler.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/ManualScheduler.java
@@ -13,7 +13,7 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** Virtual time for any number of processes, each of which can be paused or killed. */
+/** Virtual time for any number of simulated processes, each of which can be paused or killed. */
 public final class ManualScheduler {
   private static final Comparator<Task> ORDER =
       Comparator.comparingLong((Task t) -> t.due).thenComparingLong(t -> t.sequence);
@@ -27,12 +27,12 @@
     return new Process();
   }
 
-  /** The virtual time in nanoseconds. */
+  /** Returns the virtual time in nanoseconds. */
   public long now() {
     return now;
   }
 
-  /** Runs everything that is due within a time. */
+  /** Advances the virtual time and runs all tasks that become due. */
   public void advance(Duration d) {
     long end = now + d.toNanos();
     while (!tasks.isEmpty() && tasks.peek().due <= end) {
@@ -41,12 +41,12 @@
     now = end;
   }
 
-  /** Runs until a condition holds; fails after a virtual time. */
-  public void until(BooleanSupplier done, Duration longest) {
-    long end = now + longest.toNanos();
+  /** Runs tasks until a condition holds; fails if it does not hold within a virtual time. */
+  public void until(BooleanSupplier done, Duration maxTime) {
+    long end = now + maxTime.toNanos();
     while (!done.getAsBoolean()) {
       if (tasks.isEmpty() || tasks.peek().due > end) {
-        throw new AssertionError("not done within " + longest);
+        throw new AssertionError("not done within " + maxTime);
       }
       step();
     }
@@ -75,23 +75,23 @@
 
   /** The scheduler of one process. */
   public final class Process implements Scheduler {
-    private final List<Task> held = new ArrayList<>();
+    private final List<Task> heldBack = new ArrayList<>();
     private boolean paused;
     private boolean dead;
 
-    /** Holds all tasks back, as when the process is stopped. */
+    /** Holds back all tasks, as when the process is suspended. */
     public void pause() {
       paused = true;
     }
 
-    /** Runs on; what was held back is due at once. */
+    /** Resumes the process; tasks that were held back are due immediately. */
     public void resume() {
       paused = false;
-      held.forEach(t -> tasks.add(new Task(this, t.body, now, sequence++)));
-      held.clear();
+      heldBack.forEach(t -> tasks.add(new Task(this, t.body, now, sequence++)));
+      heldBack.clear();
     }
 
-    /** Drops all tasks for good. */
+    /** Ends the process; its tasks never run. */
     public void kill() {
       dead = true;
     }
@@ -101,7 +101,7 @@
         return;
       }
       if (paused) {
-        held.add(t);
+        heldBack.add(t);
       } else {
         t.body.run();
       }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/MirrorFleet.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/MirrorCluster.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Nodes that each follow one collection of one store, in virtual time. */
-final class MirrorFleet {
+/** A cluster whose nodes each mirror the same collection of one store, in virtual time. */
+final class MirrorCluster {
   static final String COLLECTION = "things";
 
   final ManualScheduler time = new ManualScheduler();
@@ -25,11 +25,11 @@
   /**
    * Starts all nodes.
    *
-   * @param nodes how many
-   * @param watchLag how late events of watches come
-   * @param random the source of all that is drawn
+   * @param nodes the number of nodes
+   * @param watchLag the additional delay of watch events
+   * @param random the source of randomness
    */
-  MirrorFleet(int nodes, Duration watchLag, SplittableRandom random) {
+  MirrorCluster(int nodes, Duration watchLag, SplittableRandom random) {
     for (int rank = 0; rank < nodes; rank++) {
       start(nodes, rank, watchLag, random);
     }
@@ -54,20 +54,21 @@
   }
 
   /**
-   * From now on each node tells all what it has seen, at such distances, from a drawn moment on.
+   * Makes each node report its newest change to all nodes periodically, starting at a random time
+   * within the first period.
    */
-  void tellEach(Duration period, SplittableRandom random) {
+  void reportPeriodically(Duration period, SplittableRandom random) {
     for (int i = 0; i < mirrors.size(); i++) {
       ManualScheduler.Process process = processes.get(i);
       CollectionMirror mirror = mirrors.get(i);
       Duration first = Duration.ofMillis(random.nextLong(period.toMillis()));
-      process.schedule(first, () -> tell(process, mirror, period));
+      process.schedule(first, () -> report(process, mirror, period));
     }
   }
 
-  private void tell(ManualScheduler.Process process, CollectionMirror mirror, Duration period) {
+  private void report(ManualScheduler.Process process, CollectionMirror mirror, Duration period) {
     mirrors.forEach(m -> m.others(mirror.changeVersion()));
-    process.schedule(period, () -> tell(process, mirror, period));
+    process.schedule(period, () -> report(process, mirror, period));
   }
 
   static ObjectKey key(String name) {
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/RestoredStoreTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/RestoredStoreTest.java
@@ -18,70 +18,75 @@
 import org.testng.annotations.Test;
 
 /**
- * Nodes that follow a store which comes back from copies, in drawn histories of writes, outages,
- * silent connections and nodes that only hear each other.
+ * Tests that nodes converge when their store is restored from backups, in random histories of
+ * writes, outages and unresponsive connections, with nodes that report their newest change to each
+ * other.
  *
- * <p>Guards against nodes that keep what the copy has taken back, or never see what follows it.
+ * <p>Guards against nodes that keep objects which the restore has undone, or that never see the
+ * changes after it.
  */
 public class RestoredStoreTest {
   private static final int NODES = 6;
   private static final int STEPS = 40;
-  private static final Duration IN_FORCE = Duration.ofSeconds(2);
+  private static final Duration MAX_DELAY = Duration.ofSeconds(2);
 
-  /** A fleet, and what its operator has written. */
-  private static final class World {
+  /** A cluster and the objects that its operator has written. */
+  private static final class Rig {
     final SplittableRandom random;
-    final MirrorFleet fleet;
+    final MirrorCluster cluster;
     final Map<String, Integer> written = new HashMap<>();
-    private InMemoryStore.Copy copy;
-    private int last;
+    private InMemoryStore.Backup backup;
+    private int lastValue;
 
-    World(long seed) {
+    Rig(long seed) {
       random = new SplittableRandom(seed);
-      fleet = new MirrorFleet(NODES, Duration.ofMillis(2), random.split());
-      fleet.tellEach(Duration.ofMillis(400), random.split());
-      fleet.time.advance(Duration.ofSeconds(1));
-      copy = fleet.store.copy();
+      cluster = new MirrorCluster(NODES, Duration.ofMillis(2), random.split());
+      cluster.reportPeriodically(Duration.ofMillis(400), random.split());
+      cluster.time.advance(Duration.ofSeconds(1));
+      backup = cluster.store.backUp();
     }
 
     void write(String name) {
-      written.put(name, ++last);
+      written.put(name, ++lastValue);
       put(name);
     }
 
     private void put(String name) {
-      ObjectKey key = MirrorFleet.key(name);
+      ObjectKey key = MirrorCluster.key(name);
       var spec = JsonNodeFactory.instance.objectNode().put("is", written.get(name));
-      fleet.store.all(MirrorFleet.COLLECTION).stream()
+      cluster.store.all(MirrorCluster.COLLECTION).stream()
           .filter(o -> o.key().equals(key))
           .findFirst()
           .ifPresentOrElse(
-              o -> fleet.store.update(key, "thing", spec, o.resourceVersion()),
-              () -> fleet.store.create(key, "thing", spec));
+              o -> cluster.store.update(key, "thing", spec, o.resourceVersion()),
+              () -> cluster.store.create(key, "thing", spec));
     }
 
-    /** The store is away for a moment, and comes back; its operator writes again. */
+    /**
+     * Restores the store from the last backup after a short outage; the operator then repeats all
+     * writes.
+     */
     void restore() {
-      fleet.store.setOutage(true);
-      fleet.time.advance(Duration.ofMillis(200 + random.nextInt(2_000)));
-      fleet.store.setOutage(false);
-      fleet.store.restore(copy);
-      fleet.time.advance(Duration.ofMillis(random.nextInt(300)));
+      cluster.store.setOutage(true);
+      cluster.time.advance(Duration.ofMillis(200 + random.nextInt(2_000)));
+      cluster.store.setOutage(false);
+      cluster.store.restore(backup);
+      cluster.time.advance(Duration.ofMillis(random.nextInt(300)));
       written.keySet().forEach(this::put);
     }
 
     void step() {
       switch (random.nextInt(6)) {
         case 0 -> restore();
-        case 1 -> copy = fleet.store.copy();
-        case 2 -> fleet.apis.get(random.nextInt(NODES)).fallSilent();
+        case 1 -> backup = cluster.store.backUp();
+        case 2 -> cluster.apis.get(random.nextInt(NODES)).makeConnectionsUnresponsive();
         default -> write("thing-" + random.nextInt(5));
       }
-      fleet.time.advance(Duration.ofMillis(random.nextInt(1_500)));
+      cluster.time.advance(Duration.ofMillis(random.nextInt(1_500)));
     }
 
-    void assertAllKnowAll() {
-      for (CollectionMirror mirror : fleet.mirrors) {
+    void assertAllConverged() {
+      for (CollectionMirror mirror : cluster.mirrors) {
         Map<String, Integer> known = new HashMap<>();
         mirror.objects().forEach((name, o) -> known.put(name, o.spec().path("is").asInt()));
         assertEquals(known, written);
@@ -89,7 +94,7 @@
     }
   }
 
-  /** Seeds of histories. */
+  /** The seeds of the random histories. */
   @DataProvider
   public static Object[][] seeds() {
     Object[][] seeds = new Object[30][];
@@ -100,42 +105,42 @@
   }
 
   @Test(dataProvider = "seeds")
-  public void whatWasWrittenIsKnownToAllInTime(long seed) {
-    World w = new World(seed);
+  public void allNodesConvergeInTime(long seed) {
+    Rig w = new Rig(seed);
     for (int i = 0; i < STEPS; i++) {
       w.step();
     }
     w.restore();
-    w.fleet.time.advance(IN_FORCE);
-    w.assertAllKnowAll();
+    w.cluster.time.advance(MAX_DELAY);
+    w.assertAllConverged();
     w.write("thing-1");
-    w.fleet.time.advance(IN_FORCE);
-    w.assertAllKnowAll();
+    w.cluster.time.advance(MAX_DELAY);
+    w.assertAllConverged();
   }
 
   @Test
-  public void thatIsAlikeToTheNumberButNotTheStateIsReadAnew() {
-    World w = new World(1);
+  public void otherStateWithEqualVersionNumberIsListed() {
+    Rig w = new Rig(1);
     w.write("a");
-    w.fleet.time.advance(Duration.ofSeconds(1));
-    w.fleet.store.restore(w.copy);
+    w.cluster.time.advance(Duration.ofSeconds(1));
+    w.cluster.store.restore(w.backup);
     w.written.remove("a");
     w.write("b");
-    w.fleet.time.advance(IN_FORCE);
-    w.assertAllKnowAll();
+    w.cluster.time.advance(MAX_DELAY);
+    w.assertAllConverged();
   }
 
   @Test
-  public void isAskedForFewTimes() {
-    World w = new World(2);
+  public void nodesMakeFewCallsAfterRestore() {
+    Rig w = new Rig(2);
     for (int i = 0; i < 20; i++) {
       w.write("a");
     }
     w.restore();
-    w.fleet.time.advance(IN_FORCE);
-    int before = w.fleet.store.reads() + w.fleet.store.watches();
-    w.fleet.time.advance(Duration.ofSeconds(10));
-    int calls = w.fleet.store.reads() + w.fleet.store.watches() - before;
+    w.cluster.time.advance(MAX_DELAY);
+    int before = w.cluster.store.reads() + w.cluster.store.watches();
+    w.cluster.time.advance(Duration.ofSeconds(10));
+    int calls = w.cluster.store.reads() + w.cluster.store.watches() - before;
     assertTrue(calls <= 120, calls + " calls of " + NODES + " nodes in 10 s");
   }
 }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/ScriptedServer.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/ScriptedServer.java
@@ -22,15 +22,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Answers each request with the next line of a script, byte by byte as told. */
+/** A server that answers each request with the next answer of a script, unmodified. */
 final class ScriptedServer implements AutoCloseable {
-  /** Closes the connection without an answer. */
+  /** A script entry that closes the connection without an answer. */
   static final String HANG_UP = "hang up";
 
-  /** Never answers. */
+  /** A script entry that leaves the request unanswered. */
   static final String SILENCE = "silence";
 
-  /** Never answers, and listens meanwhile for how the connection ends. */
+  /**
+   * A script entry that leaves the request unanswered and records whether the client resets the
+   * connection.
+   */
   static final String LISTEN = "listen";
 
   private final ServerSocket socket;
@@ -68,12 +71,12 @@
     return requests.take();
   }
 
-  /** How many connections were opened. */
+  /** Returns the number of connections that were opened. */
   int connections() {
     return connections.get();
   }
 
-  /** Whether the next connection that was listened to ends by a reset, soon. */
+  /** Returns whether the client resets the next {@link #LISTEN} connection within 3 s. */
   boolean isResetSoon() throws InterruptedException {
     return Boolean.TRUE.equals(resets.poll(3, TimeUnit.SECONDS));
   }
@@ -121,7 +124,7 @@
         }
       }
     } catch (IOException | InterruptedException e) {
-      // The client hung up, or the test is over.
+      // The client closed the connection, or the test has ended.
     }
   }
 
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/WatchTimesTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/WatchTimesTest.java
@@ -15,84 +15,89 @@
 import org.testng.annotations.Test;
 
 /**
- * How long watches wait.
+ * Tests of {@link WatchTimes}.
  *
- * <p>Seen: a change ended the watches of all eight nodes, which began anew together; half a second
- * later the store fell silent for 4.3 s without a connection that ended. No node saw a change for
- * 16 s, and one sent a call to an upstream that had announced 2.85 s before that it leaves.
+ * <p>Guards against watches that all expire late. A change had restarted the watches of all eight
+ * nodes at once; half a second later the store became unresponsive for 4.3 s without closing
+ * connections. No node saw a change for 16 s, and one sent a call to an upstream that had announced
+ * 2.85 s earlier that it was leaving.
  */
 public class WatchTimesTest {
-  private static final Duration LONGEST = Duration.ofSeconds(15);
+  private static final Duration MAX_TIMEOUT = Duration.ofSeconds(15);
 
-  /** How long the silence lasted, and the store counts as unstable, and what is left of 2 s. */
-  private static final Duration NEEDED = Duration.ofMillis(6_400);
+  /**
+   * The time within which one watch must expire: the 4.3 s for which the store was unresponsive,
+   * the time for which it counts as unstable, and the remainder of 2 s.
+   */
+  private static final Duration MAX_FIRST_EXPIRY = Duration.ofMillis(6_400);
 
-  /** The times of a node that is no sentinel. */
+  /** Returns the watch times of a node that is no sentinel. */
   private static WatchTimes spread(SplittableRandom random, int nodes) {
-    return WatchTimes.spread(LONGEST, random, () -> nodes, () -> nodes);
+    return WatchTimes.spread(MAX_TIMEOUT, random, () -> nodes, () -> nodes);
   }
 
-  /** Watches of nodes that begin together. */
-  public static class OfManyNodes {
+  /** Watches of several nodes that start together. */
+  public static class SmallCluster {
     @Test
-    public void endSoonOnOneOfThem() {
+    public void oneNodeHasShortTimeout() {
       int late = 0;
-      for (int fleet = 0; fleet < 1_000; fleet++) {
-        Duration least = LONGEST;
+      for (int cluster = 0; cluster < 1_000; cluster++) {
+        Duration earliest = MAX_TIMEOUT;
         for (int node = 0; node < 8; node++) {
-          WatchTimes times = spread(new SplittableRandom(1_000L * node + fleet), 8);
-          Duration next = times.next();
-          assertTrue(next.compareTo(LONGEST) <= 0 && next.toMillis() >= 2_250, next.toString());
-          least = next.compareTo(least) < 0 ? next : least;
+          WatchTimes times = spread(new SplittableRandom(1_000L * node + cluster), 8);
+          Duration next = times.nextTimeout();
+          assertTrue(next.compareTo(MAX_TIMEOUT) <= 0 && next.toMillis() >= 2_250, next.toString());
+          earliest = next.compareTo(earliest) < 0 ? next : earliest;
         }
-        late += least.compareTo(NEEDED) > 0 ? 1 : 0;
+        late += earliest.compareTo(MAX_FIRST_EXPIRY) > 0 ? 1 : 0;
       }
       assertTrue(late <= 5, late + " of 1000");
     }
   }
 
   /**
-   * Watches of large fleets.
+   * Watches of large clusters.
    *
-   * <p>Pattern of load: 95 nodes each follow two collections. Entries change in series, as
-   * upstreams register or are replaced, and each change ends the watches of all. With the times of
-   * a small fleet the calls of the store were the greatest price of a day.
+   * <p>Guards against excessive calls to the store. 95 nodes each follow two collections whose
+   * entries change in quick succession, as upstreams register or are replaced, and each change ends
+   * the watches of all nodes. With the timeouts of a small cluster the calls to the store were the
+   * largest cost.
    */
-  public static class OfLargeFleets {
+  public static class LargeCluster {
     @DataProvider
     static Object[][] fleets() {
       return new Object[][] {{58}, {95}, {330}};
     }
 
     @Test(dataProvider = "fleets")
-    public void endSoonOnOneOfThem(int nodes) {
+    public void oneNodeHasShortTimeout(int nodes) {
       int late = 0;
-      for (int fleet = 0; fleet < 1_000; fleet++) {
-        SplittableRandom random = new SplittableRandom(1_000L * nodes + fleet);
+      for (int cluster = 0; cluster < 1_000; cluster++) {
+        SplittableRandom random = new SplittableRandom(1_000L * nodes + cluster);
         WatchTimes times = spread(random, nodes);
-        Duration least = LONGEST;
+        Duration earliest = MAX_TIMEOUT;
         for (int node = 0; node < nodes; node++) {
-          Duration next = times.next();
-          least = next.compareTo(least) < 0 ? next : least;
+          Duration next = times.nextTimeout();
+          earliest = next.compareTo(earliest) < 0 ? next : earliest;
         }
-        late += least.compareTo(NEEDED) > 0 ? 1 : 0;
+        late += earliest.compareTo(MAX_FIRST_EXPIRY) > 0 ? 1 : 0;
       }
       assertTrue(late <= 5, late + " of 1000");
     }
 
     @Test(dataProvider = "fleets")
-    public void mostlyLastForAsLongAsTheyMay(int nodes) {
+    public void mostTimeoutsAreMaximal(int nodes) {
       WatchTimes times = spread(new SplittableRandom(nodes), nodes);
       double seconds = 0;
       for (int i = 0; i < 10_000; i++) {
-        seconds += times.next().toMillis() / 1e3 / 10_000;
+        seconds += times.nextTimeout().toMillis() / 1e3 / 10_000;
       }
-      // Not above a third more calls than if all lasted for as long as they may.
-      assertTrue(seconds > 0.75 * LONGEST.toSeconds(), "mean " + seconds);
+      // At most a third more calls than if all watches lasted for the maximum.
+      assertTrue(seconds > 0.75 * MAX_TIMEOUT.toSeconds(), "mean " + seconds);
     }
 
     @Test
-    public void pauseTheLongerTheMoreNodesThereAre() {
+    public void pauseGrowsWithNumberOfNodes() {
       assertEquals(pause(8), Duration.ofMillis(150));
       assertEquals(pause(24), Duration.ofMillis(400));
       assertEquals(pause(60), Duration.ofMillis(1_000));
@@ -101,8 +106,8 @@
     }
 
     @Test
-    public void pauseTheLeastAsSentinels() {
-      WatchTimes times = WatchTimes.spread(LONGEST, new SplittableRandom(1), () -> 95, () -> 2);
+    public void sentinelsHaveMinimumPause() {
+      WatchTimes times = WatchTimes.spread(MAX_TIMEOUT, new SplittableRandom(1), () -> 95, () -> 2);
       assertEquals(times.pause(), Duration.ofMillis(150));
     }
 
@@ -111,13 +116,13 @@
     }
   }
 
-  /** Watches of one node alone. */
-  public static class OfOneNode {
+  /** Watches with a fixed timeout. */
+  public static class FixedTimeout {
     @Test
-    public void mayAllLastTheSame() {
-      WatchTimes times = WatchTimes.always(LONGEST);
-      assertEquals(times.next(), LONGEST);
-      assertEquals(times.next(), LONGEST);
+    public void isUsedForEachWatch() {
+      WatchTimes times = WatchTimes.always(MAX_TIMEOUT);
+      assertEquals(times.nextTimeout(), MAX_TIMEOUT);
+      assertEquals(times.nextTimeout(), MAX_TIMEOUT);
     }
   }
 }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/config/ConfigCostTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/config/ConfigCostTest.java
@@ -35,16 +35,16 @@
 import org.larkkeel.store.log.WriterId;
 import org.testng.annotations.Test;
 
-/** The store's calls for the configuration, by the number of nodes. */
+/** Tests the number of store calls that the configuration causes, by the number of nodes. */
 public class ConfigCostTest {
   private static final Duration BETWEEN_CHANGES = Duration.ofMillis(43_200);
   private static final int CHANGES = 20;
 
-  /** Two thousand changes a day. */
+  /** Calls at a rate of 2,000 changes a day. */
   public static class Calls {
 
     @Test
-    public void eachNodeCostsOneWatchMinuteAndChangesCostTheSameAtAnySize() {
+    public void nodesCostOneWatchPerMinuteAndChangeCostIsIndependentOfNodes() {
       for (int nodes : new int[] {8, 330}) {
         measure(nodes);
       }
@@ -67,8 +67,9 @@
       for (int c = 1; c <= CHANGES; c++) {
         all.get(c % nodes).propose(change(c));
         time.advance(Duration.ofSeconds(1));
-        long want = c;
-        assertTrue(revisions.stream().allMatch(r -> r == want), "not in force within 1 s: " + c);
+        long expected = c;
+        assertTrue(
+            revisions.stream().allMatch(r -> r == expected), "not in force within 1 s: " + c);
         time.advance(BETWEEN_CHANGES.minusSeconds(1));
       }
       double seconds = CHANGES * BETWEEN_CHANGES.toMillis() / 1000.0;
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/config/ConfigStoreTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/config/ConfigStoreTest.java
@@ -120,11 +120,11 @@
     }
   }
 
-  /** Single changes. */
+  /** Changes that are proposed one after the other. */
   public static class Proposing {
 
     @Test
-    public void acceptedChangeComesIntoForceEverywhereAndIntoTheAudit() {
+    public void acceptedChangeIsInForceOnAllNodesAndInTheAuditTrail() {
       Rig rig = new Rig();
       Rig.Node a = rig.node("a");
       Rig.Node b = rig.node("b");
@@ -170,7 +170,7 @@
     }
 
     @Test
-    public void outageIsToldAndNodesKeepTheirConfiguration() {
+    public void outageIsReportedAndNodesKeepTheirConfiguration() {
       Rig rig = new Rig();
       Rig.Node a = rig.node("a");
       a.propose(put("c1", "w", 0));
@@ -191,17 +191,17 @@
     }
   }
 
-  /** Racing operators. */
-  public static class Races {
+  /** Changes that are proposed concurrently. */
+  public static class ConcurrentChanges {
 
     @Test
-    public void everyChangeIsAcceptedOnceOrRefusedThroughLostAnswers() {
+    public void eachChangeIsAcceptedOnceOrRefusedDespiteLostAnswers() {
       for (int seed = 1; seed <= 10; seed++) {
-        race(seed);
+        proposeConcurrently(seed);
       }
     }
 
-    private static void race(int seed) {
+    private static void proposeConcurrently(int seed) {
       Rig rig = new Rig();
       Random random = new Random(seed);
       List<Rig.Node> nodes = new ArrayList<>();
@@ -227,7 +227,7 @@
         Rig rig, List<Rig.Node> nodes, Map<String, CompletableFuture<ProposeResult>> results) {
       List<AuditEntry> audit = rig.await(nodes.get(0).config.audit(Revision.NONE));
       Set<String> inLog = new HashSet<>();
-      audit.forEach(e -> assertTrue(inLog.add(e.change().id().value()), "twice: " + e));
+      audit.forEach(e -> assertTrue(inLog.add(e.change().id().value()), "accepted twice: " + e));
       int accepted = 0;
       for (var r : results.entrySet()) {
         switch (r.getValue().join()) {
@@ -238,7 +238,9 @@
           }
           case ProposeResult.OutcomeUnknown u -> {}
           case ProposeResult other ->
-              assertTrue(!inLog.contains(r.getKey()), r.getKey() + " told as " + other);
+              assertTrue(
+                  !inLog.contains(r.getKey()),
+                  r.getKey() + " is in the log, but its result was " + other);
         }
       }
       assertTrue(accepted > 20, "accepted: " + accepted);
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/config/package-info.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/config/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the configuration on the log. */
+/** Tests of the configuration on an append-only log. */
 package org.larkkeel.store.config;
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/lease/LeaseTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/lease/LeaseTest.java
@@ -39,7 +39,7 @@
       return n;
     }
 
-    List<Long> held() {
+    List<Long> heldFencingNumbers() {
       return nodes.stream()
           .flatMap(n -> n.lease.tenure().stream())
           .map(t -> t.fencing().value())
@@ -59,11 +59,11 @@
     }
   }
 
-  /** Holding and taking over. */
+  /** Holding the lease and taking it over. */
   public static class Holding {
 
     @Test
-    public void pausedHolderLosesItAndTheFencingNumberGrows() {
+    public void pausedHolderLosesLeaseAndFencingNumberGrows() {
       Rig rig = new Rig();
       Rig.Node a = rig.node("a");
       rig.time.advance(Duration.ofSeconds(1));
@@ -78,28 +78,28 @@
       a.process.resume();
       rig.time.advance(Duration.ofSeconds(30));
       assertTrue(a.lease.tenure().isEmpty());
-      assertEquals(rig.held(), List.of(2L));
+      assertEquals(rig.heldFencingNumbers(), List.of(2L));
     }
 
     @Test
-    public void outageLongerThanTheLeaseEndsItAndItComesBack() {
+    public void leaseExpiresInLongOutageAndIsReacquired() {
       Rig rig = new Rig();
       rig.node("a");
       rig.time.advance(Duration.ofSeconds(1));
       rig.store.setOutage(true);
       rig.time.advance(DURATION);
-      assertEquals(rig.held(), List.of());
+      assertEquals(rig.heldFencingNumbers(), List.of());
       rig.store.setOutage(false);
       rig.time.advance(DURATION);
-      assertEquals(rig.held(), List.of(1L));
+      assertEquals(rig.heldFencingNumbers(), List.of(1L));
     }
   }
 
-  /** Handing over. */
+  /** Releasing the lease. */
   public static class Releasing {
 
     @Test
-    public void releaseDuringRenewalHandsOverAtOnceAndTheLeaseCanBeSoughtAgain() {
+    public void releaseDuringRenewalHandsOverAtOnceAndAllowsReacquisition() {
       Rig rig = new Rig();
       final Rig.Node a = rig.node("a");
       rig.time.advance(Duration.ofSeconds(1));
@@ -114,21 +114,21 @@
       a.lease.start();
       b.lease.close();
       rig.time.advance(DURATION.dividedBy(3));
-      assertEquals(rig.held(), List.of(3L));
+      assertEquals(rig.heldFencingNumbers(), List.of(3L));
     }
   }
 
-  /** Faults of all sorts. */
+  /** Random pauses, outages and faulty writes. */
   public static class Faults {
 
     @Test
-    public void neverTwoHoldersAndNumbersNeverShared() {
+    public void neverTwoHoldersAndFencingNumbersNeverDecrease() {
       for (int seed = 1; seed <= 20; seed++) {
-        hammer(seed);
+        runRandomFaults(seed);
       }
     }
 
-    private static void hammer(int seed) {
+    private static void runRandomFaults(int seed) {
       Rig rig = new Rig();
       Random random = new Random(seed);
       for (String host : List.of("a", "b", "c")) {
@@ -147,15 +147,16 @@
           case 6, 7, 8 -> n.lease.start();
           default -> {}
         }
-        List<Long> held = rig.held();
+        List<Long> held = rig.heldFencingNumbers();
         assertTrue(held.size() <= 1, "seed " + seed + ": held " + held);
         if (!held.isEmpty()) {
-          assertTrue(held.get(0) >= highest, "seed " + seed + ": went back to " + held);
+          assertTrue(
+              held.get(0) >= highest, "seed " + seed + ": fencing number decreased to " + held);
           changes += held.get(0) > highest ? 1 : 0;
           highest = held.get(0);
         }
       }
-      assertTrue(changes > 3, "seed " + seed + ": take-overs " + changes);
+      assertTrue(changes > 3, "seed " + seed + ": takeovers " + changes);
     }
 
     private static Fault fault(Random random) {
@@ -165,46 +166,46 @@
     }
   }
 
-  /** Leases in a store that comes back from a copy. */
+  /** Leases in a store that is restored from a backup. */
   public static class Restored {
     @Test
-    public void takesGreaterNumberAfterTheHolderOfBeforeMustHaveLostIt() {
+    public void leaseIsAcquiredWithGreaterNumberOnceEarlierHolderHasLostIt() {
       Rig rig = new Rig();
-      final InMemoryStore.Copy empty = rig.store.copy();
+      final InMemoryStore.Backup empty = rig.store.backUp();
       final Rig.Node a = rig.node("a");
       rig.time.advance(Duration.ofSeconds(1));
       rig.node("b");
       rig.time.advance(Duration.ofSeconds(20));
-      assertEquals(rig.held(), List.of(1L));
+      assertEquals(rig.heldFencingNumbers(), List.of(1L));
       a.process.pause();
       rig.store.restore(empty);
       rig.time.advance(DURATION.minusSeconds(1));
       assertTrue(rig.nodes.get(1).lease.tenure().isEmpty(), "held by two");
       a.process.resume();
       rig.time.advance(DURATION.multipliedBy(3));
-      assertEquals(rig.held().size(), 1);
-      assertTrue(rig.held().getFirst() > 1, "held by " + rig.held());
+      assertEquals(rig.heldFencingNumbers().size(), 1);
+      assertTrue(rig.heldFencingNumbers().getFirst() > 1, "held by " + rig.heldFencingNumbers());
     }
 
-    /** Seeds of histories. */
+    /** The seeds of the random histories. */
     @DataProvider
     public static Object[][] seeds() {
       return IntStream.range(0, 40).mapToObj(i -> new Object[] {i}).toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "seeds")
-    public void isHeldByOneAtTimeWithNumbersThatGrow(int seed) {
+    public void neverTwoHoldersAndNumbersNeverDecreaseAcrossRestores(int seed) {
       Random random = new Random(seed);
       Rig rig = new Rig();
       for (String host : List.of("a", "b", "c")) {
         rig.node(host);
       }
-      InMemoryStore.Copy copy = rig.store.copy();
+      InMemoryStore.Backup copy = rig.store.backUp();
       long greatest = 0;
       for (int i = 0; i < 1_500; i++) {
         switch (random.nextInt(150)) {
           case 0 -> rig.store.restore(copy);
-          case 1, 2 -> copy = rig.store.copy();
+          case 1, 2 -> copy = rig.store.backUp();
           case 3 -> rig.store.setOutage(true);
           case 4, 5, 6 -> rig.store.setOutage(false);
           case 7 -> rig.nodes.get(random.nextInt(3)).process.pause();
@@ -214,7 +215,7 @@
           rig.nodes.forEach(n -> n.process.resume());
         }
         rig.time.advance(Duration.ofMillis(200));
-        List<Long> held = rig.held();
+        List<Long> held = rig.heldFencingNumbers();
         assertTrue(held.size() <= 1, "held by " + held + " at step " + i);
         for (long number : held) {
           assertTrue(number >= greatest, number + " after " + greatest + " at step " + i);
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderControllerTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderControllerTest.java
@@ -27,61 +27,61 @@
   private static final Map<String, String> PREFILL = Map.of("role", "prefill");
   private static final Duration LONG = Duration.ofMinutes(10);
 
-  /** Controllers that are paused or race each other. */
+  /** Controllers that are paused or compete for the lease. */
   public static class Fencing {
 
     @Test
-    public void orderOfPausedHolderIsNotSentAfterItsLease() {
+    public void pausedHolderSendsNoOrderAfterItsLeaseExpired() {
       OrderRig rig = new OrderRig();
       final OrderRig.Engine e = rig.engine("u", FencingSupport.IGNORED, Role.PREFILL, "m");
       rig.declare("u", DECODE, "m");
       OrderRig.Node a = rig.node("a");
-      a.connect = Duration.ofMillis(500);
-      rig.time.until(() -> a.planned == 1, LONG);
+      a.connectTime = Duration.ofMillis(500);
+      rig.time.until(() -> a.orderCount == 1, LONG);
       a.process.pause();
       rig.node("b");
       rig.advance(30);
       a.process.resume();
       rig.advance(5);
       assertEquals(a.results, List.of(OrderResult.NOT_SENT));
-      assertEquals(e.taken, List.of());
-      rig.time.until(() -> !e.taken.isEmpty(), LONG);
-      assertEquals(e.taken, List.of(2L));
+      assertEquals(e.accepted, List.of());
+      rig.time.until(() -> !e.accepted.isEmpty(), LONG);
+      assertEquals(e.accepted, List.of(2L));
     }
 
     @Test
-    public void orderOnItsWayIsRefusedByCheckingEngine() {
+    public void staleOrderInTransitIsRefusedByCheckingEngine() {
       OrderRig rig = new OrderRig();
       final OrderRig.Engine e = rig.engine("u", FencingSupport.CHECKED, Role.PREFILL, "m");
       rig.declare("u", DECODE, "m");
       OrderRig.Node a = rig.node("a");
-      rig.travel = () -> Duration.ofSeconds(40);
-      rig.time.until(() -> a.planned == 1, LONG);
+      rig.transmissionTime = () -> Duration.ofSeconds(40);
+      rig.time.until(() -> a.orderCount == 1, LONG);
       rig.time.advance(Duration.ofMillis(10));
       a.process.pause();
-      rig.travel = () -> Duration.ofMillis(1);
+      rig.transmissionTime = () -> Duration.ofMillis(1);
       rig.node("b");
       rig.time.until(() -> !e.refused.isEmpty(), LONG);
       assertEquals(e.refused, List.of(1L));
-      assertEquals(e.taken, List.of(2L));
+      assertEquals(e.accepted, List.of(2L));
     }
 
     @Test
-    public void engineThatIgnoresNumbersWaitsForOldOrders() {
+    public void engineIgnoringFencingGetsNoOrderBeforeOldOnesHaveArrived() {
       OrderRig rig = new OrderRig();
       final OrderRig.Engine e = rig.engine("u", FencingSupport.IGNORED, Role.PREFILL, "m");
       rig.declare("u", DECODE, "m");
-      long begin = rig.time.now();
+      long startNanos = rig.time.now();
       rig.node("a");
-      rig.time.until(() -> !e.taken.isEmpty(), LONG);
-      Duration waited = Duration.ofNanos(rig.time.now() - begin);
+      rig.time.until(() -> !e.accepted.isEmpty(), LONG);
+      Duration waited = Duration.ofNanos(rig.time.now() - startNanos);
       OrderLimits limits = OrderLimits.DEFAULT;
-      Duration least = limits.leaseDuration().plus(limits.longestPause());
-      assertTrue(waited.compareTo(least) >= 0, "waited " + waited);
+      Duration minWait = limits.leaseDuration().plus(limits.maxPause());
+      assertTrue(waited.compareTo(minWait) >= 0, "waited " + waited);
     }
 
     @Test
-    public void lostAnswerToTheLeaseLeavesOneHolder() {
+    public void lostAnswerToLeaseWriteLeavesOneHolder() {
       OrderRig rig = new OrderRig();
       final OrderRig.Engine e = rig.engine("u", FencingSupport.CHECKED, Role.PREFILL, "m");
       rig.declare("u", DECODE, "m");
@@ -90,14 +90,14 @@
       a.api.setWriteFaults(() -> writes[0]++ == 0 ? Fault.LOSE_ANSWER : Fault.NONE);
       rig.advance(1);
       final OrderRig.Node b = rig.node("b");
-      rig.time.until(() -> !e.taken.isEmpty(), LONG);
+      rig.time.until(() -> !e.accepted.isEmpty(), LONG);
       assertTrue(writes[0] > 0);
-      assertEquals(e.taken, List.of(1L));
-      assertEquals(b.planned, 0);
+      assertEquals(e.accepted, List.of(1L));
+      assertEquals(b.orderCount, 0);
     }
 
     @Test
-    public void closedControllerHandsTheLeaseOver() {
+    public void closedControllerReleasesTheLease() {
       OrderRig rig = new OrderRig();
       OrderRig.Node a = rig.node("a");
       rig.advance(20);
@@ -111,7 +111,7 @@
     }
   }
 
-  /** What is served meanwhile. */
+  /** Models that must stay served while engines change. */
   public static class Serving {
 
     @Test
@@ -133,7 +133,7 @@
     }
 
     @Test
-    public void lateOrderOfEarlierHolderIsReckonedWith() {
+    public void lateOrderOfEarlierHolderLeavesAnEngine() {
       LateOrder l = new LateOrder();
       l.rig.node("b");
       l.first.process.pause();
@@ -141,12 +141,15 @@
     }
 
     @Test
-    public void lateOrderOfLostConnectionIsReckonedWith() {
+    public void lateOrderOfLostConnectionLeavesAnEngine() {
       LateOrder l = new LateOrder();
       l.finish();
     }
 
-    /** An order that takes a role away is late, and meanwhile the other engine is to change. */
+    /**
+     * An order that removes a role arrives late, and the only other engine with that role is
+     * declared to change before it arrives.
+     */
     private static final class LateOrder {
       final OrderRig rig = new OrderRig();
       final OrderRig.Node first = rig.node("a");
@@ -159,10 +162,10 @@
         rig.declare("w", DECODE, "m");
         rig.declare("x", PREFILL, "m");
         first.losesConnections = true;
-        rig.travel = () -> Duration.ofSeconds(40);
-        rig.time.until(() -> first.planned == 1, LONG);
+        rig.transmissionTime = () -> Duration.ofSeconds(40);
+        rig.time.until(() -> first.orderCount == 1, LONG);
         rig.time.advance(Duration.ofMillis(10));
-        rig.travel = () -> Duration.ofMillis(1);
+        rig.transmissionTime = () -> Duration.ofMillis(1);
         rig.declare("u", DECODE, "m");
         rig.declare("w", PREFILL, "m");
       }
@@ -172,26 +175,26 @@
             () ->
                 assertTrue(
                     rig.engines.values().stream().anyMatch(e -> e.serves("m", Role.DECODE)),
-                    "no engine is left"));
+                    "no engine serves the model for decode"));
         rig.time.until(() -> rig.engines.get("w").serves("m", Role.PREFILL), LONG);
-        assertEquals(rig.engines.get("u").taken.size(), 2);
+        assertEquals(rig.engines.get("u").accepted.size(), 2);
         assertTrue(rig.engines.get("u").serves("m", Role.DECODE));
       }
     }
 
     @Test
-    public void saturatedWeightStoreIsAskedAtItsPace() {
+    public void throttledPullsWaitForRetryAfter() {
       OrderRig rig = new OrderRig();
       for (int i = 0; i < 6; i++) {
         rig.engine("u" + i, FencingSupport.CHECKED, Role.DECODE);
         rig.declare("u" + i, DECODE, "m");
       }
-      long[] free = {rig.time.now()};
-      int[] early = {0};
+      long[] freeAtNanos = {rig.time.now()};
+      int[] earlyPulls = {0};
       rig.weights =
           () -> {
-            early[0] += rig.time.now() < free[0] ? 1 : 0;
-            free[0] = rig.time.now() + Duration.ofSeconds(7).toNanos();
+            earlyPulls[0] += rig.time.now() < freeAtNanos[0] ? 1 : 0;
+            freeAtNanos[0] = rig.time.now() + Duration.ofSeconds(7).toNanos();
             return rig.pulls % 2 == 0
                 ? new PullResult.Started(Duration.ofSeconds(7))
                 : new PullResult.Throttled(Duration.ofSeconds(7));
@@ -200,23 +203,23 @@
       rig.time.until(
           () -> rig.engines.values().stream().allMatch(e -> e.serves("m", Role.DECODE)), LONG);
       assertTrue(rig.pulls >= 12, "pulls " + rig.pulls);
-      assertTrue(early[0] <= 6, "asked too early " + early[0]);
+      assertTrue(earlyPulls[0] <= 6, "pulls requested too early " + earlyPulls[0]);
     }
   }
 
-  /** Generated pauses, lost answers, late orders and changes. */
+  /** Random pauses, lost answers, late orders and changes. */
   public static class Generated {
 
     @Test
-    public void numbersNeverFallAndTheLastServerStays() {
+    public void fencingNumbersNeverDecreaseAndTheLastServerStays() {
       int orders = 0;
       for (int seed = 1; seed <= 30; seed++) {
-        orders += hammer(seed);
+        orders += runRandomFaults(seed);
       }
-      assertTrue(orders > 300, "orders taken " + orders);
+      assertTrue(orders > 300, "orders accepted " + orders);
     }
 
-    private static int hammer(int seed) {
+    private static int runRandomFaults(int seed) {
       Random random = new Random(seed);
       OrderRig rig = new OrderRig();
       for (int i = 0; i < 4; i++) {
@@ -224,7 +227,8 @@
         rig.engine("u" + i, f, i < 2 ? Role.PREFILL : Role.DECODE, "m");
       }
       rig.checks.add(() -> check(rig, seed));
-      rig.travel = () -> Duration.ofMillis(random.nextInt(10) == 0 ? random.nextInt(20_000) : 1);
+      rig.transmissionTime =
+          () -> Duration.ofMillis(random.nextInt(10) == 0 ? random.nextInt(20_000) : 1);
       List<OrderRig.Node> nodes = new ArrayList<>();
       for (String host : List.of("a", "b", "c")) {
         OrderRig.Node n = rig.node(host);
@@ -240,7 +244,7 @@
         n.process.resume();
         rig.time.advance(Duration.ofMillis(random.nextInt(60_000)));
       }
-      return rig.engines.values().stream().mapToInt(e -> e.taken.size()).sum();
+      return rig.engines.values().stream().mapToInt(e -> e.accepted.size()).sum();
     }
 
     private static void redeclare(OrderRig rig, Random random) {
@@ -262,11 +266,13 @@
       for (Role role : List.of(Role.PREFILL, Role.DECODE)) {
         assertTrue(
             rig.engines.values().stream().anyMatch(e -> e.serves("m", role)),
-            "seed " + seed + ": no engine is left for " + role);
+            "seed " + seed + ": no engine serves the model for " + role);
       }
       for (OrderRig.Engine e : rig.engines.values()) {
-        List<Long> sorted = e.taken.stream().sorted().toList();
-        assertFalse(!e.taken.equals(sorted), "seed " + seed + ": numbers fell: " + e.taken);
+        List<Long> sorted = e.accepted.stream().sorted().toList();
+        assertFalse(
+            !e.accepted.equals(sorted),
+            "seed " + seed + ": fencing numbers decreased: " + e.accepted);
       }
     }
   }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderPlannerTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderPlannerTest.java
@@ -32,8 +32,8 @@
   private static final ModelName A = new ModelName("model-a");
   private static final ModelName B = new ModelName("model-b");
   private static final FencingNumber FENCING = new FencingNumber(5);
-  private static final long QUIET =
-      OrderLimits.DEFAULT.leaseDuration().plus(OrderLimits.DEFAULT.longestPause()).toNanos();
+  private static final long EARLIER_ORDERS_SETTLED_NANOS =
+      OrderLimits.DEFAULT.leaseDuration().plus(OrderLimits.DEFAULT.maxPause()).toNanos();
 
   private static ModelVersion weights(ModelName model) {
     return new ModelVersion(model, ModelVersion.ANY);
@@ -44,12 +44,16 @@
   }
 
   private static EngineView engine(
-      String name, FencingSupport fencing, EngineShape declared, EngineShape is, long readAt) {
+      String name,
+      FencingSupport fencing,
+      EngineShape declared,
+      EngineShape reported,
+      long readAt) {
     return new EngineView(
         new UpstreamName(name),
         fencing,
         Optional.of(declared),
-        Optional.of(is),
+        Optional.of(reported),
         FENCING,
         readAt,
         true,
@@ -66,7 +70,7 @@
     return new OrderStep.Send(new UpstreamName(name), FENCING, order);
   }
 
-  /** Leases and engines that ignore fencing numbers. */
+  /** The lease, and engines that ignore fencing numbers. */
   public static class Fencing {
 
     @Test
@@ -77,25 +81,29 @@
                   "u", FencingSupport.CHECKED, shape(Role.DECODE, A, B), shape(Role.DECODE, A), 0));
       OrderPlanner p = new OrderPlanner(OrderLimits.DEFAULT);
       assertEquals(p.plan(0, Optional.empty(), e, 0), List.of());
-      Tenure short1 = new Tenure(FENCING, 0, Duration.ofSeconds(1).toNanos());
-      assertEquals(p.plan(0, Optional.of(short1), e, 0), List.of());
+      Tenure endingTerm = new Tenure(FENCING, 0, Duration.ofSeconds(1).toNanos());
+      assertEquals(p.plan(0, Optional.of(endingTerm), e, 0), List.of());
       assertEquals(plan(0, e), List.of(send("u", new Order.LoadModel(B))));
     }
 
     @Test
-    public void engineThatIgnoresNumbersWaitsAndIsReadBackFirst() {
-      EngineShape want = shape(Role.DECODE, A, B);
-      EngineShape is = shape(Role.DECODE, A);
-      EngineView early = engine("u", FencingSupport.IGNORED, want, is, 1);
-      assertEquals(plan(QUIET - 1, List.of(early)), List.of());
+    public void engineIgnoringFencingWaitsAndIsReadFirst() {
+      EngineShape declared = shape(Role.DECODE, A, B);
+      EngineShape reported = shape(Role.DECODE, A);
+      EngineView early = engine("u", FencingSupport.IGNORED, declared, reported, 1);
+      assertEquals(plan(EARLIER_ORDERS_SETTLED_NANOS - 1, List.of(early)), List.of());
       assertEquals(
-          plan(QUIET, List.of(early)), List.of(new OrderStep.ReadBack(new UpstreamName("u"))));
-      EngineView read = engine("u", FencingSupport.IGNORED, want, is, QUIET);
-      assertEquals(plan(QUIET + 1, List.of(read)), List.of(send("u", new Order.LoadModel(B))));
+          plan(EARLIER_ORDERS_SETTLED_NANOS, List.of(early)),
+          List.of(new OrderStep.ReadBack(new UpstreamName("u"))));
+      EngineView read =
+          engine("u", FencingSupport.IGNORED, declared, reported, EARLIER_ORDERS_SETTLED_NANOS);
+      assertEquals(
+          plan(EARLIER_ORDERS_SETTLED_NANOS + 1, List.of(read)),
+          List.of(send("u", new Order.LoadModel(B))));
     }
   }
 
-  /** Shapes. */
+  /** Steps from the current to the declared shapes. */
   public static class Reconciling {
 
     @Test
@@ -112,15 +120,15 @@
     }
 
     @Test
-    public void pullsKeepTheRateAndScarceModelsGoFirst() {
+    public void pullsAreLimitedAndLeastServedModelsGoFirst() {
       List<EngineView> engines = new ArrayList<>();
       for (int i = 0; i < 5; i++) {
-        EngineShape want = i == 4 ? shape(Role.DECODE, B) : shape(Role.DECODE, A);
+        EngineShape declared = i == 4 ? shape(Role.DECODE, B) : shape(Role.DECODE, A);
         engines.add(
             new EngineView(
                 new UpstreamName("u" + i),
                 FencingSupport.CHECKED,
-                Optional.of(want),
+                Optional.of(declared),
                 Optional.of(i == 0 ? shape(Role.DECODE, A) : shape(Role.DECODE)),
                 FENCING,
                 0,
@@ -136,7 +144,7 @@
     }
   }
 
-  /** Generated shapes. */
+  /** Random shapes. */
   public static class Generated {
 
     @Test
@@ -148,47 +156,55 @@
 
     private static void reconcile(int seed) {
       Random random = new Random(seed);
-      Map<String, EngineShape> is = new HashMap<>();
-      Map<String, EngineShape> want = new HashMap<>();
+      Map<String, EngineShape> current = new HashMap<>();
+      Map<String, EngineShape> declared = new HashMap<>();
       for (int i = 0; i < 6; i++) {
-        is.put("u" + i, randomShape(random));
-        want.put("u" + i, randomShape(random));
+        current.put("u" + i, randomShape(random));
+        declared.put("u" + i, randomShape(random));
       }
       for (int round = 0; round < 60; round++) {
-        List<OrderStep> steps = plan(0, views(is, want));
+        List<OrderStep> steps = plan(0, views(current, declared));
         for (OrderStep s : steps) {
           OrderStep.Send send = (OrderStep.Send) s;
-          Map<String, EngineShape> before = Map.copyOf(is);
-          is.compute(send.upstream().value(), (u, shape) -> apply(shape, send.order()));
-          checkServed(seed, before, is, want);
+          Map<String, EngineShape> before = Map.copyOf(current);
+          current.compute(send.upstream().value(), (u, shape) -> apply(shape, send.order()));
+          checkServed(seed, before, current, declared);
         }
       }
-      long stuck = want.keySet().stream().filter(u -> !is.get(u).equals(want.get(u))).count();
-      assertTrue(stuck == 0 || isSwap(is, want), "seed " + seed + ": " + is + " not " + want);
+      long stuck =
+          declared.keySet().stream().filter(u -> !current.get(u).equals(declared.get(u))).count();
+      assertTrue(
+          stuck == 0 || isSwap(current, declared),
+          "seed " + seed + ": " + current + " not " + declared);
     }
 
     /**
-     * All that is left waits for an engine that would be the last one of a model to change role.
+     * Returns whether each engine that differs from its declared shape is the last one that serves
+     * a declared model in its role. Such a swap cannot be planned without a model that is not
+     * served.
      */
-    private static boolean isSwap(Map<String, EngineShape> is, Map<String, EngineShape> want) {
-      return want.keySet().stream()
-          .filter(u -> !is.get(u).equals(want.get(u)))
-          .allMatch(u -> !others(is, u, want));
+    private static boolean isSwap(
+        Map<String, EngineShape> current, Map<String, EngineShape> declared) {
+      return declared.keySet().stream()
+          .filter(u -> !current.get(u).equals(declared.get(u)))
+          .allMatch(u -> !isServedElsewhere(current, u, declared));
     }
 
-    private static boolean others(
-        Map<String, EngineShape> is, String u, Map<String, EngineShape> want) {
-      return is.get(u).models().stream()
-          .filter(m -> wanted(want, is.get(u).role(), m))
+    private static boolean isServedElsewhere(
+        Map<String, EngineShape> current, String u, Map<String, EngineShape> declared) {
+      return current.get(u).models().stream()
+          .filter(m -> isServed(declared, current.get(u).role(), m))
           .allMatch(
               m ->
-                  is.entrySet().stream()
+                  current.entrySet().stream()
                       .anyMatch(
-                          e -> !e.getKey().equals(u) && has(e.getValue(), is.get(u).role(), m)));
+                          e ->
+                              !e.getKey().equals(u)
+                                  && has(e.getValue(), current.get(u).role(), m)));
     }
 
-    private static boolean wanted(Map<String, EngineShape> want, Role role, ModelName m) {
-      return want.values().stream().anyMatch(s -> has(s, role, m));
+    private static boolean isServed(Map<String, EngineShape> shapes, Role role, ModelName m) {
+      return shapes.values().stream().anyMatch(s -> has(s, role, m));
     }
 
     private static boolean has(EngineShape s, Role role, ModelName m) {
@@ -199,12 +215,14 @@
         int seed,
         Map<String, EngineShape> before,
         Map<String, EngineShape> after,
-        Map<String, EngineShape> want) {
+        Map<String, EngineShape> declared) {
       for (Role role : List.of(Role.PREFILL, Role.DECODE)) {
         for (ModelName m : List.of(A, B)) {
-          boolean had = wanted(before, role, m);
-          if (had && wanted(want, role, m)) {
-            assertFalse(!wanted(after, role, m), "seed " + seed + ": dropped " + m + " " + role);
+          boolean had = isServed(before, role, m);
+          if (had && isServed(declared, role, m)) {
+            assertFalse(
+                !isServed(after, role, m),
+                "seed " + seed + ": no engine serves " + m + " for " + role);
           }
         }
       }
@@ -234,10 +252,10 @@
     }
 
     private static ImmutableList<EngineView> views(
-        Map<String, EngineShape> is, Map<String, EngineShape> want) {
-      return want.keySet().stream()
+        Map<String, EngineShape> current, Map<String, EngineShape> declared) {
+      return declared.keySet().stream()
           .sorted()
-          .map(u -> engine(u, FencingSupport.CHECKED, want.get(u), is.get(u), 0))
+          .map(u -> engine(u, FencingSupport.CHECKED, declared.get(u), current.get(u), 0))
           .collect(ImmutableList.toImmutableList());
     }
   }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderRig.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderRig.java
@@ -37,15 +37,15 @@
 import org.larkkeel.store.lease.Lease;
 import org.larkkeel.store.log.WriterId;
 
-/** Controllers, engines and a weight store in virtual time. */
+/** Controllers, engines and a weight store in virtual time, for tests. */
 final class OrderRig {
   final ManualScheduler time = new ManualScheduler();
   final InMemoryStore store = new InMemoryStore(time);
-  final ManualScheduler.Process world = time.newProcess();
+  final ManualScheduler.Process platform = time.newProcess();
   final Map<String, Engine> engines = new TreeMap<>();
   final List<Runnable> checks = new ArrayList<>();
   Configuration configuration = Configuration.EMPTY;
-  Supplier<Duration> travel = () -> Duration.ofMillis(1);
+  Supplier<Duration> transmissionTime = () -> Duration.ofMillis(1);
   Supplier<PullResult> weights = () -> new PullResult.Started(Duration.ofSeconds(1));
   int pulls;
 
@@ -59,7 +59,7 @@
     return e;
   }
 
-  /** Declares an engine's role and models, in place of what was declared. */
+  /** Declares an engine's role and models, in place of its previous declaration. */
   void declare(String name, Map<String, String> labels, String... models) {
     Upstream u =
         new Upstream(
@@ -89,13 +89,16 @@
     return new Node(host);
   }
 
-  /** An engine with what it took, in the order of its arrival. */
+  /**
+   * An engine that records the fencing numbers of the orders that it accepted and refused, in the
+   * order of their arrival.
+   */
   final class Engine {
     final FencingSupport fencing;
-    final List<Long> taken = new ArrayList<>();
+    final List<Long> accepted = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
     EngineShape shape;
-    private long highest;
+    private long highestFencing;
 
     Engine(String name, FencingSupport fencing, EngineShape shape) {
       this.fencing = fencing;
@@ -106,13 +109,13 @@
       return shape.role() == role && shape.models().contains(new ModelName(model));
     }
 
-    private OrderResult take(long number, Order order) {
-      if (fencing == FencingSupport.CHECKED && number < highest) {
+    private OrderResult receive(long number, Order order) {
+      if (fencing == FencingSupport.CHECKED && number < highestFencing) {
         refused.add(number);
         return OrderResult.STALE_FENCING;
       }
-      highest = number;
-      taken.add(number);
+      highestFencing = number;
+      accepted.add(number);
       shape = apply(order);
       checks.forEach(Runnable::run);
       return OrderResult.IN_FORCE;
@@ -139,16 +142,16 @@
     }
   }
 
-  /** One process with a controller. */
+  /** A process with a controller. */
   final class Node implements EnginePort, OrderListener {
     final ManualScheduler.Process process = time.newProcess();
     final InMemoryObjectApi api = new InMemoryObjectApi(store, process);
     final List<OrderResult> results = new ArrayList<>();
     final Lease lease;
     final OrderController controller;
-    Duration connect = Duration.ofMillis(1);
+    Duration connectTime = Duration.ofMillis(1);
     boolean losesConnections;
-    int planned;
+    int orderCount;
 
     Node(String host) {
       WriterId id = new WriterId(new HostName(host), new Incarnation(1));
@@ -178,15 +181,18 @@
     public CompletableFuture<EngineReport> read(Upstream upstream) {
       CompletableFuture<EngineReport> result = new CompletableFuture<>();
       Engine e = engines.get(upstream.name().value());
-      world.execute(
+      platform.execute(
           () -> {
-            EngineReport r = new EngineReport(e.shape, new FencingNumber(e.highest));
+            EngineReport r = new EngineReport(e.shape, new FencingNumber(e.highestFencing));
             process.execute(() -> result.complete(r));
           });
       return result;
     }
 
-    /** The process may be paused before it asks whether it may send, and again before it does. */
+    /**
+     * Sends an order. The process may be paused before it checks whether it may send, and again
+     * before it sends.
+     */
     @Override
     public CompletableFuture<OrderResult> order(
         Upstream upstream,
@@ -194,19 +200,19 @@
         Order order,
         BooleanSupplier allowed,
         Duration timeout) {
-      planned++;
+      orderCount++;
       CompletableFuture<OrderResult> result = new CompletableFuture<>();
       Engine e = engines.get(upstream.name().value());
       Runnable arrive =
           () -> {
-            OrderResult r = e.take(fencing.value(), order);
+            OrderResult r = e.receive(fencing.value(), order);
             process.execute(() -> result.complete(r));
           };
       process.schedule(
-          connect,
+          connectTime,
           () -> {
             if (allowed.getAsBoolean()) {
-              process.execute(() -> world.schedule(travel.get(), arrive));
+              process.execute(() -> platform.schedule(transmissionTime.get(), arrive));
               if (losesConnections) {
                 result.complete(OrderResult.UNKNOWN);
               }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/package-info.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the planning of orders. */
+/** Tests of the planning and sending of orders. */
 package org.larkkeel.store.order;
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/package-info.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the ports to the platform, with an object API in memory and virtual time. */
+/** Tests of the clients of the platform, with an in-memory object API and virtual time. */
 package org.larkkeel.store;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/BudgetedObjectApi.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/BudgetedObjectApi.java
@@ -13,15 +13,16 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.larkkeel.store.StoreGate.Admission;
+import org.larkkeel.store.StoreCircuitBreaker.Admission;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps one node within its share of the store's rates, and off a store that is down.
+ * Limits one node's calls to its share of the store's rate limits, and rejects calls while the
+ * store is down.
  *
- * <p>It never repeats a call: what may be repeated is known to the caller only. Safe for use by
- * several threads; its state is confined to the scheduler.
+ * <p>It never retries a call, since only the caller knows which calls may be repeated. Thread-safe:
+ * the state is confined to the scheduler.
  *
  * @since 0.1
  */
@@ -33,14 +34,14 @@
   private final CallBudget budget;
   private final CallBucket reads;
   private final CallBucket writes;
-  private final StoreGate gate;
+  private final StoreCircuitBreaker circuitBreaker;
 
   /**
-   * Wraps a client.
+   * Creates a rate-limited client.
    *
-   * @param target makes the calls
+   * @param target the client that sends the calls
    * @param budget the node's share
-   * @param scheduler the target's scheduler
+   * @param scheduler the scheduler of {@code target}
    * @param random the source of jitter
    */
   public BudgetedObjectApi(
@@ -51,7 +52,8 @@
     long now = scheduler.nanoTime();
     this.reads = new CallBucket(budget.readsPerSecond(), budget.burst(), now);
     this.writes = new CallBucket(budget.writesPerSecond(), budget.burst(), now);
-    this.gate = new StoreGate(new Backoff(budget.firstProbe(), budget.longestProbe(), random));
+    this.circuitBreaker =
+        new StoreCircuitBreaker(new Backoff(budget.firstProbe(), budget.longestProbe(), random));
   }
 
   @Override
@@ -92,14 +94,17 @@
       Duration timeout,
       Consumer<WatchEvent> listener) {
     BudgetedWatch w = new BudgetedWatch(listener);
-    CompletableFuture<Void> begun =
-        submit(reads, gate::admitLong, () -> w.begin(collection, resourceVersion, timeout));
-    begun.whenComplete((ok, failure) -> w.begun(failure));
+    CompletableFuture<Void> watchEnd =
+        submit(
+            reads,
+            circuitBreaker::admitLongRunning,
+            () -> w.start(collection, resourceVersion, timeout));
+    watchEnd.whenComplete((ok, failure) -> w.complete(failure));
     return w;
   }
 
   private <T> CompletableFuture<T> submit(CallBucket bucket, Supplier<CompletableFuture<T>> call) {
-    return submit(bucket, () -> gate.admit(scheduler.nanoTime()), call);
+    return submit(bucket, () -> circuitBreaker.admit(scheduler.nanoTime()), call);
   }
 
   private <T> CompletableFuture<T> submit(
@@ -111,7 +116,7 @@
 
   private <T> void admit(CallBucket bucket, Call<T> call) {
     long now = scheduler.nanoTime();
-    if (gate.isShut(now)) {
+    if (circuitBreaker.isRejecting(now)) {
       refuse(call);
       return;
     }
@@ -119,15 +124,15 @@
     if (wait < 0) {
       ObjectApiFailure f = new ObjectApiFailure.Throttled(budget.longestWait());
       call.result.completeExceptionally(
-          new ObjectApiException(f, "the node's own call budget is used up"));
+          new ObjectApiException(f, "call not sent: the node's own call budget is exhausted"));
     } else if (wait == 0) {
-      make(call);
+      send(call);
     } else {
-      scheduler.schedule(Duration.ofNanos(wait), () -> make(call));
+      scheduler.schedule(Duration.ofNanos(wait), () -> send(call));
     }
   }
 
-  private <T> void make(Call<T> call) {
+  private <T> void send(Call<T> call) {
     if (call.admission.get() == Admission.REFUSED) {
       refuse(call);
       return;
@@ -137,7 +142,7 @@
         .get()
         .whenComplete(
             (value, failure) -> {
-              observe(failure);
+              recordOutcome(failure);
               if (failure == null) {
                 result.complete(value);
               } else {
@@ -149,35 +154,36 @@
   private static void refuse(Call<?> call) {
     call.result.completeExceptionally(
         new ObjectApiException(
-            new ObjectApiFailure.Unavailable(), "not called: the store is down"));
+            new ObjectApiFailure.Unavailable(),
+            "call not sent: the store is down and is only probed"));
   }
 
-  private void observe(Throwable failure) {
+  private void recordOutcome(Throwable failure) {
     Optional<ObjectApiFailure> f =
         failure == null ? Optional.empty() : ObjectApiException.failureOf(failure);
     long now = scheduler.nanoTime();
     switch (f.orElse(null)) {
-      case ObjectApiFailure.Unavailable u -> gate.failed(now);
-      case ObjectApiFailure.OutcomeUnknown u -> gate.failed(now);
-      case null, default -> answered(now);
+      case ObjectApiFailure.Unavailable u -> circuitBreaker.failed(now);
+      case ObjectApiFailure.OutcomeUnknown u -> circuitBreaker.failed(now);
+      case null, default -> recordAnswer(now);
     }
   }
 
-  private void answered(long now) {
-    if (gate.succeeded()) {
+  private void recordAnswer(long now) {
+    if (circuitBreaker.succeeded()) {
       reads.drain(now);
       writes.drain(now);
       LOG.info("event=store-reachable");
     }
   }
 
-  /** A call that waits for its turn. */
+  /** A call that has not been sent yet. */
   private record Call<T>(
       Supplier<Admission> admission,
       Supplier<CompletableFuture<T>> target,
       CompletableFuture<T> result) {}
 
-  /** A watch that begins when the budget allows. Confined to the scheduler. */
+  /** A watch that starts when the call budget allows. Confined to the scheduler. */
   private final class BudgetedWatch implements Watch {
     private final Consumer<WatchEvent> listener;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
@@ -187,7 +193,7 @@
       this.listener = listener;
     }
 
-    CompletableFuture<Void> begin(String collection, StoreVersion version, Duration timeout) {
+    CompletableFuture<Void> start(String collection, StoreVersion version, Duration timeout) {
       if (ended.isDone()) {
         return CompletableFuture.completedFuture(null);
       }
@@ -195,7 +201,7 @@
       return inner.ended();
     }
 
-    void begun(Throwable failure) {
+    void complete(Throwable failure) {
       if (failure == null) {
         ended.complete(null);
       } else {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/CallBucket.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/CallBucket.java
@@ -9,7 +9,7 @@
 import org.larkkeel.lib.TokenBucket;
 
 /**
- * A budget of calls: a rate and a burst. Pure; not safe for use by several threads.
+ * A token bucket for calls, with a rate and a burst. It reads no clock and is not thread-safe.
  *
  * <p>Invariant: over any time {@code t} at most {@code burst + rate * t} calls are admitted.
  *
@@ -21,8 +21,8 @@
   /**
    * Creates a full bucket.
    *
-   * @param perSecond calls a second, positive
-   * @param burst calls at once, at least 1
+   * @param perSecond the rate in calls per second, positive
+   * @param burst the number of calls that may be sent at once, at least 1
    * @param now the time in nanoseconds
    */
   public CallBucket(double perSecond, double burst, long now) {
@@ -38,16 +38,17 @@
   }
 
   /**
-   * Takes one token, on credit if need be.
+   * Takes one token. If none is available, the level becomes negative and the caller waits until
+   * the token has accrued.
    *
    * @param now the time in nanoseconds
-   * @param longest the longest wait accepted, in nanoseconds
-   * @return how long to wait before the call, in nanoseconds; -1 if that is longer than accepted,
-   *     and then nothing is taken
+   * @param maxWait the maximum wait that the caller accepts, in nanoseconds
+   * @return the wait before the call, in nanoseconds; -1 if it exceeds the maximum, in which case
+   *     no token is taken
    */
-  public long take(long now, long longest) {
+  public long take(long now, long maxWait) {
     long wait = bucket.timeUntil(1, now);
-    if (wait > longest) {
+    if (wait > maxWait) {
       return -1;
     }
     bucket.take(1);
@@ -55,7 +56,7 @@
   }
 
   /**
-   * Empties the bucket, so that it starts slowly after an outage.
+   * Removes all tokens, so that calls resume at the plain rate, without a burst, after an outage.
    *
    * @param now the time in nanoseconds
    */
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/CallBudget.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/CallBudget.java
@@ -9,14 +9,14 @@
 import java.time.Duration;
 
 /**
- * One node's share of the store's rates. Immutable.
+ * One node's share of the store's rate limits. Immutable.
  *
- * @param readsPerSecond gets, lists and watches a second
- * @param writesPerSecond creates, updates and deletes a second
- * @param burst calls at once, of each sort
- * @param longestWait calls that would wait longer fail as throttled
- * @param firstProbe the bound of the first distance of probes in an outage
- * @param longestProbe the bound of all distances of probes
+ * @param readsPerSecond gets, lists and watches per second
+ * @param writesPerSecond creates, updates and deletes per second
+ * @param burst the number of reads, and of writes, that may be sent at once
+ * @param longestWait the maximum wait for a token; a call that would wait longer fails as throttled
+ * @param firstProbe the upper bound of the first delay between probes during an outage
+ * @param longestProbe the upper bound of all delays between probes
  * @since 0.1
  */
 public record CallBudget(
@@ -27,7 +27,7 @@
     Duration firstProbe,
     Duration longestProbe) {
 
-  /** A share that suits 8 nodes before a store of 400 writes and 2,000 reads a second. */
+  /** Suits 8 nodes that share a store limited to 400 writes and 2,000 reads per second. */
   public static final CallBudget DEFAULT =
       new CallBudget(
           100, 50, 50, Duration.ofSeconds(1), Duration.ofMillis(100), Duration.ofSeconds(2));
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/CollectionChange.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/CollectionChange.java
@@ -10,24 +10,25 @@
 import com.google.common.collect.ImmutableSet;
 
 /**
- * By what a copy of a collection differs from the one that was told of last.
+ * The difference between a copy of a collection and the copy that the listener was last notified
+ * of.
  *
- * <p>Immutable and safe for use by several threads.
+ * <p>Immutable and thread-safe.
  *
- * @param changed objects that are new or have a newer version, by name, never null
- * @param removed names of objects that are no longer in the copy, never null
- * @param isRestored whether the store has come back from a copy since: what is told may be older
- *     than what was told before
+ * @param changed the objects that are new or have a newer version, ordered by name, never null
+ * @param removed the names of the objects that are no longer in the copy, never null
+ * @param isRestored true if the store was restored from a backup since the last notification, so
+ *     that the objects may be older than those of the previous notification
  * @since 0.1
  */
 public record CollectionChange(
     ImmutableList<StoredObject> changed, ImmutableSet<String> removed, boolean isRestored) {
-  /** Of a store that has not come back from a copy. */
+  /** Creates a change of a store that was not restored from a backup. */
   public CollectionChange(ImmutableList<StoredObject> changed, ImmutableSet<String> removed) {
     this(changed, removed, false);
   }
 
-  /** Whether nothing differs, as after a list that brought no news. */
+  /** Returns whether nothing differs, as after a list without changes. */
   public boolean isEmpty() {
     return changed.isEmpty() && removed.isEmpty();
   }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/CollectionCopy.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/CollectionCopy.java
@@ -14,128 +14,137 @@
 import java.util.TreeSet;
 
 /**
- * What is known of a small collection, and by what it differs from what was told of last.
+ * A copy of a small collection, with the names that have changed since the last {@link
+ * #takeChange}.
  *
- * <p>Invariants: an object never goes back to an older version, in the order of eras; an object
- * that can not be read is not among the objects. Confined to one thread.
+ * <p>Invariants: an object is never replaced by an older version, where versions are ordered by era
+ * first; an object that cannot be read is not among the objects. Confined to one thread.
  */
 final class CollectionCopy {
   private TreeMap<String, StoredObject> objects = new TreeMap<>();
   private TreeMap<String, EntryProblem> unreadable = new TreeMap<>();
   private StoreVersion changeVersion = StoreVersion.NONE;
-  private boolean restored;
+  private boolean restoredSinceTaken;
 
-  /** Names whose objects have changed, appeared or gone since the last {@link #takeChange}. */
-  private final NavigableSet<String> touched = new TreeSet<>();
+  /**
+   * The names of objects that were added, changed or removed since the last {@link #takeChange}.
+   */
+  private final NavigableSet<String> changedNames = new TreeSet<>();
 
   ImmutableSortedMap<String, StoredObject> objects() {
     return ImmutableSortedMap.copyOf(objects);
   }
 
-  /** Why objects can not be read, by their names; under the empty name one that has none. */
+  /**
+   * Returns the problems of unreadable objects by name; one without a name is under the empty name.
+   */
   ImmutableSortedMap<String, EntryProblem> unreadable() {
     return ImmutableSortedMap.copyOf(unreadable);
   }
 
   /**
-   * The version of the newest change of an object that was seen, or a lower bound of it where a
-   * removal was seen by what a whole copy lacks; 0 before the first.
+   * Returns the version of the newest change of an object that was received. If a removal was only
+   * inferred from a complete list, this is a lower bound. {@link StoreVersion#NONE} before the
+   * first change.
    */
   StoreVersion changeVersion() {
     return changeVersion;
   }
 
-  /** Notes that a version of an object was seen, whether it is taken over or not. */
-  void seen(StoredObject o) {
+  /** Records that a version of an object was received, even if the copy does not adopt it. */
+  void recordVersion(StoredObject o) {
     changeVersion = StoreVersion.max(changeVersion, o.resourceVersion());
   }
 
-  /** An object appeared or changed. */
+  /** Adds or replaces an object, unless the copy has a version that is at least as new. */
   void change(StoredObject o) {
-    seen(o);
+    recordVersion(o);
     String name = o.key().name();
     StoredObject old = objects.get(name);
     if (old == null || o.resourceVersion().isAfter(old.resourceVersion())) {
       unreadable.remove(name);
       objects.put(name, o);
-      touched.add(name);
+      changedNames.add(name);
     }
   }
 
-  /** An object was removed. */
+  /** Removes an object, unless the copy has a newer version. */
   void remove(StoredObject o) {
-    seen(o);
+    recordVersion(o);
     String name = o.key().name();
     boolean wasUnreadable = unreadable.remove(name) != null;
-    if (forget(name, o.resourceVersion()) || wasUnreadable) {
-      touched.add(name);
+    if (removeUpTo(name, o.resourceVersion()) || wasUnreadable) {
+      changedNames.add(name);
     }
   }
 
-  /** An object can not be read any more; if it was before, it is gone. */
-  void turnUnreadable(UnreadableObject o) {
-    forget(o.name(), o.resourceVersion());
+  /**
+   * Records that an object cannot be read, and removes its readable version unless that is newer.
+   */
+  void markUnreadable(UnreadableObject o) {
+    removeUpTo(o.name(), o.resourceVersion());
     if (!objects.containsKey(o.name())) {
       unreadable.put(o.name(), o.problem());
-      touched.add(o.name());
+      changedNames.add(o.name());
     }
   }
 
-  private boolean forget(String name, StoreVersion upTo) {
+  private boolean removeUpTo(String name, StoreVersion upTo) {
     StoredObject old = objects.get(name);
     return old != null && !old.resourceVersion().isAfter(upTo) && objects.remove(name) != null;
   }
 
   /**
-   * Takes over a whole state, of which only what differs is news.
+   * Replaces the copy by a complete state of the collection. Only objects that differ count as
+   * changed.
    *
-   * @param whole its objects
-   * @param wholeUnreadable its objects that can not be read
-   * @param before the version of the state that it replaces
-   * @param now its version, of the same era or a later one
+   * @param newObjects the readable objects of the new state
+   * @param newUnreadable the problems of its unreadable objects, by name
+   * @param oldVersion the version of the state that is replaced
+   * @param newVersion the version of the new state, of the same era or a later one
    */
   void replace(
-      TreeMap<String, StoredObject> whole,
-      TreeMap<String, EntryProblem> wholeUnreadable,
-      StoreVersion before,
-      StoreVersion now) {
-    boolean isOfEra = before.isOfEraOf(now);
-    restored |= !before.isNone() && !isOfEra;
-    for (StoredObject o : whole.values()) {
+      TreeMap<String, StoredObject> newObjects,
+      TreeMap<String, EntryProblem> newUnreadable,
+      StoreVersion oldVersion,
+      StoreVersion newVersion) {
+    boolean isSameEra = oldVersion.isSameEraAs(newVersion);
+    restoredSinceTaken |= !oldVersion.isNone() && !isSameEra;
+    for (StoredObject o : newObjects.values()) {
       StoredObject old = objects.get(o.key().name());
       if (old == null || !old.resourceVersion().equals(o.resourceVersion())) {
-        touched.add(o.key().name());
+        changedNames.add(o.key().name());
       }
     }
     for (String name : objects.keySet()) {
-      if (!whole.containsKey(name)) {
-        touched.add(name);
-        seenRemovalAfter(isOfEra ? before : new StoreVersion(now.era(), 0));
+      if (!newObjects.containsKey(name)) {
+        changedNames.add(name);
+        recordRemovalAfter(isSameEra ? oldVersion : new StoreVersion(newVersion.era(), 0));
       }
     }
-    objects = whole;
-    unreadable = wholeUnreadable;
+    objects = newObjects;
+    unreadable = newUnreadable;
   }
 
   /**
-   * Notes a removal that no watch told of, else others whose watches are silent would not be told
-   * that something has changed. Its version is not known; the least that it can have makes no node
-   * that watched it doubt its watch.
+   * Records a removal that no watch reported; otherwise peers with unresponsive watches would not
+   * learn that something has changed. The version of the removal is unknown. The lowest possible
+   * one is used, so that no peer that did watch the removal restarts its watch.
    */
-  private void seenRemovalAfter(StoreVersion before) {
+  private void recordRemovalAfter(StoreVersion before) {
     changeVersion = StoreVersion.max(changeVersion, before.next());
   }
 
-  /** Whether there is news since the last {@link #takeChange}. */
-  boolean isTouched() {
-    return !touched.isEmpty();
+  /** Returns whether anything has changed since the last {@link #takeChange}. */
+  boolean hasChanges() {
+    return !changedNames.isEmpty();
   }
 
-  /** What is news since the last call. */
+  /** Returns what has changed since the last call. */
   CollectionChange takeChange() {
     ImmutableList.Builder<StoredObject> changed = ImmutableList.builder();
     ImmutableSet.Builder<String> removed = ImmutableSet.builder();
-    for (String name : touched) {
+    for (String name : changedNames) {
       StoredObject o = objects.get(name);
       if (o == null) {
         removed.add(name);
@@ -143,9 +152,9 @@
         changed.add(o);
       }
     }
-    touched.clear();
-    boolean isRestored = restored;
-    restored = false;
+    changedNames.clear();
+    boolean isRestored = restoredSinceTaken;
+    restoredSinceTaken = false;
     return new CollectionChange(changed.build(), removed.build(), isRestored);
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/CollectionMirror.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/CollectionMirror.java
@@ -19,21 +19,20 @@
 /**
  * Keeps a copy of a small collection by list and watch.
  *
- * <p>Invariants: an object never goes back to an older version, and the copy never to an older
- * state of the collection: a list that is behind what was seen is not taken over, unless the store
- * has begun another era, in which versions begin again. While the store can not be reached the last
- * copy stays. An object that can not be read is not in the copy, and changes nothing about the
- * others. Confined to the scheduler, but for {@link #silence} and {@link #losses}, which any thread
- * may ask for.
+ * <p>Invariants: an object is never replaced by an older version, and the copy never by an older
+ * state of the collection. A list that is behind the copy is discarded, unless the store has begun
+ * another era, in which version numbers are reused. While the store is unreachable the last copy
+ * stays. An unreadable object is not in the copy and does not affect the others. Confined to the
+ * scheduler, except {@link #silence} and {@link #losses}, which any thread may call.
  *
  * @since 0.1
  */
 public final class CollectionMirror implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CollectionMirror.class);
-  private static final Duration DEFAULT_WATCH_TIME = Duration.ofSeconds(60);
+  private static final Duration DEFAULT_WATCH_TIMEOUT = Duration.ofSeconds(60);
 
-  /** How long a change that others know of may take to be seen by a watch that waits. */
-  private static final Duration LAG = Duration.ofMillis(250);
+  /** The maximum delay until a live watch delivers a change that a peer has already seen. */
+  private static final Duration MAX_WATCH_LAG = Duration.ofMillis(250);
 
   private final ObjectApi api;
   private final String collection;
@@ -42,35 +41,44 @@
   private final WatchTimes watchTimes;
   private final Consumer<CollectionChange> listener;
   private final CollectionCopy copy = new CollectionCopy();
-  private TreeMap<String, StoredObject> listing;
-  private TreeMap<String, EntryProblem> unreadableListing;
+  private TreeMap<String, StoredObject> listedObjects;
+  private TreeMap<String, EntryProblem> listedUnreadable;
+
+  /**
+   * The version of the list in progress; afterwards the version from which the next watch resumes.
+   */
   private StoreVersion version = StoreVersion.NONE;
+
   private Watch watch;
-  private StoreVersion shownVersion = StoreVersion.NONE;
+  private StoreVersion copyVersion = StoreVersion.NONE;
 
-  /** The version of the newest list that was taken over, which shows all changes up to it. */
+  /** The version of the newest list that the copy adopted; it contains all changes up to it. */
   private StoreVersion listedVersion = StoreVersion.NONE;
 
   private boolean failing;
-  private boolean namelessChange;
-  private boolean closed;
 
-  private boolean publishPlanned;
+  /** True if a watch reported an unreadable object without a name. */
+  private boolean listAfterWatch;
 
-  /** When the store last said something of the collection. */
-  private volatile long heardAt;
+  private boolean closed;
+  private boolean publishScheduled;
+
+  /**
+   * The scheduler's time of the store's last answer or event for the collection, in nanoseconds.
+   */
+  private volatile long lastAnswerNanos;
 
   private final AtomicInteger losses = new AtomicInteger();
 
   /**
-   * Creates a mirror that has not begun.
+   * Creates a mirror that is not started yet, with watches of a fixed timeout.
    *
    * @param api the object API
    * @param collection the collection
    * @param scheduler the API's scheduler
-   * @param backoff distances of attempts while the store can not be reached
-   * @param listener receives what has changed, at least once after each list; changes that come
-   *     together are told together
+   * @param backoff the delays between attempts while the store is unreachable
+   * @param listener receives the changes, at least once after each list; changes that arrive
+   *     together are reported in one call
    */
   public CollectionMirror(
       ObjectApi api,
@@ -78,10 +86,20 @@
       Scheduler scheduler,
       Backoff backoff,
       Consumer<CollectionChange> listener) {
-    this(api, collection, scheduler, backoff, WatchTimes.always(DEFAULT_WATCH_TIME), listener);
+    this(api, collection, scheduler, backoff, WatchTimes.always(DEFAULT_WATCH_TIMEOUT), listener);
   }
 
-  /** As the other, with the times of watches. */
+  /**
+   * Creates a mirror that is not started yet.
+   *
+   * @param api the object API
+   * @param collection the collection
+   * @param scheduler the API's scheduler
+   * @param backoff the delays between attempts while the store is unreachable
+   * @param watchTimes the timeouts of watches and the pauses between them
+   * @param listener receives the changes, at least once after each list; changes that arrive
+   *     together are reported in one call
+   */
   public CollectionMirror(
       ObjectApi api,
       String collection,
@@ -95,16 +113,16 @@
     this.backoff = backoff;
     this.watchTimes = watchTimes;
     this.listener = listener;
-    this.heardAt = scheduler.nanoTime();
+    this.lastAnswerNanos = scheduler.nanoTime();
   }
 
-  /** Begins; called once. */
+  /** Starts to list and watch the collection; called once, on the scheduler. */
   public void start() {
-    namelessChange = false;
-    listing = new TreeMap<>();
-    unreadableListing = new TreeMap<>();
+    listAfterWatch = false;
+    listedObjects = new TreeMap<>();
+    listedUnreadable = new TreeMap<>();
     version = StoreVersion.NONE;
-    page(ListQuery.of(collection));
+    requestPage(ListQuery.of(collection));
   }
 
   @Override
@@ -115,99 +133,107 @@
     }
   }
 
-  /** Whether the store could not be reached at the last try. */
+  /** Returns whether the last attempt to reach the store failed. */
   public boolean isFailing() {
     return failing;
   }
 
-  /** How long the store has said nothing of the collection; a watch that waits is silent too. */
+  /**
+   * Returns the time since the store's last answer or event for the collection. It also grows while
+   * a live watch waits for a change.
+   */
   public Duration silence() {
-    return Duration.ofNanos(scheduler.nanoTime() - heardAt);
+    return Duration.ofNanos(scheduler.nanoTime() - lastAnswerNanos);
   }
 
-  /** How often the store was lost after it was reached. */
+  /** Returns how often the store became unreachable after it had been reached. */
   public int losses() {
     return losses.get();
   }
 
-  /** The version of the copy; none before the first one. */
+  /** Returns the version of the copy; {@link StoreVersion#NONE} before the first list. */
   public StoreVersion version() {
-    return shownVersion;
+    return copyVersion;
   }
 
   /**
-   * The version of the newest change of an object that was seen, or a lower bound of it where a
-   * removal was seen by what a list lacks; none before the first.
+   * Returns the version of the newest change of an object that was received. If a removal was only
+   * inferred from a list, this is a lower bound. {@link StoreVersion#NONE} before the first change.
    */
   public StoreVersion changeVersion() {
     return copy.changeVersion();
   }
 
   /**
-   * Notes that another process has seen a change; on the scheduler. If it is not seen here soon,
-   * the watch is taken for dead, as connections may go silent without an end, and the collection is
-   * read anew.
+   * Records that a peer has seen a change; called on the scheduler. If the change does not arrive
+   * here soon, the watch is closed and the collection listed again, since a connection may stop
+   * delivering without being closed.
    *
-   * @param change its version, as of {@link #changeVersion}
+   * @param change the version of the change, as returned by the peer's {@link #changeVersion}
    */
   public void others(StoreVersion change) {
-    if (!closed && !failing && isNews(change) && watch != null) {
-      Watch suspect = watch;
-      Duration begins = watch.ended().isDone() ? watchTimes.pause() : Duration.ZERO;
-      scheduler.schedule(begins.plus(LAG), () -> suspect(suspect, change));
+    if (!closed && !failing && isUnseen(change) && watch != null) {
+      Watch checked = watch;
+      Duration watchDelay = watch.ended().isDone() ? watchTimes.pause() : Duration.ZERO;
+      scheduler.schedule(
+          watchDelay.plus(MAX_WATCH_LAG), () -> replaceWatchIfBehind(checked, change));
     }
   }
 
   /**
-   * Whether a change is not known here. A removal that a list shows by what it lacks has no version
-   * here, so the list's own counts too. What a watch says to be up to date with does not: that it
-   * keeps silent about a change is just what others' word is to show.
+   * Returns whether a change has not been received here. A removal that was inferred from a list
+   * has no version, so the version of the adopted list counts too. The version up to which a watch
+   * claims to be current does not count: the peer's report is to reveal a watch that fails to
+   * deliver a change.
    */
-  private boolean isNews(StoreVersion change) {
+  private boolean isUnseen(StoreVersion change) {
     return change.isAfter(StoreVersion.max(copy.changeVersion(), listedVersion));
   }
 
-  private void suspect(Watch suspect, StoreVersion change) {
-    if (closed || watch != suspect || !isNews(change)) {
+  private void replaceWatchIfBehind(Watch checked, StoreVersion change) {
+    if (closed || watch != checked || !isUnseen(change)) {
       return;
     }
     watch = null;
-    suspect.close();
-    retry(new IllegalStateException("others have seen the change " + change));
+    checked.close();
+    retry(
+        new IllegalStateException(
+            "a peer has seen a change that the watch did not deliver: " + change));
   }
 
-  /** The copy. */
+  /** Returns the objects of the copy by name. */
   public ImmutableSortedMap<String, StoredObject> objects() {
     return copy.objects();
   }
 
-  /** Why objects can not be read, by their names; under the empty name one that has none. */
+  /**
+   * Returns the problems of unreadable objects by name; one without a name is under the empty name.
+   */
   public ImmutableSortedMap<String, EntryProblem> unreadable() {
     return copy.unreadable();
   }
 
   /**
-   * Takes over a newer copy that came by another way while the store can not be reached; on the
-   * scheduler.
+   * Adopts a newer copy from a peer while the store is unreachable; called on the scheduler.
    *
-   * @param newer its version
-   * @param others its objects
-   * @return whether it was taken over
+   * @param newer the version of the peer's copy
+   * @param peerObjects the objects of the peer's copy
+   * @return true if the copy was adopted
    */
-  public boolean offer(StoreVersion newer, Collection<StoredObject> others) {
-    if (closed || !failing || !newer.isAfter(shownVersion)) {
+  public boolean offer(StoreVersion newer, Collection<StoredObject> peerObjects) {
+    if (closed || !failing || !newer.isAfter(copyVersion)) {
       return false;
     }
     TreeMap<String, StoredObject> offered = new TreeMap<>();
-    others.forEach(o -> offered.put(o.key().name(), o));
-    others.forEach(copy::seen);
-    copy.replace(offered, new TreeMap<>(), shownVersion, newer);
-    show(newer);
+    peerObjects.forEach(o -> offered.put(o.key().name(), o));
+    peerObjects.forEach(copy::recordVersion);
+    copy.replace(offered, new TreeMap<>(), copyVersion, newer);
+    setCopyVersion(newer);
     publish(Source.PEER);
     return true;
   }
 
-  private void page(ListQuery q) {
+  private void requestPage(ListQuery q) {
     CompletableFuture<ObjectPage> f = api.list(q);
     f.whenComplete(
         (page, failure) -> {
@@ -217,27 +243,27 @@
           if (failure != null) {
             retry(failure);
           } else {
-            received(q, page);
+            receivedPage(q, page);
           }
         });
   }
 
-  private void received(ListQuery q, ObjectPage page) {
-    heardAt = scheduler.nanoTime();
-    if (!version.isNone() && !version.isOfEraOf(page.resourceVersion())) {
-      // The store came back from a copy between two pages, which are of no one state.
+  private void receivedPage(ListQuery q, ObjectPage page) {
+    lastAnswerNanos = scheduler.nanoTime();
+    if (!version.isNone() && !version.isSameEraAs(page.resourceVersion())) {
+      // The store was restored from a backup between two pages, so they belong to different states.
       start();
       return;
     }
-    page.items().forEach(o -> listing.put(o.key().name(), o));
-    page.items().forEach(copy::seen);
-    page.unreadable().forEach(u -> unreadableListing.put(u.name(), u.problem()));
+    page.items().forEach(o -> listedObjects.put(o.key().name(), o));
+    page.items().forEach(copy::recordVersion);
+    page.unreadable().forEach(u -> listedUnreadable.put(u.name(), u.problem()));
     version =
         version.isNone()
             ? page.resourceVersion()
             : StoreVersion.min(version, page.resourceVersion());
     if (!page.isLast()) {
-      page(q.after(page.continueToken()));
+      requestPage(q.after(page.continueToken()));
       return;
     }
     backoff.reset();
@@ -245,91 +271,94 @@
       failing = false;
       LOG.info("event=collection_regained collection={} version={}", collection, version);
     }
-    if (shownVersion.isAfter(version)) {
+    if (copyVersion.isAfter(version)) {
       LOG.info(
-          "event=list_behind collection={} version={} shown={}", collection, version, shownVersion);
-      version = shownVersion;
+          "event=list_behind collection={} version={} shown={}", collection, version, copyVersion);
+      version = copyVersion;
     } else {
-      copy.replace(listing, unreadableListing, shownVersion, version);
-      show(version);
+      copy.replace(listedObjects, listedUnreadable, copyVersion, version);
+      setCopyVersion(version);
       listedVersion = version;
       publish(Source.LIST);
     }
     watch();
   }
 
-  private void show(StoreVersion now) {
-    if (!shownVersion.isNone() && !shownVersion.isOfEraOf(now)) {
+  private void setCopyVersion(StoreVersion now) {
+    if (!copyVersion.isNone() && !copyVersion.isSameEraAs(now)) {
       LOG.warn(
           "event=collection_restored collection={} version={} shown={}",
           collection,
           now,
-          shownVersion);
+          copyVersion);
     }
-    shownVersion = now;
+    copyVersion = now;
   }
 
   private void watch() {
-    Watch w = api.watch(collection, version, watchTimes.next(), this::event);
+    Watch w = api.watch(collection, version, watchTimes.nextTimeout(), this::receivedEvent);
     watch = w;
-    w.ended().whenComplete((ok, failure) -> ended(w, failure));
+    w.ended().whenComplete((ok, failure) -> watchEnded(w, failure));
   }
 
-  private void ended(Watch w, Throwable failure) {
+  private void watchEnded(Watch w, Throwable failure) {
     if (closed || watch != w) {
       return;
     }
     if (failure == null) {
-      heardAt = scheduler.nanoTime();
+      lastAnswerNanos = scheduler.nanoTime();
     }
-    if (failure == null && namelessChange) {
+    if (failure == null && listAfterWatch) {
       scheduler.schedule(backoff.next(), this::restart);
     } else if (failure == null) {
-      scheduler.schedule(watchTimes.pause(), () -> watchAgain(w));
+      scheduler.schedule(watchTimes.pause(), () -> watchNext(w));
     } else {
       retry(failure);
     }
   }
 
-  private void watchAgain(Watch w) {
+  private void watchNext(Watch w) {
     if (!closed && watch == w) {
       watch();
     }
   }
 
-  private void event(WatchEvent e) {
+  private void receivedEvent(WatchEvent e) {
     if (closed) {
       return;
     }
-    heardAt = scheduler.nanoTime();
+    lastAnswerNanos = scheduler.nanoTime();
     version = StoreVersion.max(version, e.resourceVersion());
-    shownVersion = StoreVersion.max(shownVersion, version);
+    copyVersion = StoreVersion.max(copyVersion, version);
     switch (e) {
       case WatchEvent.Changed c -> copy.change(c.object());
       case WatchEvent.Deleted d -> copy.remove(d.object());
-      case WatchEvent.Unreadable u -> turnedUnreadable(u.object());
+      case WatchEvent.Unreadable u -> receivedUnreadable(u.object());
       case WatchEvent.Bookmark b -> {}
     }
-    planPublishing();
+    schedulePublishing();
   }
 
-  /** Which object has none of a name only a list can tell; that is asked for after the watch. */
-  private void turnedUnreadable(UnreadableObject o) {
-    namelessChange |= o.name().isEmpty();
-    copy.turnUnreadable(o);
+  /**
+   * Handles an unreadable object. If its name is unknown, only a list can show which object it is,
+   * so the collection is listed again after the watch.
+   */
+  private void receivedUnreadable(UnreadableObject o) {
+    listAfterWatch |= o.name().isEmpty();
+    copy.markUnreadable(o);
   }
 
-  /** Lets the listener be told once all that came together has been taken in. */
-  private void planPublishing() {
-    if (copy.isTouched() && !publishPlanned) {
-      publishPlanned = true;
-      scheduler.execute(this::publishTouched);
+  /** Schedules one notification of the listener for all changes that arrived together. */
+  private void schedulePublishing() {
+    if (copy.hasChanges() && !publishScheduled) {
+      publishScheduled = true;
+      scheduler.execute(this::publishWatchedChanges);
     }
   }
 
-  private void publishTouched() {
-    publishPlanned = false;
-    if (!closed && copy.isTouched()) {
+  private void publishWatchedChanges() {
+    publishScheduled = false;
+    if (!closed && copy.hasChanges()) {
       publish(Source.WATCH);
     }
   }
@@ -340,7 +369,7 @@
       LOG.info(
           "event=collection_changed collection={} version={} change={} by={} changed={} removed={}",
           collection,
-          shownVersion,
+          copyVersion,
           copy.changeVersion(),
           source,
           change.changed().size(),
@@ -370,7 +399,7 @@
     }
   }
 
-  /** How what the copy holds became known. */
+  /** The origin of a change of the copy, as written to the log. */
   private enum Source {
     LIST,
     WATCH,
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/EntryProblem.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/EntryProblem.java
@@ -7,54 +7,57 @@
 package org.larkkeel.store;
 
 /**
- * Why an entry of the store can not be read.
+ * The reason why an entry of the store cannot be read.
  *
- * <p>Invariant: {@code found} comes from other writers, so it is cut to {@value #MAX_FOUND}
- * characters and holds printable characters other than the double quote only; a log line can show
- * it as it is. Immutable and safe for use by several threads.
+ * <p>Invariant: {@code found} comes from other writers, so it is truncated to {@value #MAX_FOUND}
+ * characters and contains only printable ASCII characters other than the double quote; it can be
+ * written to a log line without escaping. Immutable and thread-safe.
  *
- * @param reason the kind of fault, for counting, never null
- * @param field the field that can not be read, never null
- * @param found what stands there, never null
- * @param expected what should stand there, never null
+ * @param reason the kind of problem, used as a metric label, never null
+ * @param field the field that cannot be read, never null
+ * @param found the value that was found, never null
+ * @param expected the expected value or syntax, never null
  * @since 0.1
  */
 public record EntryProblem(Reason reason, String field, String found, String expected) {
-  /** The most characters of what was found that are kept. */
+  /** The maximum number of characters kept of the value that was found. */
   public static final int MAX_FOUND = 64;
 
-  private static final String CUT = "...";
+  private static final String ELLIPSIS = "...";
 
-  /** The closed list of faults. */
+  /** The kinds of problems. */
   public enum Reason {
-    /** The field is not there. */
+    /** The field is missing. */
     MISSING,
     /** The field has another type. */
     WRONG_TYPE,
-    /** A number or a port beyond its bounds. */
+    /** A number or a port is out of bounds. */
     OUT_OF_RANGE,
-    /** A word that is not in the field's closed set. */
+    /** The value is not one of the values that the field allows. */
     UNKNOWN_WORD,
-    /** A text that is not in the field's syntax. */
+    /** The text does not match the field's syntax. */
     MALFORMED,
-    /** The bytes of the entry are no JSON. */
+    /** The entry is not valid JSON. */
     NO_JSON,
-    /** A service that the configuration in force does not name. */
+    /** The service is not defined in the current configuration. */
     UNNAMED_SERVICE
   }
 
-  /** Makes what was found fit for a log line. */
+  /** Truncates and cleans {@code found} for log lines. */
   public EntryProblem {
     found = printable(found);
   }
 
-  /** A text of another writer as a log line can show it. */
+  /**
+   * Returns a text of another writer, truncated and with unprintable characters replaced by {@code
+   * ?}, for a log line.
+   */
   public static String printable(String text) {
     boolean isLong = text.length() > MAX_FOUND;
-    String kept = isLong ? text.substring(0, MAX_FOUND - CUT.length()) : text;
+    String kept = isLong ? text.substring(0, MAX_FOUND - ELLIPSIS.length()) : text;
     StringBuilder s = new StringBuilder(kept.length());
     kept.chars().forEach(c -> s.append(isPrintable(c) ? (char) c : '?'));
-    return isLong ? s.append(CUT).toString() : s.toString();
+    return isLong ? s.append(ELLIPSIS).toString() : s.toString();
   }
 
   private static boolean isPrintable(int c) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/ExecutorScheduler.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/ExecutorScheduler.java
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A scheduler over one thread of the JDK. Owns its thread; safe for use by several threads.
+ * A scheduler on one platform thread, which it owns. Thread-safe.
  *
  * @since 0.1
  */
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Stops the thread; tasks that have not begun are dropped. */
+  /** Stops the thread; tasks that have not started are dropped. */
   @Override
   public void close() {
     executor.shutdownNow();
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/HostEntry.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/HostEntry.java
@@ -10,12 +10,13 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * One host of the system, as the platform lists it with a lag. Immutable.
+ * One host of the cluster as listed by the platform, whose list lags behind. Immutable.
  *
- * @param name the host, never null
- * @param address IP number and port for the other hosts, such as {@code 127.0.0.1:7000}, never null
- * @param dataCentre where it is, never null
- * @param phase what the platform says of it, never null
+ * @param name the name of the host, never null
+ * @param address the IP address and port at which peers reach the host, such as {@code
+ *     127.0.0.1:7000}, never null
+ * @param dataCentre the data centre of the host, never null
+ * @param phase the phase that the platform states, never null
  * @since 0.1
  */
 public record HostEntry(
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/HostList.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/HostList.java
@@ -21,18 +21,18 @@
 /**
  * The platform's list of live and leaving hosts, which lags behind.
  *
- * <p>It is a hint: seeds for membership and early notice of leaving hosts. While the store can not
- * be reached the last list stays. Safe for use by several threads.
+ * <p>It is only a hint: it provides seeds for membership and early notice of leaving hosts. While
+ * the store is unreachable the last list stays. Thread-safe.
  *
  * @since 0.1
  */
 public final class HostList implements AutoCloseable {
-  /** The collection of the hosts. */
+  /** The name of the collection of hosts. */
   public static final String COLLECTION = "hosts";
 
   private static final Logger LOG = LoggerFactory.getLogger(HostList.class);
-  private static final Duration FIRST_RETRY = Duration.ofMillis(100);
-  private static final Duration LONGEST_RETRY = Duration.ofSeconds(5);
+  private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
+  private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(5);
 
   private final Scheduler scheduler;
   private final CollectionMirror mirror;
@@ -40,12 +40,12 @@
   private volatile Optional<ImmutableList<HostEntry>> current = Optional.empty();
 
   /**
-   * Creates a list that has not begun.
+   * Creates a list that is not started yet.
    *
    * @param api the object API
    * @param scheduler the API's scheduler
    * @param random the source of jitter
-   * @param listener receives the whole list after each change, on the scheduler
+   * @param listener receives the complete list after each change, on the scheduler
    */
   public HostList(
       ObjectApi api,
@@ -54,17 +54,18 @@
       Consumer<ImmutableList<HostEntry>> listener) {
     this.scheduler = scheduler;
     this.listener = listener;
-    Backoff backoff = new Backoff(FIRST_RETRY, LONGEST_RETRY, random);
-    this.mirror = new CollectionMirror(api, COLLECTION, scheduler, backoff, change -> changed());
+    Backoff backoff = new Backoff(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY, random);
+    this.mirror =
+        new CollectionMirror(api, COLLECTION, scheduler, backoff, change -> publishHosts());
   }
 
-  /** Begins to list and watch; called once. */
+  /** Starts to list and watch the hosts; called once. */
   public void start() {
     scheduler.execute(mirror::start);
   }
 
   /**
-   * The last list.
+   * Returns the last list.
    *
    * @return the hosts ordered by name, empty before the first answer
    */
@@ -77,7 +78,7 @@
     scheduler.execute(mirror::close);
   }
 
-  private void changed() {
+  private void publishHosts() {
     ImmutableList.Builder<HostEntry> hosts = ImmutableList.builder();
     mirror.objects().values().forEach(o -> read(o).ifPresent(hosts::add));
     ImmutableList<HostEntry> list = hosts.build();
@@ -85,7 +86,10 @@
     listener.accept(list);
   }
 
-  /** An entry that can not be read is passed over: one bad entry must not hide the others. */
+  /**
+   * Reads an entry, or logs and skips it if it is unreadable: one bad entry must not hide the
+   * others.
+   */
   private static Optional<HostEntry> read(StoredObject o) {
     JsonNode spec = o.spec();
     try {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/HostPhase.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/HostPhase.java
@@ -7,13 +7,13 @@
 package org.larkkeel.store;
 
 /**
- * What the platform says of a host.
+ * The phase of a host as stated by the platform.
  *
  * @since 0.1
  */
 public enum HostPhase {
-  /** The host is there to stay. */
+  /** The host is not known to stop. */
   LIVE,
-  /** The host is about to go. */
+  /** The host will stop soon. */
   LEAVING
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpClientOptions.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpClientOptions.java
@@ -13,14 +13,15 @@
 import org.xnio.ssl.XnioSsl;
 
 /**
- * How to reach one HTTP service of the platform. Immutable.
+ * The address, credentials and limits of a client of one HTTP service of the platform. Immutable.
  *
  * @param base scheme, address and port, such as {@code http://127.0.0.1:8080}, never null
- * @param token reads the bearer token before each call, so that it may be replaced, never null
+ * @param token supplies the bearer token before each call, so that it may be rotated, never null
  * @param ssl the TLS settings, empty for plain HTTP, never null
- * @param maxConnections the largest number of pooled connections; watches have their own
- * @param timeout the longest time one call may take, waiting for a connection included
- * @param maxBodyBytes the largest answer read, in bytes
+ * @param maxConnections the maximum number of pooled connections; watches use connections outside
+ *     the pool
+ * @param timeout the maximum duration of one call, including the wait for a connection
+ * @param maxBodyBytes the maximum size of an answer, in bytes
  * @since 0.1
  */
 public record HttpClientOptions(
@@ -30,17 +31,17 @@
     int maxConnections,
     Duration timeout,
     int maxBodyBytes) {
-  /** Connections kept unless said otherwise. */
+  /** The default maximum number of pooled connections. */
   public static final int DEFAULT_MAX_CONNECTIONS = 8;
 
-  /** Longest time of a call unless said otherwise. */
+  /** The default timeout of a call. */
   public static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(2);
 
-  /** Largest answer read unless said otherwise: a page of a few large objects. */
+  /** The default maximum size of an answer, in bytes: enough for a page of a few large objects. */
   public static final int DEFAULT_MAX_BODY_BYTES = 16 << 20;
 
   /**
-   * Plain HTTP without a token and with the usual limits.
+   * Returns options for plain HTTP without a token and with the default limits.
    *
    * @param base scheme, address and port
    * @return the options
@@ -56,20 +57,20 @@
   }
 
   /**
-   * Replaces the timeout.
+   * Returns a copy with another timeout.
    *
-   * @param newTimeout the longest time one call may take
-   * @return a changed copy
+   * @param newTimeout the maximum duration of one call
+   * @return the copy
    */
   public HttpClientOptions withTimeout(Duration newTimeout) {
     return new HttpClientOptions(base, token, ssl, maxConnections, newTimeout, maxBodyBytes);
   }
 
   /**
-   * Replaces the source of the bearer token.
+   * Returns a copy with another source of the bearer token.
    *
-   * @param newToken reads the token before each call
-   * @return a changed copy
+   * @param newToken supplies the token before each call
+   * @return the copy
    */
   public HttpClientOptions withToken(Supplier<Optional<String>> newToken) {
     return new HttpClientOptions(base, newToken, ssl, maxConnections, timeout, maxBodyBytes);
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpObjectApi.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpObjectApi.java
@@ -14,8 +14,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * The object API over HTTP. Owns its connections; the worker and the scheduler belong to the
- * caller. Safe for use by several threads.
+ * A client of the object API over HTTP. It owns its connections; the worker and the scheduler
+ * belong to the caller. Thread-safe.
  *
  * @since 0.1
  */
@@ -23,9 +23,9 @@
   private final HttpObjectCalls calls;
 
   /**
-   * Creates a client; nothing is connected before the first call.
+   * Creates a client, which opens no connection before the first call.
    *
-   * @param options where the service is, and limits
+   * @param options the address and limits of the service
    * @param worker runs the I/O
    * @param scheduler completes the futures
    */
@@ -68,7 +68,9 @@
     return calls.watch(collection, resourceVersion, timeout, listener);
   }
 
-  /** Closes the idle connections; calls in progress end with their own answers. */
+  /**
+   * Closes the idle connections; calls in progress continue until they are answered or time out.
+   */
   @Override
   public void close() {
     calls.close();
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpWeightStore.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpWeightStore.java
@@ -15,9 +15,7 @@
 import org.xnio.XnioWorker;
 
 /**
- * The weight store over HTTP.
- *
- * <p>Safe for use by several threads.
+ * A client of the weight store over HTTP. Thread-safe.
  *
  * @since 0.1
  */
@@ -25,9 +23,9 @@
   private final HttpWeightCalls calls;
 
   /**
-   * Creates a client; nothing is connected before the first call.
+   * Creates a client, which opens no connection before the first call.
    *
-   * @param options where the store is, and limits
+   * @param options the address and limits of the store
    * @param worker runs the I/O
    * @param scheduler completes the futures
    */
@@ -40,7 +38,9 @@
     return calls.pull(upstream, model);
   }
 
-  /** Closes the idle connections; calls in progress end with their own answers. */
+  /**
+   * Closes the idle connections; calls in progress continue until they are answered or time out.
+   */
   @Override
   public void close() {
     calls.close();
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/ListQuery.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/ListQuery.java
@@ -7,20 +7,20 @@
 package org.larkkeel.store;
 
 /**
- * What to list.
+ * A query for one page of a collection. Immutable.
  *
  * @param collection the collection, never null
- * @param prefix only names that begin so; empty for all, never null
- * @param limit the largest number of items on a page, positive
- * @param continueToken from the page before; empty for the first page, never null
+ * @param prefix the prefix of the names to list; empty for all, never null
+ * @param limit the maximum number of items on a page, positive
+ * @param continueToken the token from the previous page; empty for the first page, never null
  * @since 0.1
  */
 public record ListQuery(String collection, String prefix, int limit, String continueToken) {
-  /** Items on a page unless said otherwise. */
+  /** The default maximum number of items on a page. */
   public static final int DEFAULT_LIMIT = 500;
 
   /**
-   * Asks for the first page of a collection.
+   * Returns a query for the first page of a collection.
    *
    * @param collection the collection
    * @return the query
@@ -30,20 +30,20 @@
   }
 
   /**
-   * Restricts the names.
+   * Returns a copy that lists only names with a prefix.
    *
-   * @param newPrefix only names that begin so
-   * @return a changed copy
+   * @param newPrefix the prefix
+   * @return the copy
    */
   public ListQuery withPrefix(String newPrefix) {
     return new ListQuery(collection, newPrefix, limit, continueToken);
   }
 
   /**
-   * Asks for a later page.
+   * Returns a query for the next page.
    *
-   * @param token from the page before
-   * @return a changed copy
+   * @param token the token from the previous page
+   * @return the copy
    */
   public ListQuery after(String token) {
     return new ListQuery(collection, prefix, limit, token);
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectApi.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectApi.java
@@ -12,16 +12,16 @@
 import java.util.function.Consumer;
 
 /**
- * The platform's object API: versions, conditional updates and watches.
+ * A client of the platform's object API, with versioned objects, conditional updates and watches.
  *
- * <p>Contract: futures fail with {@link ObjectApiException} only. Futures complete, and listeners
- * are called, on the {@link Scheduler} that the implementation was given. Methods may be called by
- * any thread and do not block.
+ * <p>Contract: futures fail only with {@link ObjectApiException}. Futures complete and listeners
+ * are called on the {@link Scheduler} of the implementation. Methods may be called from any thread
+ * and do not block.
  *
  * @since 0.1
  */
 public interface ObjectApi {
-  /** The largest object that the platform keeps, in bytes. */
+  /** The maximum size of an object, in bytes. */
   int MAX_OBJECT_BYTES = 1 << 20;
 
   /**
@@ -35,54 +35,57 @@
   /**
    * Reads a page of a collection, ordered by name.
    *
-   * @param query what to list
+   * @param query the collection, prefix, limit and position
    * @return the page
    */
   CompletableFuture<ObjectPage> list(ListQuery query);
 
   /**
-   * Creates an object if there is none of that name.
+   * Creates an object if none of that name exists.
    *
    * @param key the object
-   * @param kind its kind
-   * @param spec its content
-   * @return the object as kept
+   * @param kind the kind of the object
+   * @param spec the content of the object
+   * @return the object as stored
    */
   CompletableFuture<StoredObject> create(ObjectKey key, String kind, JsonNode spec);
 
   /**
-   * Replaces an object if it still has a version. One of an era before is in conflict with any.
+   * Replaces an object if its version is still the given one. A version of an earlier era always
+   * conflicts.
    *
    * @param key the object
-   * @param kind its kind
-   * @param spec its new content
-   * @param resourceVersion the version that it must have
-   * @return the object as kept
+   * @param kind the kind of the object
+   * @param spec the new content of the object
+   * @param resourceVersion the expected version of the object
+   * @return the object as stored
    */
   CompletableFuture<StoredObject> update(
       ObjectKey key, String kind, JsonNode spec, StoreVersion resourceVersion);
 
   /**
-   * Deletes an object if it still has a version.
+   * Deletes an object if its version is still the given one.
    *
    * @param key the object
-   * @param resourceVersion the version that it must have
-   * @return completes when it is gone
+   * @param resourceVersion the expected version of the object
+   * @return a future that completes when the object is deleted
    */
   CompletableFuture<Void> delete(ObjectKey key, StoreVersion resourceVersion);
 
-  /** The era of the store, by the newest answer; that of a store without eras if none says so. */
+  /**
+   * Returns the era that the newest answer stated; {@link StoreEra#NONE} if no answer stated one.
+   */
   default StoreEra era() {
     return StoreEra.NONE;
   }
 
   /**
-   * Waits for changes of a collection. A watch whose store has come back from a copy fails as one
-   * whose history is gone.
+   * Watches a collection for changes. If the store is restored from a backup, the watch fails with
+   * {@link ObjectApiFailure.Expired}.
    *
    * @param collection the collection
-   * @param resourceVersion tells changes after this version
-   * @param timeout after which the store ends the watch
+   * @param resourceVersion the version after which changes are delivered
+   * @param timeout the time after which the store ends the watch
    * @param listener receives the events in order
    * @return the watch
    */
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectApiException.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectApiException.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * A failed call of the object API. Futures of {@link ObjectApi} fail with nothing else.
+ * A failed call of the object API. Futures of {@link ObjectApi} fail only with this exception.
  *
- * <p>Immutable, carries no stack trace: lost races are ordinary events.
+ * <p>Immutable. It has no stack trace, since conflicts are frequent and expected.
  *
  * @since 0.1
  */
@@ -22,10 +22,10 @@
   private final transient ObjectApiFailure failure;
 
   /**
-   * Creates a failure.
+   * Creates an exception.
    *
-   * @param failure what happened, never null
-   * @param detail the call and what is known about it
+   * @param failure the kind of failure, never null
+   * @param detail the call and the cause of its failure
    */
   public ObjectApiException(ObjectApiFailure failure, String detail) {
     super(failure + ": " + detail, null, false, false);
@@ -33,7 +33,7 @@
   }
 
   /**
-   * What happened.
+   * Returns the kind of failure.
    *
    * @return the failure, never null
    */
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Finds the failure in what a future completed with.
+   * Returns the failure with which a future completed.
    *
    * @param thrown the throwable, possibly wrapped by {@link CompletionException}
    * @return the failure, empty if the throwable is of another kind
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectApiFailure.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectApiFailure.java
@@ -9,44 +9,44 @@
 import java.time.Duration;
 
 /**
- * The closed list of what a call of the object API may fail with.
+ * The kinds of failures of a call of the object API.
  *
- * <p>All but {@link OutcomeUnknown} state that the call had no effect.
+ * <p>For all kinds but {@link OutcomeUnknown} the call had no effect.
  *
  * @since 0.1
  */
 public sealed interface ObjectApiFailure {
 
-  /** There is no such object. */
+  /** The object does not exist. */
   record NotFound() implements ObjectApiFailure {}
 
   /** An object of that name exists; nothing was created. */
   record AlreadyExists() implements ObjectApiFailure {}
 
-  /** The object has another version than the one given; nothing was changed. */
+  /** The object does not have the expected version; nothing was changed. */
   record Conflict() implements ObjectApiFailure {}
 
-  /** The version to watch from, or the list token, is too old; list again. */
+  /** The version to watch from, or the list token, is too old; the caller must list again. */
   record Expired() implements ObjectApiFailure {}
 
-  /** The object is larger than the platform takes. */
+  /** The object exceeds the maximum size. */
   record TooLarge() implements ObjectApiFailure {}
 
   /**
-   * The store takes no more calls now.
+   * The store, or the node's own call budget, accepts no more calls now.
    *
-   * @param retryAfter how long it asks to wait, never null
+   * @param retryAfter the time to wait before a retry, never null
    */
   record Throttled(Duration retryAfter) implements ObjectApiFailure {}
 
-  /** The store can not be reached or refuses all calls; a write had no effect. */
+  /** The store is unreachable or rejects all calls; a write had no effect. */
   record Unavailable() implements ObjectApiFailure {}
 
-  /** The answer to a write was lost: it may or may not have taken effect, now or later. */
+  /** The answer to a write was lost; it is unknown whether the write took effect or still will. */
   record OutcomeUnknown() implements ObjectApiFailure {}
 
   /**
-   * The store refused the call for good, or answered with something that can not be read.
+   * The store refused the call permanently, or its answer cannot be read.
    *
    * @param status the HTTP status, 0 if there was none
    */
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectKey.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectKey.java
@@ -9,10 +9,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Names one object of the platform's object API.
+ * The key of one object of the platform's object API.
  *
- * <p>Invariant: both parts are 1 to 253 letters, digits, {@code .}, {@code _} and {@code -}, so
- * that they need no escaping in a path. Immutable.
+ * <p>Invariant: both parts consist of 1 to 253 letters, digits, {@code .}, {@code _} and {@code -},
+ * so that they need no escaping in a path. Immutable.
  *
  * @param collection the collection, never null
  * @param name the name within the collection, never null
@@ -21,24 +21,24 @@
 public record ObjectKey(String collection, String name) {
   private static final Pattern SYNTAX = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,252}");
 
-  /** Checks both parts. */
+  /** Checks the syntax of both parts. */
   public ObjectKey {
     check("collection", collection);
     check("name", name);
   }
 
   /**
-   * Checks one part of a key.
+   * Checks the syntax of one part of a key.
    *
-   * @param what the part, for the message
+   * @param partName the name of the part, for the exception message
    * @param value the text
-   * @throws IllegalArgumentException if the text is not usable as a part of a key
+   * @throws IllegalArgumentException if the text does not have the syntax of a part of a key
    */
-  public static void check(String what, String value) {
+  public static void check(String partName, String value) {
     if (!SYNTAX.matcher(value).matches()) {
       throw new IllegalArgumentException(
           "the object's "
-              + what
+              + partName
               + " is \""
               + value
               + "\": use 1 to 253 letters, digits, . _ and -, beginning with a letter or a digit");
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectPage.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/ObjectPage.java
@@ -11,10 +11,10 @@
 /**
  * One page of a listing, ordered by name.
  *
- * @param items the objects, never null
- * @param unreadable those that can not be read, never null
+ * @param items the readable objects, never null
+ * @param unreadable the unreadable objects, never null
  * @param resourceVersion the version of the store that the page shows; a watch may start from it
- * @param continueToken asks for the next page; empty on the last one, never null
+ * @param continueToken the token for the next page; empty on the last page, never null
  * @since 0.1
  */
 public record ObjectPage(
@@ -23,16 +23,16 @@
     StoreVersion resourceVersion,
     String continueToken) {
 
-  /** A page of which everything can be read. */
+  /** Creates a page without unreadable objects. */
   public ObjectPage(
       ImmutableList<StoredObject> items, StoreVersion resourceVersion, String continueToken) {
     this(items, ImmutableList.of(), resourceVersion, continueToken);
   }
 
   /**
-   * Tells whether this is the last page.
+   * Returns whether this is the last page.
    *
-   * @return true if nothing follows
+   * @return true if no page follows
    */
   public boolean isLast() {
     return continueToken.isEmpty();
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/Reading.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/Reading.java
@@ -7,25 +7,25 @@
 package org.larkkeel.store;
 
 /**
- * The result of reading an entry of the store.
+ * The result of parsing an entry of the store.
  *
- * <p>Immutable and safe for use by several threads.
+ * <p>Immutable and thread-safe.
  *
- * @param <T> what a readable entry says
+ * @param <T> the type of a parsed entry
  * @since 0.1
  */
 public sealed interface Reading<T> {
   /**
-   * It could be read as a whole.
+   * The entry was parsed completely.
    *
-   * @param value what it says, never null
+   * @param value the parsed entry, never null
    */
   record Readable<T>(T value) implements Reading<T> {}
 
   /**
-   * It could not be read, and says nothing.
+   * The entry could not be parsed and has no value.
    *
-   * @param problem the first fault that was found, never null
+   * @param problem the first problem found, never null
    */
   record Unreadable<T>(EntryProblem problem) implements Reading<T> {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/Scheduler.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/Scheduler.java
@@ -10,43 +10,45 @@
 import java.util.concurrent.Executor;
 
 /**
- * Time and a single thread of execution.
+ * A clock and a single-threaded executor of delayed tasks.
  *
  * <p>Contract: tasks run one at a time, never inside the call that submits them, and in the order
- * of their due times; tasks due at the same time run in the order of submission. The stateful
- * classes of this module are confined to it, so they need no locks. Its methods may be called by
- * any thread.
+ * of their due times; tasks with the same due time run in the order of submission. The stateful
+ * classes of this module are confined to a scheduler and need no locks. The methods of a scheduler
+ * may be called from any thread.
  *
  * @since 0.1
  */
 public interface Scheduler extends Executor {
 
   /**
-   * Reads the monotonic clock, which counts the time for which the machine was suspended.
+   * Returns the time of the monotonic clock, which includes the time for which the machine was
+   * suspended.
    *
    * @return nanoseconds from an arbitrary origin
    */
   long nanoTime();
 
   /**
-   * Reads the wall clock, which may jump; used for records, never for safety.
+   * Returns the time of the wall clock, which may jump. It is used for records only; no invariant
+   * may depend on it.
    *
    * @return milliseconds since the epoch
    */
   long wallMillis();
 
   /**
-   * Runs a task later.
+   * Schedules a task.
    *
    * @param delay the delay, not negative
    * @param task the task
-   * @return a handle that cancels the task if it has not begun
+   * @return a handle that cancels the task if it has not started
    */
   Timer schedule(Duration delay, Runnable task);
 
-  /** A task that waits for its time. */
+  /** A scheduled task. */
   interface Timer {
-    /** Cancels the task if it has not begun; otherwise does nothing. */
+    /** Cancels the task if it has not started; otherwise does nothing. */
     void cancel();
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/StoreEra.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/StoreEra.java
@@ -7,15 +7,16 @@
 package org.larkkeel.store;
 
 /**
- * The era of a store, as this process knows it.
+ * The era of a store as last observed by this process.
  *
- * <p>Immutable and safe for use by several threads.
+ * <p>Immutable and thread-safe.
  *
- * @param number as of {@link StoreVersion#era}
- * @param sinceNanos when the process first saw it, by the scheduler's clock
+ * @param number the number of the era, see {@link StoreVersion#era}
+ * @param sinceNanos the scheduler's time at which the process first observed the era, in
+ *     nanoseconds
  * @since 0.1
  */
 public record StoreEra(long number, long sinceNanos) {
-  /** That of a store that never says that it has come back from a copy. */
+  /** The era of a store that does not state its era. */
   public static final StoreEra NONE = new StoreEra(0, 0);
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/StoreVersion.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/StoreVersion.java
@@ -11,17 +11,19 @@
 import java.util.regex.Pattern;
 
 /**
- * A place in the history of a store that may come back from a copy.
+ * A version of a store that may be restored from a backup.
  *
- * <p>Each time that it does, a new era begins: versions go back and are given out again for other
- * states, so that a number means nothing without its era. The order is that of history. Immutable.
+ * <p>Each restore begins a new era: version numbers go back and are assigned again to other states,
+ * so that a number is meaningful only within its era. Versions are ordered by era, then by number.
+ * Immutable.
  *
- * @param era grows each time that the store comes back from a copy; 0 if it never says so
- * @param number grows with each change of an era
+ * @param era the number of the era, which grows with each restore of the store; 0 if the store does
+ *     not state it
+ * @param number the number within the era, which grows with each change
  * @since 0.1
  */
 public record StoreVersion(long era, long number) implements Comparable<StoreVersion> {
-  /** Before all others. */
+  /** The lowest version, which precedes every change. */
   public static final StoreVersion NONE = new StoreVersion(0, 0);
 
   private static final Pattern TEXT = Pattern.compile("([0-9]{1,18})\\.([0-9]{1,18})");
@@ -29,37 +31,39 @@
   private static final Comparator<StoreVersion> ORDER =
       Comparator.comparingLong(StoreVersion::era).thenComparingLong(StoreVersion::number);
 
-  /** Whether it is that before all others. */
+  /** Returns whether this is {@link #NONE}. */
   public boolean isNone() {
     return equals(NONE);
   }
 
-  /** Whether it comes after another. */
+  /** Returns whether this version is later than another. */
   public boolean isAfter(StoreVersion other) {
     return compareTo(other) > 0;
   }
 
-  /** Whether both are of one era, so that their numbers can be compared. */
-  public boolean isOfEraOf(StoreVersion other) {
+  /** Returns whether both versions are of the same era, so that their numbers can be compared. */
+  public boolean isSameEraAs(StoreVersion other) {
     return era == other.era;
   }
 
-  /** The next one of its era. */
+  /** Returns the next version of the same era. */
   public StoreVersion next() {
     return new StoreVersion(era, number + 1);
   }
 
-  /** The later of two. */
+  /** Returns the later of two versions. */
   public static StoreVersion max(StoreVersion a, StoreVersion b) {
     return a.isAfter(b) ? a : b;
   }
 
-  /** The earlier of two. */
+  /** Returns the earlier of two versions. */
   public static StoreVersion min(StoreVersion a, StoreVersion b) {
     return a.isAfter(b) ? b : a;
   }
 
-  /** Reads what {@link #toString} has written; {@link #NONE} if it is nothing of the kind. */
+  /**
+   * Parses the output of {@link #toString}; returns {@link #NONE} if the text has another syntax.
+   */
   public static StoreVersion parse(String text) {
     Matcher m = TEXT.matcher(text);
     return m.matches()
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/StoredObject.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/StoredObject.java
@@ -9,13 +9,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One object as the platform keeps it.
+ * An object as stored by the platform.
  *
- * <p>Immutable by agreement: nobody changes {@code spec} after construction.
+ * <p>Immutable by convention: {@code spec} must not be changed after construction.
  *
- * @param key collection and name, never null
+ * @param key the collection and the name of the object, never null
  * @param kind the kind of object, never null
- * @param resourceVersion the version of its last change, never null
+ * @param resourceVersion the version of the last change of the object, never null
  * @param spec the content, never null
  * @since 0.1
  */
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/UnreadableObject.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/UnreadableObject.java
@@ -7,14 +7,14 @@
 package org.larkkeel.store;
 
 /**
- * An object of the store whose frame (name, version) can not be read.
+ * An object of the store whose metadata (name, version) cannot be read.
  *
- * <p>Immutable and safe for use by several threads.
+ * <p>Immutable and thread-safe.
  *
- * @param name its name, empty if that can not be read, never null
- * @param resourceVersion the version of its last change; where that can not be read, the version of
- *     the answer that told of it
- * @param problem why it can not be read, never null
+ * @param name the name of the object, empty if it cannot be read, never null
+ * @param resourceVersion the version of the last change of the object; if it cannot be read, the
+ *     version of the answer that contained the object
+ * @param problem the reason why the object cannot be read, never null
  * @since 0.1
  */
 public record UnreadableObject(String name, StoreVersion resourceVersion, EntryProblem problem) {}
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/Watch.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/Watch.java
@@ -9,16 +9,17 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A waiting watch. Closing it ends it; no event is delivered afterwards.
+ * An open watch of a collection. After it is closed, no event is delivered.
  *
  * @since 0.1
  */
 public interface Watch extends AutoCloseable {
 
   /**
-   * The end of the watch.
+   * Returns a future for the end of the watch.
    *
-   * @return completes when the watch times out or is closed, fails with {@link ObjectApiException}
+   * @return a future that completes when the watch times out or is closed, and fails with {@link
+   *     ObjectApiException}
    */
   CompletableFuture<Void> ended();
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/WatchEvent.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/WatchEvent.java
@@ -7,14 +7,14 @@
 package org.larkkeel.store;
 
 /**
- * One event of a watch. Events of one object come in order; they may come late.
+ * An event of a watch. Events of one object arrive in order, but may be delayed.
  *
  * @since 0.1
  */
 public sealed interface WatchEvent {
 
   /**
-   * The version up to which the watch has told everything.
+   * Returns the version up to which the watch has delivered all changes.
    *
    * @return a resource version to resume from
    */
@@ -23,7 +23,7 @@
   /**
    * An object was created or changed.
    *
-   * @param object its new state, never null
+   * @param object the new state of the object, never null
    */
   record Changed(StoredObject object) implements WatchEvent {
     @Override
@@ -35,7 +35,7 @@
   /**
    * An object was deleted.
    *
-   * @param object its last state, never null
+   * @param object the last state of the object, never null
    */
   record Deleted(StoredObject object) implements WatchEvent {
     @Override
@@ -45,9 +45,9 @@
   }
 
   /**
-   * An object was created or changed, and can not be read any more.
+   * An object was created or changed, and its new state cannot be read.
    *
-   * @param object what is known of it, never null
+   * @param object the unreadable object, never null
    */
   record Unreadable(UnreadableObject object) implements WatchEvent {
     @Override
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Nothing changed up to a version.
+   * All changes up to a version have been delivered.
    *
    * @param resourceVersion the version to resume from
    */
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/config/AuditEntry.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/config/AuditEntry.java
@@ -10,9 +10,9 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * One accepted change: who, when, what and why. Immutable.
+ * An accepted change with its author, time and reason. Immutable.
  *
- * @param revision the revision that it made, never null
+ * @param revision the revision that the change produced, never null
  * @param change the change, never null
  * @since 0.1
  */
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/config/ConfigReplica.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/config/ConfigReplica.java
@@ -28,17 +28,21 @@
 import org.larkkeel.store.log.Replica;
 
 /**
- * The configuration and its audit trail: what the log adds up to. Pure; not safe for use by several
- * threads.
+ * The configuration and its audit trail, built from the entries of the log. It does no I/O and is
+ * not thread-safe.
  *
  * <p>Invariants: the revision is the number of the last entry applied and never decreases; the same
- * entries make the same configuration on every node. An entry that this version can not read stops
- * the replica at the revision before it, rather than letting it differ from the others.
+ * entries produce the same configuration on every node. If this software version cannot read an
+ * entry, the replica stops at the previous revision, so that it never diverges from the other
+ * nodes.
  *
  * @since 0.1
  */
 public final class ConfigReplica implements Replica {
-  /** Changes kept in the audit trail; older ones are dropped by snapshots. */
+  /**
+   * The maximum number of changes kept in the audit trail, and in snapshots; older ones are
+   * dropped.
+   */
   public static final int MAX_AUDIT_ENTRIES = 20_000;
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -50,10 +54,10 @@
 
   private final Deque<AuditEntry> audit = new ArrayDeque<>();
   private Configuration configuration = Configuration.EMPTY;
-  private Optional<Revision> unreadable = Optional.empty();
+  private Optional<Revision> unreadableRevision = Optional.empty();
 
   /**
-   * The configuration.
+   * Returns the configuration.
    *
    * @return the configuration after the last entry, never null
    */
@@ -62,9 +66,9 @@
   }
 
   /**
-   * The audit trail.
+   * Returns the audit trail.
    *
-   * @param after only changes after this revision
+   * @param after the revision after which changes are returned
    * @return the changes in order
    */
   public ImmutableList<AuditEntry> audit(Revision after) {
@@ -74,39 +78,39 @@
   }
 
   /**
-   * Finds a change.
+   * Finds a change in the audit trail.
    *
-   * @param id its id
-   * @return the entry, empty if it was not accepted or is older than the audit trail
+   * @param id the id of the change
+   * @return the entry, empty if the change was not accepted or is older than the audit trail
    */
   public Optional<AuditEntry> find(ChangeId id) {
     return audit.stream().filter(e -> e.change().id().equals(id)).findFirst();
   }
 
   /**
-   * The entry that stopped the replica.
+   * Returns the revision of the unreadable entry that stopped the replica.
    *
-   * @return its revision, empty if all entries could be read
+   * @return the revision, empty if all entries could be read
    */
-  public Optional<Revision> unreadable() {
-    return unreadable;
+  public Optional<Revision> unreadableRevision() {
+    return unreadableRevision;
   }
 
   @Override
   public void apply(LogEntry e) {
     long expected = configuration.revision().value() + 1;
-    if (unreadable.isPresent() || e.number() < expected) {
+    if (unreadableRevision.isPresent() || e.number() < expected) {
       return;
     }
     if (e.number() > expected) {
       throw new IllegalArgumentException(
-          "the entry's number is " + e.number() + ": expected " + expected);
+          "the log entry's number is " + e.number() + ": expected " + expected);
     }
     Checked<Change> change = readChange(e.records().get(0));
     if (change instanceof Checked.Valid<Change> v) {
       accept(new AuditEntry(new Revision(e.number()), v.value()));
     } else {
-      unreadable = Optional.of(new Revision(e.number()));
+      unreadableRevision = Optional.of(new Revision(e.number()));
     }
   }
 
@@ -142,15 +146,15 @@
     try {
       o = MAPPER.readTree(s.content());
     } catch (IOException ex) {
-      throw new UncheckedIOException("the snapshot of the configuration can not be read", ex);
+      throw new UncheckedIOException("the snapshot of the configuration is not valid JSON", ex);
     }
     Checked<Configuration> read =
         ConfigurationDocument.readAccepted(SOURCE, o.path(DOCUMENT).asText());
     if (!(read instanceof Checked.Valid<Configuration> v)) {
-      unreadable = Optional.of(new Revision(s.through()));
+      unreadableRevision = Optional.of(new Revision(s.through()));
       return;
     }
-    unreadable = Optional.empty();
+    unreadableRevision = Optional.empty();
     configuration = v.value().withRevision(new Revision(s.through()));
     audit.clear();
     o.path(AUDIT).forEach(this::restoreAudit);
