--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/config/ConfigStore.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/config/ConfigStore.java
@@ -32,12 +32,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration on an append-only log. The entry's number is the revision, the log is the audit
- * trail.
+ * The configuration on an append-only log. The number of an entry is the revision; the log is the
+ * audit trail.
  *
  * <p>Invariants: the revision in force on this node never decreases; a change is accepted at most
- * once, however often it is proposed with the same id (within the audit trail); each accepted
- * change was valid on exactly the revision before it. Safe for use by several threads: the state is
+ * once, however often it is proposed with the same id, as long as it is in the audit trail; each
+ * accepted change was validated against exactly the preceding revision. Thread-safe: the state is
  * confined to the scheduler.
  *
  * @since 0.1
@@ -46,11 +46,11 @@
   /** The name of the log. */
   public static final String LOG_NAME = "configlog";
 
-  /** Changes between snapshots. */
+  /** The number of changes between snapshots. */
   public static final int SNAPSHOT_ENTRIES = 64;
 
   private static final Logger LOG = LoggerFactory.getLogger(ConfigStore.class);
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
+  private static final Duration PROPOSE_TIMEOUT = Duration.ofSeconds(10);
 
   private final ObjectLog log;
   private final Scheduler scheduler;
@@ -59,7 +59,7 @@
   private LogFollower follower;
 
   /**
-   * Creates a store that has not begun.
+   * Creates a store that is not started yet.
    *
    * @param log the log named {@link #LOG_NAME}
    * @param scheduler the log's scheduler
@@ -71,16 +71,17 @@
     this.listener = listener;
   }
 
-  /** Begins to follow the log; called once, before anything else. */
+  /** Starts to follow the log; called once, before any other method. */
   public void start() {
-    scheduler.execute(() -> follower = log.follow(0, new Following()));
+    scheduler.execute(() -> follower = log.follow(0, new ReplicaUpdater()));
   }
 
   /**
-   * Proposes a change. Changes of other objects accepted since its base do not stand against it.
+   * Proposes a change. It conflicts only with changes of the same objects that were accepted after
+   * its base revision.
    *
-   * @param change the change, signed by its author
-   * @return the answer; never fails
+   * @param change the change, with its author
+   * @return the result; the future never fails
    */
   public CompletableFuture<ProposeResult> propose(Change change) {
     CompletableFuture<ProposeResult> result = new CompletableFuture<>();
@@ -91,7 +92,7 @@
   /**
    * Lists accepted changes.
    *
-   * @param after only changes after this revision
+   * @param after the revision after which changes are listed
    * @return the changes in order
    */
   public CompletableFuture<ImmutableList<AuditEntry>> audit(Revision after) {
@@ -99,9 +100,9 @@
   }
 
   /**
-   * Saves the state for a peer that can not reach the store.
+   * Returns a snapshot for a peer that cannot reach the store.
    *
-   * @return the state after the revision in force
+   * @return the state at the revision in force
    */
   public CompletableFuture<LogSnapshot> save() {
     return onScheduler(
@@ -109,16 +110,16 @@
   }
 
   /**
-   * Takes a state over from a peer; an older one than that in force changes nothing.
+   * Adopts a peer's snapshot, unless it is older than the state in force.
    *
-   * @param snapshot what {@link #save} returned there
+   * @param snapshot the result of {@link #save} on the peer
    */
   public void offer(LogSnapshot snapshot) {
     scheduler.execute(() -> follower.offer(snapshot));
   }
 
   /**
-   * When the store last answered.
+   * Returns the time of the store's last answer.
    *
    * @return the scheduler's time in nanoseconds
    */
@@ -137,11 +138,13 @@
     return result;
   }
 
-  private void changed(Revision before) {
+  private void notifyIfChanged(Revision before) {
     if (replica.configuration().revision().isAfter(before)) {
       listener.accept(replica.configuration());
     }
-    replica.unreadable().ifPresent(r -> LOG.error("event=configuration-unreadable revision={}", r));
+    replica
+        .unreadableRevision()
+        .ifPresent(r -> LOG.error("event=configuration-unreadable revision={}", r));
   }
 
   private void snapshotIfDue(LogEntry e) {
@@ -155,53 +158,56 @@
     }
   }
 
-  /** Applies what the follower delivers. */
-  private final class Following implements LogFollower.Listener {
+  /** Applies the entries and snapshots of the follower to the replica. */
+  private final class ReplicaUpdater implements LogFollower.Listener {
     @Override
     public void snapshot(LogSnapshot s) {
       Revision before = replica.configuration().revision();
       replica.restore(s);
-      changed(before);
+      notifyIfChanged(before);
     }
 
     @Override
     public void entry(LogEntry e) {
       Revision before = replica.configuration().revision();
       replica.apply(e);
-      changed(before);
+      notifyIfChanged(before);
     }
   }
 
-  /** One change on its way. */
+  /** One proposed change until its result is known. */
   private final class Proposal {
     private final Change change;
     private final CompletableFuture<ProposeResult> result;
     private Problems warnings = Problems.NONE;
-    private ProposeResult ofFailure = new ProposeResult.Unavailable();
-    private final long deadline = scheduler.nanoTime() + PATIENCE.toNanos();
+    private ProposeResult resultOfFailedRead = new ProposeResult.Unavailable();
+    private final long deadlineNanos = scheduler.nanoTime() + PROPOSE_TIMEOUT.toNanos();
 
     Proposal(Change change, CompletableFuture<ProposeResult> result) {
       this.change = change;
       this.result = result;
     }
 
-    /** Reads what was accepted meanwhile, so that the change is judged on the newest revision. */
+    /**
+     * Reads the entries that were accepted since the last read, so that the change is validated
+     * against the newest revision.
+     */
     void refresh() {
       log.read(follower.last())
           .whenComplete(
               (view, failure) -> {
                 if (failure != null) {
-                  result.complete(ofFailure);
+                  result.complete(resultOfFailedRead);
                   return;
                 }
-                ofFailure = new ProposeResult.Unavailable();
+                resultOfFailedRead = new ProposeResult.Unavailable();
                 view.snapshot().ifPresent(follower::offer);
                 view.entries().forEach(follower::offer);
-                judge();
+                evaluate();
               });
     }
 
-    private void judge() {
+    private void evaluate() {
       Optional<AuditEntry> accepted = replica.find(change.id());
       if (accepted.isPresent()) {
         accept(accepted.get().revision());
@@ -217,7 +223,7 @@
             result.complete(new ProposeResult.Invalid(i.problems()));
         case Checked.Valid<Configuration> v -> {
           warnings = v.warnings();
-          append(next(), Prior.NONE);
+          append(nextEntry(), Prior.NONE);
         }
       }
     }
@@ -228,7 +234,7 @@
       return Changes.findConflict(change, changes).flatMap(c -> replica.find(c.id()));
     }
 
-    private LogEntry next() {
+    private LogEntry nextEntry() {
       List<JsonNode> records = List.of(ChangeCodec.toJson(change));
       return LogEntry.records(follower.last() + 1, log.nextAppend(), records);
     }
@@ -244,19 +250,21 @@
           accept(new Revision(e.number()));
           snapshotIfDue(e);
         }
-        case AppendResult.Lost l -> again(new ProposeResult.Unavailable(), this::refresh);
+        case AppendResult.Lost l ->
+            continueUntilDeadline(new ProposeResult.Unavailable(), this::refresh);
         case AppendResult.Forgotten f -> {
-          ofFailure = new ProposeResult.OutcomeUnknown();
-          again(ofFailure, this::refresh);
+          resultOfFailedRead = new ProposeResult.OutcomeUnknown();
+          continueUntilDeadline(resultOfFailedRead, this::refresh);
         }
         case AppendResult.NotAppended n -> result.complete(new ProposeResult.Unavailable());
         case AppendResult.Unresolved u ->
-            again(new ProposeResult.OutcomeUnknown(), () -> append(e, Prior.UNRESOLVED));
+            continueUntilDeadline(
+                new ProposeResult.OutcomeUnknown(), () -> append(e, Prior.UNRESOLVED));
       }
     }
 
-    private void again(ProposeResult afterDeadline, Runnable step) {
-      if (scheduler.nanoTime() - deadline >= 0) {
+    private void continueUntilDeadline(ProposeResult afterDeadline, Runnable step) {
+      if (scheduler.nanoTime() - deadlineNanos >= 0) {
         result.complete(afterDeadline);
       } else {
         step.run();
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/config/ProposeResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/config/ProposeResult.java
@@ -10,37 +10,40 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * The closed list of answers to a proposed change.
+ * The result of a proposed change.
  *
  * @since 0.1
  */
 public sealed interface ProposeResult {
 
   /**
-   * The change is accepted, durably.
+   * The change is accepted and durable.
    *
-   * @param revision the revision that it made
-   * @param warnings what may not be meant, never null
+   * @param revision the revision that the change produced, never null
+   * @param warnings possible mistakes in the change, never null
    */
   record Accepted(Revision revision, Problems warnings) implements ProposeResult {}
 
   /**
-   * Another change of the same objects was accepted after the base.
+   * Another change of the same objects was accepted after the base revision.
    *
-   * @param other the other change, never null
+   * @param other the conflicting change, never null
    */
   record Conflict(AuditEntry other) implements ProposeResult {}
 
   /**
-   * The configuration that would result is not valid.
+   * The resulting configuration would not be valid.
    *
-   * @param problems all that is wrong, never null
+   * @param problems all problems of that configuration, never null
    */
   record Invalid(Problems problems) implements ProposeResult {}
 
-  /** The store can not be reached: the change is not accepted and never will be. */
+  /** The store is unreachable; the change is not accepted and will not be accepted later. */
   record Unavailable() implements ProposeResult {}
 
-  /** The answer was lost: look for the change's id in the audit trail, or propose it again. */
+  /**
+   * The store's answer was lost. Look for the change's id in the audit trail, or propose the change
+   * again.
+   */
   record OutcomeUnknown() implements ProposeResult {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/config/package-info.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/config/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration on the append-only log: one revision, one audit trail. */
+/** The configuration on an append-only log, which defines its revisions and its audit trail. */
 package org.larkkeel.store.config;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/Lease.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/Lease.java
@@ -24,30 +24,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A lease over one object with conditional updates.
+ * A lease on one stored object with conditional updates.
  *
- * <p>No clocks are compared. The holder counts its time from before it sent the write that was
- * granted; others take over only after the object has not changed for the duration, and a margin,
- * of their own monotonic time. Invariants: the fencing number grows with each take-over; while
- * clocks run at rates that differ by less than the margin, two processes do not hold the lease at
- * once. A process that is paused may still act after its lease has lapsed: what it does must carry
- * the fencing number. A store that comes back from a copy may have lost the lease, or bring an
- * older one back: in each era the lease is taken only after a duration in which the holder of
- * before must have lost it, by a number that is greater than all of earlier eras. Confined to the
- * scheduler, but for its public methods.
+ * <p>Clocks of different processes are never compared. The holder measures the term from before it
+ * sent the write that was granted; other processes take over only after the object has not changed
+ * for the duration plus a margin, by their own monotonic clocks.
+ *
+ * <p>Invariants: the fencing number grows with each takeover; while the rates of the clocks differ
+ * by less than the margin, two processes do not hold the lease at once. A paused process may still
+ * act after its lease has expired, so every action under the lease must carry the fencing number.
+ *
+ * <p>A store that is restored from a backup may have lost the lease, or contain an older one. In
+ * each era the lease is therefore acquired only after a time in which any earlier holder must have
+ * lost it, with a fencing number greater than all those of earlier eras.
+ *
+ * <p>Confined to the scheduler, except the public methods, which any thread may call.
  *
  * @since 0.1
  */
 public final class Lease implements AutoCloseable {
-  /** The collection of the leases. */
+  /** The name of the collection of leases. */
   public static final String COLLECTION = "leases";
 
   private static final Logger LOG = LoggerFactory.getLogger(Lease.class);
+
+  /** The number of reads of the object per lease duration. */
   private static final int STEPS_PER_DURATION = 4;
+
+  /** The takeover margin is the lease duration divided by this number. */
   private static final int MARGIN_DIVISOR = 10;
 
-  /** More take-overs than an era can have. */
-  private static final long NUMBERS_PER_ERA = 1_000_000;
+  /** The size of the range of fencing numbers of an era, larger than its number of takeovers. */
+  private static final long FENCING_NUMBERS_PER_ERA = 1_000_000;
 
   private final ObjectApi api;
   private final ObjectKey key;
@@ -58,26 +66,29 @@
   private volatile Optional<Tenure> tenure = Optional.empty();
   private StoreVersion observedVersion = StoreVersion.NONE;
   private long era;
-  private long observedAt;
-  private long writes;
-  private Optional<Attempt> unresolved = Optional.empty();
-  private boolean seeking;
-  private boolean running;
+  private long observedAtNanos;
+  private long writeCount;
+  private Optional<WriteAttempt> unresolved = Optional.empty();
+
+  /** True while this process tries to acquire or renew the lease. */
+  private boolean wanted;
+
+  private boolean polling;
   private boolean writing;
   private boolean closed;
-  private Optional<LeaseRecord> last = Optional.empty();
+  private Optional<LeaseRecord> lastGranted = Optional.empty();
 
-  private record Attempt(LeaseRecord record, long sentAt) {}
+  private record WriteAttempt(LeaseRecord record, long sentAtNanos) {}
 
   /**
-   * Creates a lease that is not sought yet.
+   * Creates a lease that this process does not try to acquire yet.
    *
    * @param api the object API
-   * @param name names the lease
-   * @param self this process
+   * @param name the name of the lease
+   * @param self the id of this process
    * @param scheduler the API's scheduler
    * @param random the source of jitter
-   * @param duration how long it lasts without renewal
+   * @param duration the time for which the lease is held without renewal
    */
   public Lease(
       ObjectApi api,
@@ -94,34 +105,34 @@
     this.duration = duration;
   }
 
-  /** Seeks the lease, and renews it while held, until released or closed. */
+  /** Tries to acquire the lease, and renews it while held, until released or closed. */
   public void start() {
-    scheduler.execute(this::seek);
+    scheduler.execute(this::startAcquiring);
   }
 
-  private void seek() {
+  private void startAcquiring() {
     if (closed) {
       return;
     }
-    seeking = true;
-    if (!running) {
-      running = true;
+    wanted = true;
+    if (!polling) {
+      polling = true;
       read();
     }
   }
 
   /**
-   * Seeks and renews no more, and marks the lease as released so that another takes it over at
-   * once; if that write fails, the lease lapses. What was begun under the lease must still carry
-   * its number.
+   * Stops acquiring and renewing the lease, and marks it as released so that another process can
+   * take it over at once. If that write fails, the lease expires. Actions that were started under
+   * the lease must still carry its fencing number.
    */
   public void release() {
-    scheduler.execute(this::handOver);
+    scheduler.execute(this::stopAcquiring);
   }
 
-  private void handOver() {
+  private void stopAcquiring() {
     boolean held = tenure().isPresent();
-    seeking = false;
+    wanted = false;
     tenure = Optional.empty();
     if (held && !writing) {
       markReleased(observedVersion);
@@ -129,23 +140,23 @@
   }
 
   private void markReleased(StoreVersion version) {
-    LeaseRecord held = last.orElseThrow();
-    writes++;
-    LeaseRecord r = new LeaseRecord(self, held.fencing(), new AppendId(self, writes), true);
+    LeaseRecord held = lastGranted.orElseThrow();
+    writeCount++;
+    LeaseRecord r = new LeaseRecord(self, held.fencing(), new AppendId(self, writeCount), true);
     LOG.info("event=lease-released lease={} fencing={}", key.name(), r.fencing());
     var unused = api.update(key, LeaseRecord.KIND, r.toSpec(), version);
   }
 
   /**
-   * The time for which the lease is held.
+   * Returns the current lease term.
    *
-   * @return the tenure, empty if the lease is not held now
+   * @return the term, empty if the lease is not held now
    */
   public Optional<Tenure> tenure() {
     return tenure.filter(t -> t.isHeld(scheduler.nanoTime()));
   }
 
-  /** Releases the lease for good. */
+  /** Releases the lease permanently. */
   @Override
   public void close() {
     release();
@@ -153,26 +164,26 @@
   }
 
   private void read() {
-    if (!seeking) {
-      running = false;
+    if (!wanted) {
+      polling = false;
       return;
     }
     api.get(key)
         .whenComplete(
             (object, failure) -> {
-              followEra();
+              resetOnNewEra();
               if (failure == null) {
                 observed(object);
-              } else if (isNotFound(failure) && isSettled()) {
-                write(Optional.empty(), first());
+              } else if (isNotFound(failure) && isEarlierEraExpired()) {
+                write(Optional.empty(), firstOfEra());
               } else {
-                again();
+                scheduleRead();
               }
             });
   }
 
-  /** What was held, or may have been written, in another era is held no more. */
-  private void followEra() {
+  /** Discards the term and any unresolved write of an earlier era when a new era begins. */
+  private void resetOnNewEra() {
     if (era != api.era().number()) {
       era = api.era().number();
       tenure = Optional.empty();
@@ -180,22 +191,22 @@
     }
   }
 
-  /** Whether a holder of the era before has lost the lease by now. */
-  private boolean isSettled() {
+  /** Returns whether any holder of an earlier era must have lost the lease by now. */
+  private boolean isEarlierEraExpired() {
     StoreEra now = api.era();
-    return now.number() == 0 || scheduler.nanoTime() - now.sinceNanos() >= patience();
+    return now.number() == 0 || scheduler.nanoTime() - now.sinceNanos() >= takeoverDelayNanos();
   }
 
-  private FencingNumber first() {
-    return new FencingNumber(era * NUMBERS_PER_ERA + 1);
+  private FencingNumber firstOfEra() {
+    return new FencingNumber(era * FENCING_NUMBERS_PER_ERA + 1);
   }
 
-  private FencingNumber after(FencingNumber before) {
-    return new FencingNumber(Math.max(before.value() + 1, first().value()));
+  private FencingNumber nextAfter(FencingNumber before) {
+    return new FencingNumber(Math.max(before.value() + 1, firstOfEra().value()));
   }
 
   private boolean isOfEra(FencingNumber number) {
-    return number.value() >= first().value();
+    return number.value() >= firstOfEra().value();
   }
 
   private void observed(StoredObject o) {
@@ -203,69 +214,70 @@
     long now = scheduler.nanoTime();
     if (!o.resourceVersion().equals(observedVersion)) {
       observedVersion = o.resourceVersion();
-      observedAt = now;
+      observedAtNanos = now;
     }
     if (!r.holder().equals(self)) {
       tenure = Optional.empty();
     }
     unresolved.filter(a -> a.record.equals(r)).ifPresent(a -> granted(a, o));
     unresolved = Optional.empty();
-    if (!isSettled()) {
-      again();
+    if (!isEarlierEraExpired()) {
+      scheduleRead();
     } else if (r.holder().equals(self) && !r.released() && isOfEra(r.fencing())) {
       write(Optional.of(o), r.fencing());
-    } else if (r.released() || now - observedAt >= patience()) {
-      write(Optional.of(o), after(r.fencing()));
+    } else if (r.released() || now - observedAtNanos >= takeoverDelayNanos()) {
+      write(Optional.of(o), nextAfter(r.fencing()));
     } else {
-      again();
+      scheduleRead();
     }
   }
 
-  private long patience() {
+  private long takeoverDelayNanos() {
     return duration.toNanos() + duration.toNanos() / MARGIN_DIVISOR;
   }
 
   private void write(Optional<StoredObject> old, FencingNumber fencing) {
-    if (!seeking) {
-      running = false;
+    if (!wanted) {
+      polling = false;
       return;
     }
-    writes++;
+    writeCount++;
     writing = true;
-    LeaseRecord r = new LeaseRecord(self, fencing, new AppendId(self, writes), false);
-    Attempt a = new Attempt(r, scheduler.nanoTime());
+    LeaseRecord r = new LeaseRecord(self, fencing, new AppendId(self, writeCount), false);
+    WriteAttempt a = new WriteAttempt(r, scheduler.nanoTime());
     old.map(o -> api.update(key, LeaseRecord.KIND, r.toSpec(), o.resourceVersion()))
         .orElseGet(() -> api.create(key, LeaseRecord.KIND, r.toSpec()))
         .whenComplete((o, failure) -> written(a, o, failure));
   }
 
-  private void written(Attempt a, StoredObject o, Throwable failure) {
+  private void written(WriteAttempt a, StoredObject o, Throwable failure) {
     writing = false;
     if (failure == null) {
       granted(a, o);
     } else if (isUnknown(failure)) {
       unresolved = Optional.of(a);
     }
-    again();
+    scheduleRead();
   }
 
-  private void granted(Attempt a, StoredObject o) {
-    last = Optional.of(a.record);
-    if (!seeking) {
+  private void granted(WriteAttempt a, StoredObject o) {
+    lastGranted = Optional.of(a.record);
+    if (!wanted) {
       markReleased(o.resourceVersion());
       return;
     }
     observedVersion = o.resourceVersion();
-    observedAt = scheduler.nanoTime();
+    observedAtNanos = scheduler.nanoTime();
     FencingNumber f = a.record.fencing();
-    long since = tenure.filter(t -> t.fencing().equals(f)).map(Tenure::since).orElse(a.sentAt);
+    long sinceNanos =
+        tenure.filter(t -> t.fencing().equals(f)).map(Tenure::sinceNanos).orElse(a.sentAtNanos);
     if (tenure.isEmpty() || !tenure.get().fencing().equals(f)) {
       LOG.info("event=lease-held lease={} fencing={}", key.name(), f);
     }
-    tenure = Optional.of(new Tenure(f, since, a.sentAt + duration.toNanos()));
+    tenure = Optional.of(new Tenure(f, sinceNanos, a.sentAtNanos + duration.toNanos()));
   }
 
-  private void again() {
+  private void scheduleRead() {
     long step = duration.toNanos() / STEPS_PER_DURATION;
     long jitter = random.nextLong(step / STEPS_PER_DURATION + 1);
     scheduler.schedule(Duration.ofNanos(step - jitter), this::read);
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/LeaseRecord.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/LeaseRecord.java
@@ -13,11 +13,13 @@
 import org.larkkeel.store.log.WriterId;
 
 /**
- * A lease as the store keeps it. Immutable.
+ * A lease as stored. Immutable.
  *
- * @param holder who has it, never null
- * @param fencing grows by one with each take-over, never null
- * @param write names the write, so that its writer knows it again after a lost answer
+ * @param holder the process that acquired the lease, never null
+ * @param fencing the fencing number, which grows with each takeover, never null
+ * @param write the id of the write, by which its writer recognizes it after a lost answer, never
+ *     null
+ * @param released true if the holder has released the lease
  */
 record LeaseRecord(WriterId holder, FencingNumber fencing, AppendId write, boolean released) {
   static final String KIND = "Lease";
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/Tenure.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/Tenure.java
@@ -11,18 +11,19 @@
 /**
  * The time for which this process surely holds a lease. Immutable.
  *
- * @param fencing the number to put on all that is done under the lease, never null
- * @param since when the write that took it over was sent, in the scheduler's nanoseconds
- * @param until when it may lapse, in the scheduler's nanoseconds
+ * @param fencing the fencing number that every action under the lease must carry, never null
+ * @param sinceNanos the scheduler's time at which the write that acquired the lease was sent, in
+ *     nanoseconds
+ * @param until the scheduler's time from which the lease may have expired, in nanoseconds
  * @since 0.1
  */
-public record Tenure(FencingNumber fencing, long since, long until) {
+public record Tenure(FencingNumber fencing, long sinceNanos, long until) {
 
   /**
-   * Tells whether the lease is held.
+   * Returns whether the lease is held.
    *
-   * @param now the time in nanoseconds
-   * @return true before the end
+   * @param now the scheduler's time in nanoseconds
+   * @return true before the end of the term
    */
   public boolean isHeld(long now) {
     return now - until < 0;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/AdapterName.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/AdapterName.java
@@ -15,7 +15,7 @@
  * @since 0.1
  */
 public record AdapterName(String value) {
-  /** Checks the name. */
+  /** Checks the syntax of the name. */
   public AdapterName {
     Names.check("an adapter", value);
   }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/DeclaredShape.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/DeclaredShape.java
@@ -16,34 +16,35 @@
 import org.larkkeel.lib.Names;
 
 /**
- * Reads from the configuration what an engine should do: its models from {@code models}, and role,
- * version and adapter from labels.
+ * Derives the declared shape of an engine from the configuration: the models from {@code models},
+ * and role, version and adapter from labels.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Stateless and thread-safe.
  *
  * @since 0.1
  */
 public final class DeclaredShape {
-  /** The label that names the role, {@code prefill} or {@code decode}. */
+  /** The label for the role, {@code prefill} or {@code decode}. */
   public static final String ROLE_LABEL = "role";
 
-  /** The label that names the version of all models of the engine. */
+  /** The label for the version of all models of the engine. */
   public static final String VERSION_LABEL = "version";
 
-  /** The label that names an adapter that the engine has to have. */
+  /** The label for an adapter that the engine must have. */
   public static final String ADAPTER_LABEL = "adapter";
 
   private DeclaredShape() {}
 
   /**
-   * Tells what an engine should do. What no label names stays as it is.
+   * Returns the declared shape of an engine. A role without a label is that of the current shape;
+   * versions and adapters without a label are not constrained.
    *
    * @param upstream the engine
-   * @param is what it does, empty if unknown
-   * @return what it should do; empty if it is no engine, is leaving, or has a role that neither a
-   *     label nor itself tells
+   * @param current the current shape of the engine, empty if unknown
+   * @return the declared shape; empty if the upstream is no engine, is leaving, or has neither a
+   *     role label nor a known role
    */
-  public static Optional<EngineShape> of(Upstream upstream, Optional<EngineShape> is) {
+  public static Optional<EngineShape> of(Upstream upstream, Optional<EngineShape> current) {
     if (upstream.models().isEmpty() || upstream.isLeaving()) {
       return Optional.empty();
     }
@@ -54,7 +55,7 @@
     return labels
         .get(ROLE_LABEL)
         .flatMap(DeclaredShape::role)
-        .or(() -> is.map(EngineShape::role))
+        .or(() -> current.map(EngineShape::role))
         .map(
             role ->
                 new EngineShape(
@@ -67,10 +68,10 @@
   }
 
   /**
-   * Reads a role of an engine.
+   * Parses the role of an engine.
    *
-   * @param word the word of labels and of the engine protocol
-   * @return the role, empty if it is not one of an engine
+   * @param word the role as written in labels and in the engine protocol
+   * @return the role, empty if it is not a role of an engine
    */
   public static Optional<Role> role(String word) {
     return switch (word) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/EnginePort.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/EnginePort.java
@@ -13,16 +13,16 @@
 import org.larkkeel.lib.FencingNumber;
 
 /**
- * The calls about orders to engines. Safe for use by several threads.
+ * The calls to engines that read their shape and send orders. Thread-safe.
  *
  * @since 0.1
  */
 public interface EnginePort {
   /**
-   * Asks an engine what is in force.
+   * Reads the current shape of an engine.
    *
    * @param upstream the engine
-   * @return what it says, or a failure of any kind
+   * @return the engine's report; the future may fail with any exception
    */
   CompletableFuture<EngineReport> read(Upstream upstream);
 
@@ -30,16 +30,17 @@
    * Sends an order, at most once.
    *
    * @param upstream the engine
-   * @param fencing the number to send with it
+   * @param fencing the fencing number to send with the order
    * @param order the order
-   * @param allowed asked immediately before the first byte; if false nothing is sent
-   * @param timeout how long to wait for the answer
-   * @return what became of it; never fails
+   * @param isAllowed checked immediately before the first byte is written; if false, nothing is
+   *     sent
+   * @param timeout the maximum wait for the answer
+   * @return the result; the future never fails
    */
   CompletableFuture<OrderResult> order(
       Upstream upstream,
       FencingNumber fencing,
       Order order,
-      BooleanSupplier allowed,
+      BooleanSupplier isAllowed,
       Duration timeout);
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/EngineReport.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/EngineReport.java
@@ -9,10 +9,11 @@
 import org.larkkeel.lib.FencingNumber;
 
 /**
- * What an engine said is in force. Immutable.
+ * The state that an engine reported. Immutable.
  *
- * @param shape what it does, never null
- * @param fencing the number of the last order that it took, 0 before the first
+ * @param shape the shape of the engine, never null
+ * @param fencing the fencing number of the last order that the engine accepted, 0 before the first,
+ *     never null
  * @since 0.1
  */
 public record EngineReport(EngineShape shape, FencingNumber fencing) {}
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/EngineShape.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/EngineShape.java
@@ -13,12 +13,12 @@
 import org.larkkeel.lib.ModelName;
 
 /**
- * What an engine does, or should do. Immutable.
+ * The role, models and adapters of an engine, either reported or declared. Immutable.
  *
- * @param role its role, never null
- * @param models the models that it serves, never null
- * @param versions the versions of those models whose version is known or asked for, never null
- * @param adapters the adapters that it has at least, never null
+ * @param role the role of the engine, never null
+ * @param models the models that the engine serves, never null
+ * @param versions the versions of those models whose version is known or declared, never null
+ * @param adapters the adapters that the engine has, possibly among others, never null
  * @since 0.1
  */
 public record EngineShape(
@@ -27,9 +27,9 @@
     ImmutableMap<ModelName, String> versions,
     ImmutableSet<AdapterName> adapters) {
   /**
-   * A shape without versions and adapters.
+   * Creates a shape without versions and adapters.
    *
-   * @param role its role, never null
+   * @param role the role of the engine, never null
    * @param models the models, never null
    */
   public EngineShape(Role role, ImmutableSet<ModelName> models) {
@@ -37,24 +37,24 @@
   }
 
   /**
-   * Tells whether an engine of this shape needs no order. Adapters beyond those asked for may stay,
-   * for no order takes one away.
+   * Returns whether an engine of this shape needs no order. Additional adapters may stay, since no
+   * order removes one.
    *
-   * @param wanted the shape asked for
-   * @return true if it does what is asked for
+   * @param required the required shape
+   * @return true if this shape conforms to the required one
    */
-  public boolean satisfies(EngineShape wanted) {
-    return role == wanted.role
-        && models.equals(wanted.models)
-        && models.stream().allMatch(m -> version(m).satisfies(wanted.version(m)))
-        && adapters.containsAll(wanted.adapters);
+  public boolean satisfies(EngineShape required) {
+    return role == required.role
+        && models.equals(required.models)
+        && models.stream().allMatch(m -> version(m).satisfies(required.version(m)))
+        && adapters.containsAll(required.adapters);
   }
 
   /**
-   * A model with its version.
+   * Returns a model with its version.
    *
    * @param model the model
-   * @return the model, with {@link ModelVersion#ANY} if no version is known or asked for
+   * @return the model, with {@link ModelVersion#ANY} if no version is known or declared
    */
   public ModelVersion version(ModelName model) {
     return new ModelVersion(
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/EngineView.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/EngineView.java
@@ -13,27 +13,30 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * All that the planner knows of one engine. Immutable.
+ * The state of one engine as input of the planner. Immutable.
  *
- * @param upstream its name, never null
- * @param fencing whether it refuses old fencing numbers, by the operator's word
- * @param declared what it should do; empty if it is not in a pool, or leaving: then it gets no
- *     orders
- * @param readBack what it last said that it does; empty if unknown
- * @param readFencing the number of the last order that it took, by what it said; 0 if unknown
- * @param readSentAt when that was asked, in nanoseconds
- * @param live whether it answers, and takes work
- * @param inProgress whether an order to it is in progress
- * @param pulled weights that are there
+ * @param upstream the name of the engine, never null
+ * @param fencing whether the engine refuses stale fencing numbers, as configured by the operator,
+ *     never null
+ * @param declared the declared shape; empty if the engine is not in a pool or is leaving, in which
+ *     case it gets no orders
+ * @param reported the last reported shape; empty if unknown
+ * @param reportedFencing the fencing number of the last order that the engine reported as accepted;
+ *     0 if unknown
+ * @param readSentAtNanos the scheduler's time at which the read of the report was sent, in
+ *     nanoseconds
+ * @param live true if the engine answers and accepts work
+ * @param inProgress true if an order or a transfer of weights to the engine is in progress
+ * @param pulled the weights that have been transferred to the engine, never null
  * @since 0.1
  */
 public record EngineView(
     UpstreamName upstream,
     FencingSupport fencing,
     Optional<EngineShape> declared,
-    Optional<EngineShape> readBack,
-    FencingNumber readFencing,
-    long readSentAt,
+    Optional<EngineShape> reported,
+    FencingNumber reportedFencing,
+    long readSentAtNanos,
     boolean live,
     boolean inProgress,
     ImmutableSet<ModelVersion> pulled) {}
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/ModelVersion.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/ModelVersion.java
@@ -9,20 +9,20 @@
 import org.larkkeel.lib.ModelName;
 
 /**
- * A model in one version. Immutable.
+ * A model with a version. Immutable.
  *
  * @param model the model, never null
- * @param version the version, empty for whichever there is
+ * @param version the version, empty for any version, never null
  * @since 0.1
  */
 public record ModelVersion(ModelName model, String version) {
-  /** The version of a model whose version nobody names. */
+  /** The version of a model whose version is unspecified. */
   public static final String ANY = "";
 
   private static final char SEPARATOR = '@';
 
   /**
-   * Reads {@code name} or {@code name@version}.
+   * Parses {@code name} or {@code name@version}.
    *
    * @param text the text
    * @return the model and its version
@@ -36,14 +36,14 @@
   }
 
   /**
-   * Tells whether this is what another one asks for.
+   * Returns whether this conforms to a required model and version.
    *
-   * @param wanted the model and version asked for
-   * @return true if the models are the same, and the versions if one is asked for
+   * @param required the required model and version
+   * @return true if the models are equal, and the required version is {@link #ANY} or equal
    */
-  public boolean satisfies(ModelVersion wanted) {
-    return model.equals(wanted.model)
-        && (wanted.version.equals(ANY) || wanted.version.equals(version));
+  public boolean satisfies(ModelVersion required) {
+    return model.equals(required.model)
+        && (required.version.equals(ANY) || required.version.equals(version));
   }
 
   @Override
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/Order.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/Order.java
@@ -10,20 +10,20 @@
 import org.larkkeel.lib.ModelName;
 
 /**
- * One order to an engine.
+ * An order to an engine.
  *
  * @since 0.1
  */
 public sealed interface Order {
 
   /**
-   * Serve a model in a version, in place of any other version of it.
+   * Loads a model in a version, in place of any other version of the model.
    *
    * @param model the model and its version, never null
    */
   record LoadModel(ModelVersion model) implements Order {
     /**
-     * An order for whichever version there is.
+     * Creates an order for any version.
      *
      * @param model the model, never null
      */
@@ -33,21 +33,21 @@
   }
 
   /**
-   * Serve a model no more.
+   * Unloads a model.
    *
    * @param model the model, never null
    */
   record UnloadModel(ModelName model) implements Order {}
 
   /**
-   * Have an adapter.
+   * Loads an adapter.
    *
    * @param adapter the adapter, never null
    */
   record LoadAdapter(AdapterName adapter) implements Order {}
 
   /**
-   * Change the role.
+   * Changes the role of the engine.
    *
    * @param role the new role, never null
    */
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderController.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderController.java
@@ -23,13 +23,13 @@
 import org.larkkeel.store.lease.Tenure;
 
 /**
- * Orders engines to do what the configuration declares, while this process holds the lease.
+ * Sends the orders that bring engines to their declared shape, while this process holds the lease.
  *
- * <p>Invariants: an order is sent only if the lease that it was planned under is held when its
- * first byte is written, by monotonic time from before the lease was asked for. An order whose
- * outcome is unknown counts as in progress until the longest pause is over. What engines said under
- * an earlier lease is not used. Confined to the scheduler, but for {@link #start}, {@link #release}
- * and {@link #close}.
+ * <p>Invariants: an order is sent only if the lease term under which it was planned is still held
+ * when its first byte is written, by monotonic time measured from before the lease was requested.
+ * An order whose outcome is unknown counts as in progress until the longest pause is over. Reports
+ * that engines gave under an earlier lease term are not used. Confined to the scheduler, except
+ * {@link #start}, {@link #release} and {@link #close}.
  *
  * @since 0.1
  */
@@ -37,31 +37,31 @@
   /** The name of the lease. */
   public static final String LEASE = "orders";
 
-  /** How many hosts seek the lease. */
+  /** The number of hosts that try to acquire the lease. */
   public static final int CANDIDATES = 3;
 
   private static final Duration PERIOD = Duration.ofSeconds(1);
   private static final Duration READ_INTERVAL = Duration.ofSeconds(30);
   private static final int READS_PER_PERIOD = 32;
 
-  private final Parts parts;
+  private final Parts dependencies;
   private final OrderLimits limits;
   private final OrderPlanner planner;
-  private final Map<UpstreamName, EngineRecord> engines = new HashMap<>();
+  private final Map<UpstreamName, EngineTracker> engines = new HashMap<>();
   private Optional<FencingNumber> fencing = Optional.empty();
-  private long pullsPausedUntil;
+  private long pullsPausedUntilNanos;
   private volatile boolean closed;
 
   /**
-   * What the controller works with.
+   * The collaborators of the controller.
    *
    * @param lease the lease, not started
    * @param scheduler the lease's scheduler
    * @param engines the calls to engines
    * @param weights the weight store
    * @param configuration the configuration in force
-   * @param candidate whether this host is one of those that seek the lease
-   * @param listener hears what became of orders
+   * @param candidate returns whether this host is one of those that try to acquire the lease
+   * @param listener receives the results of orders and pulls
    */
   public record Parts(
       Lease lease,
@@ -73,27 +73,27 @@
       OrderListener listener) {}
 
   /**
-   * Creates a controller that does nothing yet.
+   * Creates a controller that is not started yet.
    *
-   * @param parts what it works with
-   * @param limits bounds
+   * @param dependencies the collaborators
+   * @param limits the time limits and the number of concurrent pulls
    */
-  public OrderController(Parts parts, OrderLimits limits) {
-    this.parts = parts;
+  public OrderController(Parts dependencies, OrderLimits limits) {
+    this.dependencies = dependencies;
     this.limits = limits;
     this.planner = new OrderPlanner(limits);
-    this.pullsPausedUntil = parts.scheduler().nanoTime();
+    this.pullsPausedUntilNanos = dependencies.scheduler().nanoTime();
   }
 
-  /** Begins. */
+  /** Starts the periodic planning. */
   public void start() {
-    parts.scheduler().execute(this::run);
+    dependencies.scheduler().execute(this::runPeriod);
   }
 
-  /** Hands the lease over and sends nothing more. */
+  /** Releases the lease and sends no further orders. */
   public void release() {
     closed = true;
-    parts.lease().close();
+    dependencies.lease().close();
   }
 
   @Override
@@ -101,32 +101,32 @@
     release();
   }
 
-  private void run() {
+  private void runPeriod() {
     if (closed) {
       return;
     }
-    if (parts.candidate().getAsBoolean()) {
-      parts.lease().start();
+    if (dependencies.candidate().getAsBoolean()) {
+      dependencies.lease().start();
     } else {
-      parts.lease().release();
+      dependencies.lease().release();
     }
-    step();
-    parts.scheduler().schedule(PERIOD, this::run);
+    reconcile();
+    dependencies.scheduler().schedule(PERIOD, this::runPeriod);
   }
 
-  private void step() {
-    Optional<Tenure> tenure = parts.lease().tenure();
-    Optional<FencingNumber> number = tenure.map(Tenure::fencing);
+  private void reconcile() {
+    Optional<Tenure> term = dependencies.lease().tenure();
+    Optional<FencingNumber> number = term.map(Tenure::fencing);
     if (!number.equals(fencing)) {
       fencing = number;
-      engines.values().forEach(EngineRecord::forget);
+      engines.values().forEach(EngineTracker::discardReport);
     }
-    if (tenure.isEmpty()) {
+    if (term.isEmpty()) {
       return;
     }
-    Configuration configuration = parts.configuration().get();
+    Configuration configuration = dependencies.configuration().get();
     engines.keySet().retainAll(configuration.upstreams().keySet());
-    refresh(configuration);
+    readOutdated(configuration);
     long now = now();
     ImmutableList<EngineView> views =
         configuration.upstreams().values().stream()
@@ -134,35 +134,35 @@
             .map(u -> engine(u.name()).view(u, now))
             .collect(ImmutableList.toImmutableList());
     planner
-        .plan(now, tenure, views, pullsInProgress(now))
-        .forEach(s -> begin(s, configuration.upstreams().get(s.upstream())));
+        .plan(now, term, views, pullsInProgress(now))
+        .forEach(s -> execute(s, configuration.upstreams().get(s.upstream())));
   }
 
-  private EngineRecord engine(UpstreamName name) {
-    return engines.computeIfAbsent(name, n -> new EngineRecord(now()));
+  private EngineTracker engine(UpstreamName name) {
+    return engines.computeIfAbsent(name, n -> new EngineTracker(now()));
   }
 
-  private void refresh(Configuration configuration) {
+  private void readOutdated(Configuration configuration) {
     long now = now();
     configuration.upstreams().values().stream()
         .filter(u -> !u.models().isEmpty())
-        .filter(u -> engine(u.name()).wantsRead(now, READ_INTERVAL.toNanos()))
-        .sorted(Comparator.comparingLong(u -> engine(u.name()).readSentAt() - now))
+        .filter(u -> engine(u.name()).needsRead(now, READ_INTERVAL.toNanos()))
+        .sorted(Comparator.comparingLong(u -> engine(u.name()).readSentAtNanos() - now))
         .limit(READS_PER_PERIOD)
         .forEach(this::read);
   }
 
   private int pullsInProgress(long now) {
-    if (now - pullsPausedUntil < 0) {
+    if (now - pullsPausedUntilNanos < 0) {
       return limits.maxPulls();
     }
     return (int) engines.values().stream().mapToLong(e -> e.pullsInProgress(now)).sum();
   }
 
-  private void begin(OrderStep step, Upstream upstream) {
+  private void execute(OrderStep step, Upstream upstream) {
     switch (step) {
       case OrderStep.ReadBack r -> {
-        if (engine(r.upstream()).wantsRead(now(), 0)) {
+        if (engine(r.upstream()).needsRead(now(), 0)) {
           read(upstream);
         }
       }
@@ -172,78 +172,79 @@
   }
 
   private void read(Upstream upstream) {
-    EngineRecord e = engine(upstream.name());
-    Optional<FencingNumber> under = fencing;
-    long sentAt = now();
-    e.readBegins();
-    parts
+    EngineTracker e = engine(upstream.name());
+    Optional<FencingNumber> termFencing = fencing;
+    long sentAtNanos = now();
+    e.readStarted();
+    dependencies
         .engines()
         .read(upstream)
         .whenCompleteAsync(
             (report, failure) ->
-                e.readEnded(Optional.ofNullable(report), sentAt, under.equals(fencing)),
-            parts.scheduler());
+                e.readEnded(Optional.ofNullable(report), sentAtNanos, termFencing.equals(fencing)),
+            dependencies.scheduler());
   }
 
   private void send(Upstream upstream, OrderStep.Send step) {
     if (!isAllowed(step.fencing())) {
       return;
     }
-    EngineRecord e = engine(upstream.name());
-    long until = now() + limits.longestPause().toNanos();
-    e.orderBegins();
-    parts
+    EngineTracker e = engine(upstream.name());
+    long maxPauseEnd = now() + limits.maxPause().toNanos();
+    e.orderStarted();
+    dependencies
         .engines()
         .order(
             upstream,
             step.fencing(),
             step.order(),
             () -> isAllowed(step.fencing()),
-            limits.longestPause())
+            limits.maxPause())
         .whenCompleteAsync(
             (result, failure) -> {
               OrderResult r = failure == null ? result : OrderResult.UNKNOWN;
-              e.orderEnded(r, now(), until);
-              parts.listener().ordered(upstream.name(), step.order(), step.fencing(), r);
+              e.orderEnded(r, now(), maxPauseEnd);
+              dependencies.listener().ordered(upstream.name(), step.order(), step.fencing(), r);
             },
-            parts.scheduler());
+            dependencies.scheduler());
   }
 
-  /** Whether an order may leave now. Called by any thread. */
+  /** Returns whether an order may be sent now. Called from any thread. */
   private boolean isAllowed(FencingNumber number) {
-    return !closed && parts.lease().tenure().filter(t -> t.fencing().equals(number)).isPresent();
+    return !closed
+        && dependencies.lease().tenure().filter(t -> t.fencing().equals(number)).isPresent();
   }
 
   private void pull(Upstream upstream, ModelVersion model) {
-    EngineRecord e = engine(upstream.name());
-    e.pullBegins(model, now() + limits.longestPause().toNanos());
-    parts
+    EngineTracker e = engine(upstream.name());
+    e.pullStarted(model, now() + limits.maxPause().toNanos());
+    dependencies
         .weights()
         .pull(upstream.name(), model)
         .whenCompleteAsync(
             (result, failure) -> {
               PullResult r = failure == null ? result : new PullResult.Failed();
-              pulled(e, model, r);
-              parts.listener().pulled(upstream.name(), model, r);
+              recordPull(e, model, r);
+              dependencies.listener().pulled(upstream.name(), model, r);
             },
-            parts.scheduler());
+            dependencies.scheduler());
   }
 
-  private void pulled(EngineRecord e, ModelVersion model, PullResult result) {
+  private void recordPull(EngineTracker e, ModelVersion model, PullResult result) {
     switch (result) {
-      case PullResult.Started s -> e.pullBegins(model, now() + s.takes().toNanos());
+      case PullResult.Started s -> e.pullStarted(model, now() + s.duration().toNanos());
       case PullResult.Throttled t -> {
         e.pullFailed(model);
-        pullsPausedUntil = now() + t.retryAfter().toNanos();
+        pullsPausedUntilNanos = now() + t.retryAfter().toNanos();
       }
       case PullResult.Failed f -> {
         e.pullFailed(model);
-        pullsPausedUntil = now() + PERIOD.toNanos();
+        pullsPausedUntilNanos = now() + PERIOD.toNanos();
       }
     }
   }
 
   private long now() {
-    return parts.scheduler().nanoTime();
+    return dependencies.scheduler().nanoTime();
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderLimits.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderLimits.java
@@ -9,20 +9,21 @@
 import java.time.Duration;
 
 /**
- * Bounds of the planning. Immutable.
+ * The limits of the planning of orders. Immutable.
  *
- * @param leaseDuration how long the controller's lease lasts without renewal
- * @param longestPause the longest time that a process may be paused and then send an order whose
- *     lease it checked before; also covers the order's way. It protects engines that ignore old
- *     fencing numbers, and nothing else rests on it.
- * @param orderTimeout the longest time that an order may take; none is sent closer to the end of
- *     the lease
- * @param maxPulls weights in transfer at once, so that the weight store's rate is kept
+ * @param leaseDuration the time for which the controller's lease is held without renewal
+ * @param maxPause the maximum time that a process may be paused between the check of its lease and
+ *     the sending of an order, including the transmission of the order. It protects engines that
+ *     ignore stale fencing numbers; no other guarantee depends on it.
+ * @param orderTimeout the maximum duration of an order; no order is sent closer to the end of the
+ *     lease term
+ * @param maxPulls the maximum number of concurrent transfers of weights, which keeps them within
+ *     the weight store's rate limit
  * @since 0.1
  */
 public record OrderLimits(
-    Duration leaseDuration, Duration longestPause, Duration orderTimeout, int maxPulls) {
-  /** The usual bounds. */
+    Duration leaseDuration, Duration maxPause, Duration orderTimeout, int maxPulls) {
+  /** The default limits. */
   public static final OrderLimits DEFAULT =
       new OrderLimits(Duration.ofSeconds(8), Duration.ofSeconds(60), Duration.ofSeconds(2), 2);
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderListener.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderListener.java
@@ -10,27 +10,27 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Hears what became of orders.
+ * Receives the results of orders and of pulls of weights.
  *
  * @since 0.1
  */
 public interface OrderListener {
   /**
-   * An order has ended.
+   * Called when the result of an order is known.
    *
    * @param upstream the engine
    * @param order the order
-   * @param fencing the number that it carried
-   * @param result what became of it
+   * @param fencing the fencing number of the order
+   * @param result the result of the order
    */
   void ordered(UpstreamName upstream, Order order, FencingNumber fencing, OrderResult result);
 
   /**
-   * The weight store has answered.
+   * Called when the result of a pull is known.
    *
    * @param upstream the engine
-   * @param model the weights
-   * @param result the answer
+   * @param model the model whose weights were requested
+   * @param result the weight store's answer
    */
   void pulled(UpstreamName upstream, ModelVersion model, PullResult result);
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderPlanner.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderPlanner.java
@@ -21,14 +21,16 @@
 import org.larkkeel.store.lease.Tenure;
 
 /**
- * Plans the orders that bring engines to their declared shape. Pure; each call stands alone.
+ * Plans the orders that bring engines to their declared shape. It keeps no state between calls and
+ * does no I/O.
  *
  * <p>Invariants: nothing is ordered without the lease, or too close to its end. An engine that
- * ignores old fencing numbers gets no order before the lease of any earlier holder and the longest
- * pause are over and its state has been read after that. An order that takes a model or a role away
- * leaves another live engine that serves the model in that role and that no order in this plan or
- * in progress takes away: also none of an earlier holder, which may still arrive at an engine that
- * has not yet taken an order of this one. At most one order for an engine is in progress.
+ * ignores stale fencing numbers gets no order before the lease of any earlier holder has expired,
+ * the longest pause has passed and the engine's state has been read after that. An order that
+ * removes a model or a role requires another live engine that serves the model in that role and
+ * that no order in this plan or in progress affects. That includes orders of an earlier holder,
+ * which may still reach an engine that has not yet accepted an order of this holder. At most one
+ * order per engine is in progress.
  *
  * @since 0.1
  */
@@ -38,7 +40,7 @@
   /**
    * Creates a planner.
    *
-   * @param limits bounds
+   * @param limits the time limits and the number of concurrent pulls
    */
   public OrderPlanner(OrderLimits limits) {
     this.limits = limits;
@@ -48,88 +50,90 @@
    * Plans the next steps.
    *
    * @param now the time in nanoseconds
-   * @param tenure the controller's lease, empty if it is not held
+   * @param term the term of the controller's lease, empty if it is not held
    * @param engines all engines
-   * @param pullsInProgress transfers that the weight store is busy with
-   * @return steps that may all begin now
+   * @param pullsInProgress the number of transfers of weights in progress
+   * @return the steps, which may all be executed now
    */
   public ImmutableList<OrderStep> plan(
-      long now, Optional<Tenure> tenure, List<EngineView> engines, int pullsInProgress) {
-    if (tenure.filter(t -> isLongEnough(t, now)).isEmpty()) {
+      long now, Optional<Tenure> term, List<EngineView> engines, int pullsInProgress) {
+    if (term.filter(t -> isLongEnough(t, now)).isEmpty()) {
       return ImmutableList.of();
     }
-    return new Plan(now, tenure.get(), engines, limits.maxPulls() - pullsInProgress).steps();
+    return new Plan(now, term.get(), engines, limits.maxPulls() - pullsInProgress).steps();
   }
 
   private boolean isLongEnough(Tenure t, long now) {
     return t.until() - now > limits.orderTimeout().toNanos();
   }
 
-  /** Earlier holders' orders have all arrived by then. */
-  private long quietAt(Tenure t) {
-    return t.since() + limits.leaseDuration().toNanos() + limits.longestPause().toNanos();
+  /** Returns the time by which all orders of earlier holders have arrived, in nanoseconds. */
+  private long earlierOrdersSettledNanos(Tenure t) {
+    return t.sinceNanos() + limits.leaseDuration().toNanos() + limits.maxPause().toNanos();
   }
 
-  /** One plan in the making. */
+  /** The state of one call of {@link #plan}. */
   private final class Plan {
     private final long now;
-    private final Tenure tenure;
+    private final Tenure term;
     private final List<EngineView> engines;
-    private final Set<UpstreamName> busy = new HashSet<>();
+    private final Set<UpstreamName> enginesWithOrders = new HashSet<>();
     private final List<OrderStep> steps = new ArrayList<>();
     private int pullsLeft;
 
-    Plan(long now, Tenure tenure, List<EngineView> engines, int pullsLeft) {
+    Plan(long now, Tenure term, List<EngineView> engines, int pullsLeft) {
       this.now = now;
-      this.tenure = tenure;
+      this.term = term;
       this.pullsLeft = pullsLeft;
       this.engines = engines;
-      engines.stream().filter(EngineView::inProgress).forEach(e -> busy.add(e.upstream()));
+      engines.stream()
+          .filter(EngineView::inProgress)
+          .forEach(e -> enginesWithOrders.add(e.upstream()));
     }
 
     ImmutableList<OrderStep> steps() {
-      Comparator<EngineView> scarceFirst = Comparator.comparingLong(this::servedElsewhere);
+      Comparator<EngineView> leastServedFirst = Comparator.comparingLong(this::minServers);
       engines.stream()
           .filter(e -> e.live() && !e.inProgress() && e.declared().isPresent())
-          .sorted(scarceFirst.thenComparing(EngineView::upstream))
-          .forEach(this::step);
+          .sorted(leastServedFirst.thenComparing(EngineView::upstream))
+          .forEach(this::planStep);
       return ImmutableList.copyOf(steps);
     }
 
-    /** How many engines serve the model of this one that is served least. */
-    private long servedElsewhere(EngineView e) {
+    /** Returns the number of engines that serve the least served of an engine's declared models. */
+    private long minServers(EngineView e) {
       EngineShape declared = e.declared().get();
       return declared.models().stream()
-          .mapToLong(m -> servers(m, declared.role()))
+          .mapToLong(m -> countServers(m, declared.role()))
           .min()
           .orElse(Long.MAX_VALUE);
     }
 
-    private void step(EngineView e) {
-      if (e.readBack().isEmpty()) {
+    private void planStep(EngineView e) {
+      if (e.reported().isEmpty()) {
         steps.add(new OrderStep.ReadBack(e.upstream()));
         return;
       }
-      EngineShape is = e.readBack().get();
-      EngineShape should = e.declared().get();
-      if (is.satisfies(should) || !mayOrder(e)) {
+      EngineShape reported = e.reported().get();
+      EngineShape declared = e.declared().get();
+      if (reported.satisfies(declared) || !mayOrder(e)) {
         return;
       }
-      Set<ModelName> missing = Sets.difference(should.models(), is.models());
-      Set<AdapterName> adapters = Sets.difference(should.adapters(), is.adapters());
+      Set<ModelName> missing = Sets.difference(declared.models(), reported.models());
+      Set<AdapterName> adapters = Sets.difference(declared.adapters(), reported.adapters());
       if (!missing.isEmpty()) {
-        load(e, should, missing);
-      } else if (is.role() != should.role()) {
-        changeRole(e, is, should);
+        load(e, declared, missing);
+      } else if (reported.role() != declared.role()) {
+        changeRole(e, reported, declared);
       } else if (!adapters.isEmpty()) {
         send(e, new Order.LoadAdapter(adapters.iterator().next()));
       } else {
-        changeModels(e, is, should);
+        changeModels(e, reported, declared);
       }
     }
 
-    private void load(EngineView e, EngineShape should, Set<ModelName> models) {
-      List<ModelVersion> versions = models.stream().map(should::version).toList();
+    private void load(EngineView e, EngineShape declared, Set<ModelName> models) {
+      List<ModelVersion> versions = models.stream().map(declared::version).toList();
       versions.stream()
           .filter(e.pulled()::contains)
           .findFirst()
@@ -141,11 +145,11 @@
       if (e.fencing() == FencingSupport.CHECKED) {
         return true;
       }
-      long quiet = quietAt(tenure);
-      if (now - quiet < 0) {
+      long settledNanos = earlierOrdersSettledNanos(term);
+      if (now - settledNanos < 0) {
         return false;
       }
-      if (e.readSentAt() - quiet < 0) {
+      if (e.readSentAtNanos() - settledNanos < 0) {
         steps.add(new OrderStep.ReadBack(e.upstream()));
         return false;
       }
@@ -159,62 +163,69 @@
       }
     }
 
-    private void changeRole(EngineView e, EngineShape is, EngineShape should) {
-      if (is.models().stream().allMatch(m -> remainsWithout(e, m, is.role()))) {
-        send(e, new Order.SetRole(should.role()));
+    private void changeRole(EngineView e, EngineShape reported, EngineShape declared) {
+      if (reported.models().stream().allMatch(m -> staysServedWithout(e, m, reported.role()))) {
+        send(e, new Order.SetRole(declared.role()));
       }
     }
 
-    /** A model is not served while its version changes, so that takes it away as well. */
-    private void changeModels(EngineView e, EngineShape is, EngineShape should) {
+    /**
+     * Replaces or unloads a model. A model is not served while its version changes, so another
+     * engine must serve it in both cases.
+     */
+    private void changeModels(EngineView e, EngineShape reported, EngineShape declared) {
       List<ModelName> outdated =
-          Sets.intersection(is.models(), should.models()).stream()
-              .filter(m -> !is.version(m).satisfies(should.version(m)))
-              .filter(m -> remainsWithout(e, m, is.role()))
+          Sets.intersection(reported.models(), declared.models()).stream()
+              .filter(m -> !reported.version(m).satisfies(declared.version(m)))
+              .filter(m -> staysServedWithout(e, m, reported.role()))
               .toList();
       if (!outdated.isEmpty()) {
-        load(e, should, Set.copyOf(outdated));
+        load(e, declared, Set.copyOf(outdated));
         return;
       }
-      Sets.difference(is.models(), should.models()).stream()
-          .filter(m -> remainsWithout(e, m, is.role()))
+      Sets.difference(reported.models(), declared.models()).stream()
+          .filter(m -> staysServedWithout(e, m, reported.role()))
           .findFirst()
           .ifPresent(m -> send(e, new Order.UnloadModel(m)));
     }
 
-    private boolean remainsWithout(EngineView e, ModelName m, Role role) {
-      return !isWanted(m, role)
-          || engines.stream().anyMatch(o -> o != e && isSettled(o) && serves(o, m, role));
+    private boolean staysServedWithout(EngineView e, ModelName m, Role role) {
+      return !isDeclared(m, role)
+          || engines.stream()
+              .anyMatch(o -> o != e && isUnaffectedByEarlierOrders(o) && serves(o, m, role));
     }
 
-    /** Whether no order of an earlier holder can change the engine any more. */
-    private boolean isSettled(EngineView e) {
-      boolean raised =
-          e.fencing() == FencingSupport.CHECKED && e.readFencing().equals(tenure.fencing());
-      return raised || e.readSentAt() - quietAt(tenure) >= 0;
+    /** Returns whether no order of an earlier holder can still change the engine. */
+    private boolean isUnaffectedByEarlierOrders(EngineView e) {
+      boolean acceptedCurrentTerm =
+          e.fencing() == FencingSupport.CHECKED && e.reportedFencing().equals(term.fencing());
+      return acceptedCurrentTerm || e.readSentAtNanos() - earlierOrdersSettledNanos(term) >= 0;
     }
 
-    /** A model that no pool declares in a role may lose its last engine there. */
-    private boolean isWanted(ModelName m, Role role) {
+    /**
+     * Returns whether an engine declares a model in a role; otherwise the model may lose its last
+     * engine in that role.
+     */
+    private boolean isDeclared(ModelName m, Role role) {
       return engines.stream()
           .flatMap(e -> e.declared().stream())
           .anyMatch(d -> d.role() == role && d.models().contains(m));
     }
 
-    private long servers(ModelName m, Role role) {
+    private long countServers(ModelName m, Role role) {
       return engines.stream().filter(e -> serves(e, m, role)).count();
     }
 
     private boolean serves(EngineView e, ModelName m, Role role) {
       return e.live()
-          && !busy.contains(e.upstream())
+          && !enginesWithOrders.contains(e.upstream())
           && e.declared().isPresent()
-          && e.readBack().filter(s -> s.role() == role && s.models().contains(m)).isPresent();
+          && e.reported().filter(s -> s.role() == role && s.models().contains(m)).isPresent();
     }
 
     private void send(EngineView e, Order order) {
-      busy.add(e.upstream());
-      steps.add(new OrderStep.Send(e.upstream(), tenure.fencing(), order));
+      enginesWithOrders.add(e.upstream());
+      steps.add(new OrderStep.Send(e.upstream(), term.fencing(), order));
     }
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderResult.java
@@ -7,19 +7,19 @@
 package org.larkkeel.store.order;
 
 /**
- * What became of an order.
+ * The result of an order.
  *
  * @since 0.1
  */
 public enum OrderResult {
-  /** The engine carried it out. */
+  /** The engine executed the order. */
   IN_FORCE,
-  /** The engine has seen a newer fencing number and refused it. */
+  /** The engine refused the order because it has seen a newer fencing number. */
   STALE_FENCING,
-  /** The engine refused it for another reason. */
+  /** The engine refused the order for another reason. */
   REFUSED,
-  /** No byte of it was sent. */
+  /** No byte of the order was sent. */
   NOT_SENT,
-  /** It may be carried out, now or until the longest pause is over. */
+  /** The outcome is unknown; the order may be executed until the longest pause is over. */
   UNKNOWN
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderStep.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderStep.java
@@ -10,39 +10,39 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * One thing for the controller to do now.
+ * A step of a plan, which the controller executes immediately.
  *
  * @since 0.1
  */
 public sealed interface OrderStep {
   /**
-   * The engine.
+   * Returns the engine that the step concerns.
    *
-   * @return its name, never null
+   * @return the name of the engine, never null
    */
   UpstreamName upstream();
 
   /**
-   * Send an order.
+   * Sends an order.
    *
    * @param upstream the engine, never null
-   * @param fencing the number to send with it, never null
+   * @param fencing the fencing number to send with the order, never null
    * @param order the order, never null
    */
   record Send(UpstreamName upstream, FencingNumber fencing, Order order) implements OrderStep {}
 
   /**
-   * Ask an engine what it does.
+   * Reads the current shape of an engine.
    *
    * @param upstream the engine, never null
    */
   record ReadBack(UpstreamName upstream) implements OrderStep {}
 
   /**
-   * Have the weight store send a model.
+   * Requests a transfer of weights from the weight store.
    *
    * @param upstream the engine, never null
-   * @param model the weights, never null
+   * @param model the model whose weights are transferred, never null
    */
   record Pull(UpstreamName upstream, ModelVersion model) implements OrderStep {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/PullResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/PullResult.java
@@ -9,25 +9,25 @@
 import java.time.Duration;
 
 /**
- * What the weight store answered to a pull. Immutable.
+ * The weight store's answer to a pull. Immutable.
  *
  * @since 0.1
  */
 public sealed interface PullResult {
   /**
-   * The transfer has begun.
+   * The transfer has started.
    *
-   * @param takes how long it takes, never null
+   * @param duration the expected duration of the transfer, never null
    */
-  record Started(Duration takes) implements PullResult {}
+  record Started(Duration duration) implements PullResult {}
 
   /**
-   * The store's rate is used up.
+   * The weight store's rate limit is reached.
    *
-   * @param retryAfter how long it asks to wait, never null
+   * @param retryAfter the time to wait before a retry, never null
    */
   record Throttled(Duration retryAfter) implements PullResult {}
 
-  /** There was no answer, or a useless one. */
+  /** There was no answer, or an unusable one. */
   record Failed() implements PullResult {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/WeightStore.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/WeightStore.java
@@ -10,17 +10,17 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * The platform's store of weights. Safe for use by several threads.
+ * The platform's store of model weights. Thread-safe.
  *
  * @since 0.1
  */
 public interface WeightStore {
   /**
-   * Has weights sent to an engine. May be repeated.
+   * Requests a transfer of weights to an engine. The request may be repeated safely.
    *
    * @param upstream the engine
-   * @param model the weights
-   * @return what the store answered; never fails
+   * @param model the model whose weights are transferred
+   * @return the store's answer; the future never fails
    */
   CompletableFuture<PullResult> pull(UpstreamName upstream, ModelVersion model);
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/package-info.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/package-info.java
@@ -1,2 +1,2 @@
-/** What a controller orders model engines to do, so that pools get their declared shape. */
+/** The controller that sends orders to model engines, so that pools get their declared shape. */
 package org.larkkeel.store.order;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/package-info.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Ports to the platform: the object API, the host list and the weight store.
+ * Clients of the platform: the object API, the host list and the weight store.
  *
- * <p>Everything that must be agreed or kept goes through {@link org.larkkeel.store.ObjectApi}.
+ * <p>All state that must be durable or agreed between nodes goes through {@link
+ * org.larkkeel.store.ObjectApi}.
  */
 package org.larkkeel.store;
