--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/LogRig.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/LogRig.java
@@ -19,10 +19,10 @@
 import org.larkkeel.store.InMemoryStore;
 import org.larkkeel.store.ManualScheduler;
 
-/** A store and processes with a log each, in virtual time. */
+/** An in-memory store and processes that share a log, in virtual time. */
 final class LogRig {
-  static final Duration LONG = Duration.ofMinutes(5);
-  static final LogOptions SMALL =
+  static final Duration AWAIT_TIMEOUT = Duration.ofMinutes(5);
+  static final LogOptions SMALL_LIMITS =
       new LogOptions(
           1000, 10, 2, 2, 5, Duration.ofMillis(20), Duration.ofSeconds(2), Duration.ofSeconds(60));
 
@@ -30,15 +30,15 @@
   final InMemoryStore store = new InMemoryStore(time);
 
   Node node(String host) {
-    return new Node(host, SMALL);
+    return new Node(host, SMALL_LIMITS);
   }
 
   <T> T await(CompletableFuture<T> f) {
-    time.until(f::isDone, LONG);
+    time.until(f::isDone, AWAIT_TIMEOUT);
     return f.join();
   }
 
-  /** One process. */
+  /** One process, with its own connection to the store and to the log. */
   final class Node {
     final ManualScheduler.Process process = time.newProcess();
     final InMemoryObjectApi api = new InMemoryObjectApi(store, process);
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/ObjectLogTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/ObjectLogTest.java
@@ -21,19 +21,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link ObjectLog}. */
+/** Tests {@link ObjectLog}. */
 public class ObjectLogTest {
 
-  private static void faults(LogRig.Node n, Fault... faults) {
+  private static void setWriteFaults(LogRig.Node n, Fault... faults) {
     Deque<Fault> left = new ArrayDeque<>(List.of(faults));
     n.api.setWriteFaults(() -> left.isEmpty() ? Fault.NONE : left.removeFirst());
   }
 
-  /** Races and lost answers. */
+  /** Appends by concurrent writers, and appends whose store calls fail or lose their responses. */
   public static class Appending {
 
     @Test
-    public void ofTwoWritersOneWins() {
+    public void exactlyOneOfTwoConcurrentWritersAppends() {
       LogRig rig = new LogRig();
       LogRig.Node a = rig.node("a");
       LogRig.Node b = rig.node("b");
@@ -48,44 +48,44 @@
     public void lostAnswerIsResolvedByReadingBack() {
       LogRig rig = new LogRig();
       LogRig.Node a = rig.node("a");
-      faults(a, Fault.LOSE_ANSWER);
+      setWriteFaults(a, Fault.LOSE_ANSWER);
       assertTrue(a.append(1, 10) instanceof AppendResult.Appended);
       assertEquals(a.read(), List.of(10));
     }
 
     @Test
-    public void lostRequestIsRepeated() {
+    public void lostRequestIsRetried() {
       LogRig rig = new LogRig();
       LogRig.Node a = rig.node("a");
-      faults(a, Fault.LOSE_REQUEST);
+      setWriteFaults(a, Fault.LOSE_REQUEST);
       assertTrue(a.append(1, 10) instanceof AppendResult.Appended);
       assertEquals(a.read(), List.of(10));
     }
 
     @Test
-    public void lateEffectIsNotDoubled() {
+    public void delayedCreateIsNotDuplicated() {
       LogRig rig = new LogRig();
       LogRig.Node a = rig.node("a");
-      faults(a, Fault.LATE_EFFECT);
+      setWriteFaults(a, Fault.LATE_EFFECT);
       assertTrue(a.append(1, 10) instanceof AppendResult.Appended);
       rig.time.advance(Duration.ofSeconds(5));
       assertEquals(a.read(), List.of(10));
     }
 
     @Test
-    public void outageAfterLostAnswerLeavesItUnresolvedAndTheSameEntryResolvesIt() {
+    public void outageAfterLostAnswerIsUnresolvedUntilTheSameEntryIsAppendedAgain() {
       LogRig rig = new LogRig();
       LogRig.Node a = rig.node("a");
       LogEntry e = a.entry(1, 10);
       Fault r = Fault.REFUSE;
-      faults(a, Fault.LOSE_ANSWER, r, r, r, r, r);
+      setWriteFaults(a, Fault.LOSE_ANSWER, r, r, r, r, r);
       assertTrue(rig.await(a.log.append(e).call()) instanceof AppendResult.Unresolved);
       AppendResult again = rig.await(a.log.append(e).setPrior(Prior.UNRESOLVED).call());
       assertEquals(again, new AppendResult.Appended(e));
     }
 
     @Test
-    public void outageIsKnownToHaveHadNoEffect() {
+    public void appendDuringOutageHasNoEffect() {
       LogRig rig = new LogRig();
       rig.store.setOutage(true);
       LogRig.Node a = rig.node("a");
@@ -96,10 +96,10 @@
     }
   }
 
-  /** Snapshots, truncation, and who comes late to them. */
+  /** Snapshots and truncation, and writers that append at a truncated position. */
   public static class Truncating {
 
-    private static LogRig.Node withSnapshot(LogRig rig, int entries) {
+    private static LogRig.Node logWithSnapshot(LogRig rig, int entries) {
       LogRig.Node a = rig.node("a");
       for (int n = 1; n <= entries; n++) {
         assertTrue(a.append(n, n) instanceof AppendResult.Appended);
@@ -113,7 +113,7 @@
     @Test
     public void newReaderStartsFromTheSnapshot() {
       LogRig rig = new LogRig();
-      withSnapshot(rig, 9);
+      logWithSnapshot(rig, 9);
       LogView v = rig.await(rig.node("b").log.read(0));
       assertEquals(v.snapshot().get().through(), 8);
       assertEquals(
@@ -125,25 +125,25 @@
     @Test
     public void olderSnapshotNeverReplacesNewer() {
       LogRig rig = new LogRig();
-      LogRig.Node a = withSnapshot(rig, 9);
+      LogRig.Node a = logWithSnapshot(rig, 9);
       assertEquals(
           rig.await(a.log.writeSnapshot(new LogSnapshot(5, new byte[1]))),
           SnapshotResult.SUPERSEDED);
     }
 
     @Test
-    public void pausedWriterCanNotUseTruncatedPlace() {
+    public void pausedWriterCanNotAppendAtTruncatedPosition() {
       LogRig rig = new LogRig();
-      withSnapshot(rig, 9);
+      logWithSnapshot(rig, 9);
       LogRig.Node late = rig.node("late");
       assertEquals(late.append(3, 99), new AppendResult.Lost(Optional.empty()));
       assertEquals(rig.store.all("test").size(), 3);
     }
 
     @Test
-    public void unresolvedAppendAtTruncatedPlaceIsForgotten() {
+    public void unresolvedAppendAtTruncatedPositionStaysUnknown() {
       LogRig rig = new LogRig();
-      withSnapshot(rig, 9);
+      logWithSnapshot(rig, 9);
       LogRig.Node late = rig.node("late");
       LogEntry e = late.entry(3, 99);
       AppendResult r = rig.await(late.log.append(e).setPrior(Prior.UNRESOLVED).call());
@@ -151,7 +151,7 @@
     }
 
     @Test
-    public void newestSealsOutliveTruncation() {
+    public void truncationKeepsTheNewestSeals() {
       LogRig rig = new LogRig();
       LogRig.Node a = rig.node("a");
       rig.await(a.log.append(LogEntry.seal(1, a.log.nextAppend())).call());
@@ -160,21 +160,21 @@
       }
       rig.await(a.log.writeSnapshot(new LogSnapshot(9, new byte[1])));
       LogEntry old = rig.node("old").entry(1, 99);
-      AppendResult r = rig.await(a.log.append(old).setGuard(Guard.RETAINED_SEAL).call());
+      AppendResult r = rig.await(a.log.append(old).setGuard(TruncationGuard.RETAINED_SEAL).call());
       assertTrue(r instanceof AppendResult.Lost);
     }
   }
 
-  /** Following by list and watch. */
+  /** Following a log by list and watch, without gaps or duplicates. */
   public static class Following {
-    private final List<Integer> seen = new ArrayList<>();
-    private final List<Long> snapshots = new ArrayList<>();
+    private final List<Integer> receivedValues = new ArrayList<>();
+    private final List<Long> receivedSnapshots = new ArrayList<>();
 
-    /** The instance is shared by its tests. */
+    /** Clears the received state, since TestNG runs all test methods on one instance. */
     @BeforeMethod
-    public void forget() {
-      seen.clear();
-      snapshots.clear();
+    public void clearReceived() {
+      receivedValues.clear();
+      receivedSnapshots.clear();
     }
 
     private LogFollower follow(LogRig.Node n) {
@@ -183,12 +183,12 @@
           new LogFollower.Listener() {
             @Override
             public void snapshot(LogSnapshot s) {
-              snapshots.add(s.through());
+              receivedSnapshots.add(s.through());
             }
 
             @Override
             public void entry(LogEntry e) {
-              seen.addAll(LogRig.values(List.of(e)));
+              receivedValues.addAll(LogRig.values(List.of(e)));
             }
           });
     }
@@ -204,7 +204,7 @@
       rig.time.advance(Duration.ofSeconds(1));
       a.append(2, 2);
       rig.time.advance(Duration.ofSeconds(1));
-      assertEquals(seen, List.of(1, 2));
+      assertEquals(receivedValues, List.of(1, 2));
       b.process.pause();
       a.append(3, 3);
       a.append(4, 4);
@@ -216,7 +216,7 @@
       rig.time.advance(Duration.ofSeconds(5));
       a.append(5, 5);
       rig.time.advance(Duration.ofSeconds(1));
-      assertEquals(seen, List.of(1, 2, 3, 4, 5));
+      assertEquals(receivedValues, List.of(1, 2, 3, 4, 5));
     }
 
     @Test
@@ -236,7 +236,7 @@
       rig.time.advance(Duration.ofSeconds(61));
       b.process.resume();
       rig.time.advance(Duration.ofSeconds(1));
-      assertEquals(seen, List.of(1, 2, 3, 4, 5, 6, 7, 8, 9));
+      assertEquals(receivedValues, List.of(1, 2, 3, 4, 5, 6, 7, 8, 9));
     }
 
     @Test
@@ -249,8 +249,8 @@
       rig.await(a.log.writeSnapshot(new LogSnapshot(8, new byte[1])));
       follow(rig.node("b"));
       rig.time.advance(Duration.ofSeconds(1));
-      assertEquals(snapshots, List.of(8L));
-      assertEquals(seen, List.of(9));
+      assertEquals(receivedSnapshots, List.of(8L));
+      assertEquals(receivedValues, List.of(9));
     }
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendCommand.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendCommand.java
@@ -19,10 +19,10 @@
 import org.larkkeel.store.log.AppendResult.Unresolved;
 
 /**
- * Appends one entry. A lost answer is resolved by creating the same entry again: if the place is
- * taken, the entry there is read back and its id compared.
+ * Appends one entry to a log. If the store's response is lost, the same entry is created again; if
+ * its position is then taken, the entry there is read back and its ID compared.
  *
- * <p>Used once, on the scheduler.
+ * <p>Each instance is used for one append. Confined to the scheduler.
  *
  * @since 0.1
  */
@@ -32,8 +32,8 @@
   private final Backoff backoff;
   private final CompletableFuture<AppendResult> result = new CompletableFuture<>();
   private Prior prior = Prior.NONE;
-  private Guard guard = Guard.READ_MANIFEST;
-  private int retries;
+  private TruncationGuard guard = TruncationGuard.READ_MANIFEST;
+  private int retryCount;
 
   AppendCommand(ObjectLog log, LogEntry entry) {
     this.log = log;
@@ -42,9 +42,10 @@
   }
 
   /**
-   * Tells of earlier attempts to append the same entry.
+   * Sets what is known of earlier attempts to append the same entry.
    *
-   * @param newPrior {@link Prior#UNRESOLVED} after a result of {@link Unresolved}
+   * @param newPrior {@link Prior#UNRESOLVED} if an earlier attempt returned {@link Unresolved};
+   *     {@link Prior#NONE} unless set
    * @return this
    */
   public AppendCommand setPrior(Prior newPrior) {
@@ -53,20 +54,20 @@
   }
 
   /**
-   * Chooses the protection from truncated places.
+   * Sets the protection against appending at a truncated position.
    *
-   * @param newGuard {@link Guard#READ_MANIFEST} unless set
+   * @param newGuard the protection; {@link TruncationGuard#READ_MANIFEST} unless set
    * @return this
    */
-  public AppendCommand setGuard(Guard newGuard) {
+  public AppendCommand setGuard(TruncationGuard newGuard) {
     guard = newGuard;
     return this;
   }
 
   /**
-   * Appends.
+   * Appends the entry.
    *
-   * @return the outcome; never fails
+   * @return completes with the outcome on the scheduler; never fails
    */
   public CompletableFuture<AppendResult> call() {
     create();
@@ -81,23 +82,23 @@
               if (failure == null) {
                 created(object);
               } else {
-                failed(failureOf(failure));
+                createFailed(failureOf(failure));
               }
             });
   }
 
-  private void failed(ObjectApiFailure f) {
+  private void createFailed(ObjectApiFailure f) {
     switch (f) {
       case ObjectApiFailure.AlreadyExists a -> readBack();
       case ObjectApiFailure.OutcomeUnknown u -> {
         prior = Prior.UNRESOLVED;
         retry(this::create);
       }
-      default -> refused(f);
+      default -> createRefused(f);
     }
   }
 
-  private void refused(ObjectApiFailure f) {
+  private void createRefused(ObjectApiFailure f) {
     if (prior == Prior.NONE) {
       result.complete(new NotAppended(f));
     } else {
@@ -106,7 +107,7 @@
   }
 
   private void readBack() {
-    log.reads()
+    log.reader()
         .entry(entry.number())
         .whenComplete(
             (found, failure) -> {
@@ -130,7 +131,7 @@
   }
 
   private void created(StoredObject object) {
-    if (guard == Guard.READ_MANIFEST) {
+    if (guard == TruncationGuard.READ_MANIFEST) {
       checkManifest(object);
     } else {
       result.complete(new Appended(entry));
@@ -138,14 +139,14 @@
   }
 
   private void checkManifest(StoredObject object) {
-    log.reads()
+    log.reader()
         .manifest()
         .whenComplete(
             (manifest, failure) -> {
               if (failure != null) {
                 prior = Prior.UNRESOLVED;
                 retry(() -> checkManifest(object));
-              } else if (manifest.truncated() < entry.number()) {
+              } else if (manifest.truncatedThrough() < entry.number()) {
                 result.complete(new Appended(entry));
               } else {
                 withdraw(object);
@@ -153,7 +154,7 @@
             });
   }
 
-  /** Removes an entry created at a place that had been truncated; readers pass over it anyway. */
+  /** Deletes an entry that was created at a truncated position; readers ignore such entries. */
   private void withdraw(StoredObject object) {
     AppendResult r = prior == Prior.NONE ? new Lost(Optional.empty()) : new Forgotten();
     log.api()
@@ -162,11 +163,11 @@
   }
 
   private void retry(Runnable step) {
-    if (retries >= log.options().resolveAttempts()) {
+    if (retryCount >= log.options().maxResolveAttempts()) {
       result.complete(new Unresolved());
       return;
     }
-    retries++;
+    retryCount++;
     log.scheduler().schedule(backoff.next(), step);
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendId.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendId.java
@@ -7,29 +7,29 @@
 package org.larkkeel.store.log;
 
 /**
- * Names one append, so that its writer knows it again after a lost answer.
+ * The ID of one append, by which its writer recognizes the entry after a lost response.
  *
  * <p>Invariant: a writer never uses a sequence number twice in one log. Immutable.
  *
  * @param writer the writer, never null
- * @param sequence counts the appends of this writer
+ * @param sequence the number of this append among those of the writer
  * @since 0.1
  */
 public record AppendId(WriterId writer, long sequence) {
   private static final char SEPARATOR = '/';
 
   /**
-   * Reads the text form.
+   * Parses the text form.
    *
-   * @param text what {@link #toString} returned
-   * @return the id
+   * @param text a result of {@link #toString}
+   * @return the ID
    * @throws IllegalArgumentException if the text is malformed
    */
   public static AppendId parse(String text) {
     int i = text.lastIndexOf(SEPARATOR);
     if (i < 0) {
       throw new IllegalArgumentException(
-          "the append is \"" + text + "\": expected host/incarnation/sequence");
+          "append ID \"" + text + "\" is malformed: expected host/incarnation/sequence");
     }
     return new AppendId(
         WriterId.parse(text.substring(0, i)), Long.parseLong(text.substring(i + 1)));
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendResult.java
@@ -10,7 +10,7 @@
 import org.larkkeel.store.ObjectApiFailure;
 
 /**
- * The closed list of outcomes of an append.
+ * The outcome of an append.
  *
  * @since 0.1
  */
@@ -24,25 +24,27 @@
   record Appended(LogEntry entry) implements AppendResult {}
 
   /**
-   * Another entry has the place; this one is not in the log and never will be.
+   * Another entry took the position first; this entry is not in the log and never will be.
    *
-   * @param winner the other entry, empty if it has been truncated already
+   * @param winner the other entry, empty if it has already been truncated
    */
   record Lost(Optional<LogEntry> winner) implements AppendResult {}
 
   /**
-   * The store refused; the entry is not in the log.
+   * The store refused the entry, which is not in the log.
    *
    * @param cause the refusal, never null
    */
   record NotAppended(ObjectApiFailure cause) implements AppendResult {}
 
   /**
-   * The entry may be in the log, or come into it later. The writer must append the same entry again
-   * before any other.
+   * The outcome is unknown: the entry may be in the log or appear in it later. The writer must
+   * append the same entry again before any other.
    */
   record Unresolved() implements AppendResult {}
 
-  /** The place was truncated before the writer learnt its fate: the entry may have been there. */
+  /**
+   * The position was truncated while the outcome was unknown: the entry may have been in the log.
+   */
   record Forgotten() implements AppendResult {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/CommitResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/CommitResult.java
@@ -7,17 +7,23 @@
 package org.larkkeel.store.log;
 
 /**
- * What became of a record given to a {@link LogWriter}.
+ * The outcome of a record that was submitted to a {@link LogWriter}.
  *
  * @since 0.1
  */
 public enum CommitResult {
-  /** It is in the log. */
+  /** The record is in the log. */
   COMMITTED,
-  /** It is not in the log and never will be: the store refused, or there are too many waiting. */
+  /**
+   * The record is not in the log and never will be: the store refused it, it exceeds the maximum
+   * entry size, too many records were pending, or it was withdrawn.
+   */
   NOT_COMMITTED,
-  /** It is not in the log and never will be: another process owns the log. */
+  /**
+   * The record is not in the log and never will be: this process does not own the log, or lost it
+   * before the record was sent.
+   */
   DEPOSED,
-  /** It may be in the log; another process owns it. */
+  /** The record may be in the log, which this process no longer owns. */
   UNKNOWN
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/EntryType.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/EntryType.java
@@ -7,13 +7,16 @@
 package org.larkkeel.store.log;
 
 /**
- * What an entry holds.
+ * The type of a log entry.
  *
  * @since 0.1
  */
 public enum EntryType {
-  /** Records. */
+  /** The entry holds records. */
   RECORDS,
-  /** Nothing but the take-over by a new owner: the owner before it can not append after it. */
+  /**
+   * The entry holds no records: it marks that a new owner took over. The previous owner can not
+   * append after it.
+   */
   SEAL
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogCodec.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogCodec.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import org.larkkeel.errors.Slugs;
 
-/** Entries as JSON. Stateless. */
+/** Converts log entries from and to JSON. Stateless. */
 final class LogCodec {
   static final String KIND = "LogEntry";
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogEntry.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogEntry.java
@@ -10,11 +10,11 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * One entry of a log. Immutable by agreement: nobody changes the records.
+ * One entry of a log. Immutable by convention: the records must not be modified.
  *
- * @param number its place, from 1
- * @param id names the append, never null
- * @param type what it holds, never null
+ * @param number the position in the log, from 1
+ * @param id the ID of the append, never null
+ * @param type the type, never null
  * @param records the records, empty for a seal, never null
  * @since 0.1
  */
@@ -23,8 +23,8 @@
   /**
    * Creates an entry with records.
    *
-   * @param number its place
-   * @param id names the append
+   * @param number the position in the log
+   * @param id the ID of the append
    * @param records the records
    * @return the entry
    */
@@ -35,8 +35,8 @@
   /**
    * Creates a seal.
    *
-   * @param number its place
-   * @param id names the append
+   * @param number the position in the log
+   * @param id the ID of the append
    * @return the entry
    */
   public static LogEntry seal(long number, AppendId id) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogFollower.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogFollower.java
@@ -19,11 +19,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows a log by list and watch.
+ * Follows a log by list and watch, and delivers its entries to a listener.
  *
- * <p>Invariant: the listener gets each entry at most once, in order and without gaps; a snapshot
- * covers what it skips. Events that come late, twice or from another watch are dropped. Confined to
- * the scheduler.
+ * <p>Invariant: the listener receives each entry at most once, in order and without gaps; entries
+ * that are skipped are covered by a snapshot. Events that are late or duplicated, or that belong to
+ * another watch, are dropped. Confined to the scheduler.
  *
  * @since 0.1
  */
@@ -35,7 +35,7 @@
   private final Backoff backoff;
   private long last;
   private StoreVersion version = StoreVersion.NONE;
-  private long contact;
+  private long lastContactNanos;
   private Watch watch;
   private Scheduler.Timer timer;
   private Phase phase = Phase.WAITING;
@@ -45,7 +45,7 @@
     this.last = after;
     this.listener = listener;
     this.backoff = log.newBackoff();
-    this.contact = log.scheduler().nanoTime();
+    this.lastContactNanos = log.scheduler().nanoTime();
   }
 
   void start() {
@@ -53,25 +53,26 @@
   }
 
   /**
-   * The last entry delivered.
+   * Returns the number of the last entry that was delivered or covered by a snapshot.
    *
-   * @return its number, 0 for none
+   * @return the number, 0 for none
    */
   public long last() {
     return last;
   }
 
   /**
-   * When the store last answered.
+   * Returns the time of the last response from the store.
    *
-   * @return the scheduler's time in nanoseconds; at first the time of the start
+   * @return the scheduler's time in nanoseconds; before the first response, the time of creation
    */
   public long contactNanos() {
-    return contact;
+    return lastContactNanos;
   }
 
   /**
-   * Delivers an entry learnt elsewhere, such as from a peer or by this process's own append.
+   * Delivers an entry from another source, such as a peer or this process's own append. Ignored
+   * unless it is the next entry.
    *
    * @param entry an entry that is in the log
    */
@@ -83,7 +84,8 @@
   }
 
   /**
-   * Takes over a state learnt elsewhere, such as from a peer.
+   * Delivers a snapshot from another source, such as a peer. Ignored unless it is newer than the
+   * last entry delivered.
    *
    * @param snapshot a state that the log had
    */
@@ -94,7 +96,7 @@
     }
   }
 
-  /** Reads at once instead of waiting for the watch; does nothing while a read is in progress. */
+  /** Reads the log now instead of waiting for the watch; no effect while a read is in progress. */
   public void refresh() {
     if (phase == Phase.WATCHING || phase == Phase.WAITING) {
       read();
@@ -104,24 +106,24 @@
   @Override
   public void close() {
     phase = Phase.CLOSED;
-    stopWaiting();
+    cancelTimerAndWatch();
   }
 
   private void read() {
-    stopWaiting();
+    cancelTimerAndWatch();
     phase = Phase.READING;
-    log.read(last).whenComplete(this::received);
+    log.read(last).whenComplete(this::readCompleted);
   }
 
-  private void received(LogView view, Throwable failure) {
+  private void readCompleted(LogView view, Throwable failure) {
     if (phase == Phase.CLOSED) {
       return;
     }
     if (failure != null) {
-      failed(failure);
+      retryLater(failure);
       return;
     }
-    contact = log.scheduler().nanoTime();
+    lastContactNanos = log.scheduler().nanoTime();
     backoff.reset();
     view.snapshot().ifPresent(this::offer);
     view.entries().forEach(this::offer);
@@ -131,23 +133,23 @@
 
   private void watch() {
     phase = Phase.WATCHING;
-    Watch w = log.watch(version, this::event);
+    Watch w = log.watch(version, this::watchEvent);
     watch = w;
-    w.ended().whenComplete((ok, failure) -> ended(w, failure));
+    w.ended().whenComplete((ok, failure) -> watchEnded(w, failure));
   }
 
-  private void event(WatchEvent e) {
+  private void watchEvent(WatchEvent e) {
     if (phase != Phase.WATCHING) {
       return;
     }
-    contact = log.scheduler().nanoTime();
+    lastContactNanos = log.scheduler().nanoTime();
     version = StoreVersion.max(version, e.resourceVersion());
     if (e instanceof WatchEvent.Changed c) {
-      changed(c.object());
+      objectChanged(c.object());
     }
   }
 
-  private void changed(StoredObject o) {
+  private void objectChanged(StoredObject o) {
     OptionalLong n = log.name().numberOf(o.key());
     if (n.isEmpty() || n.getAsLong() <= last) {
       return;
@@ -159,27 +161,27 @@
     }
   }
 
-  private void ended(Watch w, Throwable failure) {
+  private void watchEnded(Watch w, Throwable failure) {
     if (phase != Phase.WATCHING || w != watch) {
       return;
     }
     if (failure == null) {
-      contact = log.scheduler().nanoTime();
+      lastContactNanos = log.scheduler().nanoTime();
       watch();
     } else if (isExpired(failure)) {
       read();
     } else {
-      failed(failure);
+      retryLater(failure);
     }
   }
 
-  private void failed(Throwable failure) {
+  private void retryLater(Throwable failure) {
     phase = Phase.WAITING;
     LOG.debug("event=log-follow-failed log={} cause=\"{}\"", log.name(), failure.getMessage());
     timer = log.scheduler().schedule(backoff.next(), this::read);
   }
 
-  private void stopWaiting() {
+  private void cancelTimerAndWatch() {
     if (timer != null) {
       timer.cancel();
     }
@@ -194,19 +196,19 @@
     return ObjectApiException.failureOf(t).orElse(null) instanceof ObjectApiFailure.Expired;
   }
 
-  /** Receives the log. Called on the scheduler. */
+  /** Receives the state and entries of the log. Called on the scheduler. */
   public interface Listener {
     /**
-     * Replaces the state.
+     * Replaces the state by that of a snapshot.
      *
-     * @param snapshot the state after an entry
+     * @param snapshot the new state, which covers more entries than were delivered
      */
     void snapshot(LogSnapshot snapshot);
 
     /**
-     * Takes the next entry.
+     * Receives the next entry.
      *
-     * @param entry the entry after the last one, or after the snapshot
+     * @param entry the entry that follows the last one or the snapshot
      */
     void entry(LogEntry entry);
   }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogName.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogName.java
@@ -11,19 +11,23 @@
 import org.larkkeel.store.ObjectKey;
 
 /**
- * Names a log and its objects. Entries are in one collection, snapshots in another, so that a watch
- * of the entries does not carry snapshots. Immutable.
+ * The name of a log, from which the names of its objects are formed. Entries and snapshots are in
+ * separate collections, so that a watch on the entries does not deliver snapshots. Immutable.
  *
- * @param value the name of the collection of entries, never null
+ * @param value the name of the collection that holds the entries, never null
  * @since 0.1
  */
 public record LogName(String value) {
-  private static final String SNAPSHOTS = "-snapshots";
+  private static final String SNAPSHOTS_SUFFIX = "-snapshots";
   private static final String MANIFEST = "manifest";
-  private static final String CHUNK = "chunk-";
+  private static final String CHUNK_PREFIX = "chunk-";
   private static final int DIGITS = 16;
 
-  /** Checks the name. */
+  /**
+   * Creates a name.
+   *
+   * @throws IllegalArgumentException if the name is not a valid collection name
+   */
   public LogName {
     ObjectKey.check("collection", value);
   }
@@ -46,7 +50,7 @@
   }
 
   String snapshotCollection() {
-    return value + SNAPSHOTS;
+    return value + SNAPSHOTS_SUFFIX;
   }
 
   ObjectKey manifest() {
@@ -54,16 +58,17 @@
   }
 
   String chunkPrefix() {
-    return CHUNK;
+    return CHUNK_PREFIX;
   }
 
-  ObjectKey chunk(long through, String unique, int index) {
-    String name = CHUNK + digits(through) + "-" + unique + "-" + index;
+  ObjectKey chunk(long through, String chunkId, int index) {
+    String name = CHUNK_PREFIX + digits(through) + "-" + chunkId + "-" + index;
     return new ObjectKey(snapshotCollection(), name);
   }
 
   long chunkThrough(ObjectKey key) {
-    return Long.parseLong(key.name().substring(CHUNK.length(), CHUNK.length() + DIGITS));
+    return Long.parseLong(
+        key.name().substring(CHUNK_PREFIX.length(), CHUNK_PREFIX.length() + DIGITS));
   }
 
   private static String digits(long number) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogOptions.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogOptions.java
@@ -9,30 +9,32 @@
 import java.time.Duration;
 
 /**
- * Limits of the logs. Immutable.
+ * The limits of a log. Immutable.
  *
- * @param maxEntryBytes the largest entry, in bytes of its records as JSON
- * @param chunkBytes the largest piece of a snapshot, before it is encoded
- * @param keepEntries truncation keeps this many entries before the snapshot for slow readers
- * @param keepSeals truncation keeps the newest seals, however old: a writer that was paused while
- *     fewer owners than this followed it fails its next append
- * @param resolveAttempts how often a lost answer is looked into before an append is unresolved
- * @param firstRetry the bound of the first distance between these
- * @param longestRetry the bound of all these distances
- * @param watchTimeout how long one watch waits
+ * @param maxEntryBytes the maximum size of an entry: the bytes of its records as JSON
+ * @param chunkBytes the maximum size of a snapshot chunk in bytes, before base64 encoding
+ * @param retainedEntries the number of entries covered by the snapshot that truncation keeps for
+ *     slow readers
+ * @param retainedSeals the number of newest seals that truncation keeps, regardless of their age: a
+ *     writer that was paused while fewer owners than this succeeded it fails its next append
+ * @param maxResolveAttempts the maximum number of retries to resolve a lost response before an
+ *     append is reported as unresolved
+ * @param firstRetryDelay the upper bound of the first delay between retries
+ * @param maxRetryDelay the upper bound of all delays between retries
+ * @param watchTimeout the duration after which the store ends a watch
  * @since 0.1
  */
 public record LogOptions(
     int maxEntryBytes,
     int chunkBytes,
-    int keepEntries,
-    int keepSeals,
-    int resolveAttempts,
-    Duration firstRetry,
-    Duration longestRetry,
+    int retainedEntries,
+    int retainedSeals,
+    int maxResolveAttempts,
+    Duration firstRetryDelay,
+    Duration maxRetryDelay,
     Duration watchTimeout) {
 
-  /** The usual limits. */
+  /** The default limits. */
   public static final LogOptions DEFAULT =
       new LogOptions(
           448 << 10,
@@ -44,6 +46,9 @@
           Duration.ofSeconds(2),
           Duration.ofSeconds(60));
 
-  /** Entries on a page of a listing, so that a page of the largest entries can be read. */
+  /**
+   * The maximum number of objects on a page of a list call, so that a page of entries of the
+   * maximum size stays within the maximum response size.
+   */
   static final int PAGE_ENTRIES = 32;
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogReads.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogReader.java
@@ -22,8 +22,8 @@
 import org.larkkeel.store.StoreVersion;
 import org.larkkeel.store.StoredObject;
 
-/** Reads of one log. Confined to the scheduler. */
-final class LogReads {
+/** Reads the entries, the manifest and the snapshot of one log. Confined to the scheduler. */
+final class LogReader {
   static final String DATA = "data";
 
   private static final int MAX_RESTARTS = 5;
@@ -31,7 +31,7 @@
   private final ObjectApi api;
   private final LogName name;
 
-  LogReads(ObjectApi api, LogName name) {
+  LogReader(ObjectApi api, LogName name) {
     this.api = api;
     this.name = name;
   }
@@ -60,16 +60,16 @@
               }
               return restarts > 0
                   ? read(after, restarts - 1)
-                  : CompletableFuture.failedFuture(torn());
+                  : CompletableFuture.failedFuture(changedDuringRead());
             });
   }
 
-  /** Empty if the snapshot was replaced or entries were truncated under the read. */
+  /** Returns empty if the snapshot was replaced or entries were truncated during the read. */
   private CompletableFuture<Optional<LogView>> read(long after, Manifest m) {
-    if (after >= m.truncated() && after > 0 || m.through() == 0) {
+    if (after >= m.truncatedThrough() && after > 0 || m.through() == 0) {
       return entriesAfter(after, Optional.empty());
     }
-    return content(m)
+    return snapshotContent(m)
         .thenCompose(
             c -> {
               if (c.isEmpty()) {
@@ -82,45 +82,48 @@
 
   private CompletableFuture<Optional<LogView>> entriesAfter(
       long base, Optional<LogSnapshot> snapshot) {
-    Gathered g = new Gathered(base);
-    return pages(g, ListQuery.of(name.value()).withPrefix(name.entryPrefix()))
+    EntryCollector result = new EntryCollector(base);
+    return readPages(result, ListQuery.of(name.value()).withPrefix(name.entryPrefix()))
         .thenApply(
             done ->
-                g.torn
+                result.hasGap
                     ? Optional.empty()
-                    : Optional.of(new LogView(snapshot, g.entries.build(), g.last, g.version)));
+                    : Optional.of(
+                        new LogView(
+                            snapshot, result.entries.build(), result.last, result.version)));
   }
 
-  private CompletableFuture<Void> pages(Gathered g, ListQuery q) {
+  private CompletableFuture<Void> readPages(EntryCollector result, ListQuery query) {
     ListQuery bounded =
-        new ListQuery(q.collection(), q.prefix(), LogOptions.PAGE_ENTRIES, q.continueToken());
+        new ListQuery(
+            query.collection(), query.prefix(), LogOptions.PAGE_ENTRIES, query.continueToken());
     return api.list(bounded)
         .thenCompose(
             page -> {
-              gather(g, page);
+              addPage(result, page);
               return page.isLast()
                   ? CompletableFuture.completedFuture(null)
-                  : pages(g, q.after(page.continueToken()));
+                  : readPages(result, query.after(page.continueToken()));
             });
   }
 
-  private void gather(Gathered g, ObjectPage page) {
-    if (g.version.isNone()) {
-      g.version = page.resourceVersion();
+  private void addPage(EntryCollector result, ObjectPage page) {
+    if (result.version.isNone()) {
+      result.version = page.resourceVersion();
     }
     for (StoredObject o : page.items()) {
       OptionalLong n = name.numberOf(o.key());
       if (n.isPresent()) {
-        g.add(n.getAsLong(), o);
+        result.add(n.getAsLong(), o);
       }
     }
   }
 
-  private CompletableFuture<Optional<byte[]>> content(Manifest m) {
-    return chunks(m.chunks(), 0, new ByteArrayOutputStream());
+  private CompletableFuture<Optional<byte[]>> snapshotContent(Manifest m) {
+    return readChunks(m.chunks(), 0, new ByteArrayOutputStream());
   }
 
-  private CompletableFuture<Optional<byte[]>> chunks(
+  private CompletableFuture<Optional<byte[]>> readChunks(
       ImmutableList<String> names, int i, ByteArrayOutputStream out) {
     if (i == names.size()) {
       return CompletableFuture.completedFuture(Optional.of(out.toByteArray()));
@@ -133,7 +136,7 @@
               }
               byte[] part = Base64.getDecoder().decode(o.get().spec().path(DATA).asText());
               out.write(part, 0, part.length);
-              return chunks(names, i + 1, out);
+              return readChunks(names, i + 1, out);
             });
   }
 
@@ -155,19 +158,20 @@
     return ObjectApiException.failureOf(failure).orElse(null) instanceof ObjectApiFailure.NotFound;
   }
 
-  private ObjectApiException torn() {
+  private ObjectApiException changedDuringRead() {
     return new ObjectApiException(
-        new ObjectApiFailure.Unavailable(), "log " + name + " changed under each of several reads");
+        new ObjectApiFailure.Unavailable(),
+        "log " + name + " changed during each of several reads");
   }
 
-  /** The entries of a read so far. */
-  private static final class Gathered {
+  /** The entries that a read has collected so far. */
+  private static final class EntryCollector {
     final ImmutableList.Builder<LogEntry> entries = ImmutableList.builder();
     long last;
     StoreVersion version = StoreVersion.NONE;
-    boolean torn;
+    boolean hasGap;
 
-    Gathered(long base) {
+    EntryCollector(long base) {
       this.last = base;
     }
 
@@ -176,7 +180,7 @@
         return;
       }
       if (n != last + 1) {
-        torn = true;
+        hasGap = true;
         return;
       }
       last = n;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogSnapshot.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogSnapshot.java
@@ -7,10 +7,10 @@
 package org.larkkeel.store.log;
 
 /**
- * The state of a log's replica after an entry.
+ * The state of a log's replica after a certain entry.
  *
- * @param through the last entry that it covers
- * @param content the state, in the replica's own form; not to be changed
+ * @param through the number of the last entry that the snapshot covers
+ * @param content the state in the replica's own format; must not be modified
  * @since 0.1
  */
 @SuppressWarnings("ArrayRecordComponent")
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogSnapshots.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogSnapshotWriter.java
@@ -26,43 +26,44 @@
 import org.larkkeel.store.StoredObject;
 
 /**
- * Writes snapshots and truncates. Chunks are created first, then the manifest is swapped by a
- * conditional update, then what it covers is deleted. Confined to the scheduler.
+ * Writes snapshots and truncates the log. Chunks are created first, then the manifest is replaced
+ * by a conditional update, then the entries and chunks that it makes obsolete are deleted. Confined
+ * to the scheduler.
  */
-final class LogSnapshots {
+final class LogSnapshotWriter {
   private static final String CHUNK_KIND = "LogSnapshotChunk";
 
   private final ObjectApi api;
   private final LogName name;
   private final LogOptions options;
-  private final LogReads reads;
+  private final LogReader reader;
 
-  LogSnapshots(ObjectApi api, LogName name, LogOptions options, LogReads reads) {
+  LogSnapshotWriter(ObjectApi api, LogName name, LogOptions options, LogReader reader) {
     this.api = api;
     this.name = name;
     this.options = options;
-    this.reads = reads;
+    this.reader = reader;
   }
 
   CompletableFuture<SnapshotResult> write(LogSnapshot s, AppendId id) {
-    return reads
+    return reader
         .manifest()
         .thenCompose(
             old -> {
               if (old.through() >= s.through()) {
                 return CompletableFuture.completedFuture(SnapshotResult.SUPERSEDED);
               }
-              return createChunks(s, id).thenCompose(names -> swap(old, s, names));
+              return createChunks(s, id).thenCompose(names -> replaceManifest(old, s, names));
             });
   }
 
   private CompletableFuture<ImmutableList<String>> createChunks(LogSnapshot s, AppendId id) {
-    String unique = id.toString().replace('/', '_');
+    String chunkId = id.toString().replace('/', '_');
     ImmutableList.Builder<String> names = ImmutableList.builder();
     CompletableFuture<Void> all = CompletableFuture.completedFuture(null);
     int count = Math.max(1, Math.ceilDiv(s.content().length, options.chunkBytes()));
     for (int i = 0; i < count; i++) {
-      ObjectKey key = name.chunk(s.through(), unique, i);
+      ObjectKey key = name.chunk(s.through(), chunkId, i);
       names.add(key.name());
       JsonNode spec = chunkSpec(s.content(), i);
       all = all.thenCompose(ok -> api.create(key, CHUNK_KIND, spec)).thenApply(o -> null);
@@ -74,17 +75,17 @@
     int from = i * options.chunkBytes();
     int to = Math.min(content.length, from + options.chunkBytes());
     String data = Base64.getEncoder().encodeToString(Arrays.copyOfRange(content, from, to));
-    return JsonNodeFactory.instance.objectNode().put(LogReads.DATA, data);
+    return JsonNodeFactory.instance.objectNode().put(LogReader.DATA, data);
   }
 
-  private CompletableFuture<SnapshotResult> swap(
+  private CompletableFuture<SnapshotResult> replaceManifest(
       Manifest old, LogSnapshot s, ImmutableList<String> chunks) {
-    long truncated = Math.max(old.truncated(), s.through() - options.keepEntries());
+    long truncated = Math.max(old.truncatedThrough(), s.through() - options.retainedEntries());
     Manifest m = new Manifest(old.version(), s.through(), truncated, chunks);
     return put(m)
         .thenCompose(ok -> truncate(m))
         .thenApply(ok -> SnapshotResult.WRITTEN)
-        .exceptionallyCompose(LogSnapshots::superseded);
+        .exceptionallyCompose(LogSnapshotWriter::supersededIfConflict);
   }
 
   private CompletableFuture<StoredObject> put(Manifest m) {
@@ -93,11 +94,11 @@
         : api.update(name.manifest(), Manifest.KIND, m.toSpec(), m.version());
   }
 
-  private static CompletableFuture<SnapshotResult> superseded(Throwable t) {
+  private static CompletableFuture<SnapshotResult> supersededIfConflict(Throwable t) {
     ObjectApiFailure f = ObjectApiException.failureOf(t).orElse(null);
-    boolean raced =
+    boolean isConflict =
         f instanceof ObjectApiFailure.Conflict || f instanceof ObjectApiFailure.AlreadyExists;
-    return raced
+    return isConflict
         ? CompletableFuture.completedFuture(SnapshotResult.SUPERSEDED)
         : CompletableFuture.failedFuture(t);
   }
@@ -106,36 +107,36 @@
     List<StoredObject> covered = new ArrayList<>();
     ListQuery entries = ListQuery.of(name.value()).withPrefix(name.entryPrefix());
     ListQuery chunks = ListQuery.of(name.snapshotCollection()).withPrefix(name.chunkPrefix());
-    return gather(entries, covered, o -> isCovered(o, m))
+    return collect(entries, covered, o -> isCovered(o, m))
         .thenCompose(ok -> deleteAll(withoutNewestSeals(covered), 0))
-        .thenCompose(ok -> sweepChunks(chunks, m));
+        .thenCompose(ok -> deleteOldChunks(chunks, m));
   }
 
-  private CompletableFuture<Void> sweepChunks(ListQuery q, Manifest m) {
+  private CompletableFuture<Void> deleteOldChunks(ListQuery q, Manifest m) {
     List<StoredObject> old = new ArrayList<>();
-    return gather(q, old, o -> name.chunkThrough(o.key()) < m.through())
+    return collect(q, old, o -> name.chunkThrough(o.key()) < m.through())
         .thenCompose(ok -> deleteAll(old, 0));
   }
 
   private boolean isCovered(StoredObject o, Manifest m) {
     OptionalLong n = name.numberOf(o.key());
-    return n.isPresent() && n.getAsLong() <= m.truncated();
+    return n.isPresent() && n.getAsLong() <= m.truncatedThrough();
   }
 
   private List<StoredObject> withoutNewestSeals(List<StoredObject> covered) {
-    List<StoredObject> doomed = new ArrayList<>(covered);
+    List<StoredObject> obsolete = new ArrayList<>(covered);
     int kept = 0;
-    for (int i = doomed.size() - 1; i >= 0 && kept < options.keepSeals(); i--) {
-      StoredObject o = doomed.get(i);
+    for (int i = obsolete.size() - 1; i >= 0 && kept < options.retainedSeals(); i--) {
+      StoredObject o = obsolete.get(i);
       if (LogCodec.read(name.numberOf(o.key()).getAsLong(), o.spec()).type() == EntryType.SEAL) {
-        doomed.remove(i);
+        obsolete.remove(i);
         kept++;
       }
     }
-    return doomed;
+    return obsolete;
   }
 
-  private CompletableFuture<Void> gather(
+  private CompletableFuture<Void> collect(
       ListQuery q, List<StoredObject> into, Predicate<StoredObject> filter) {
     ListQuery bounded =
         new ListQuery(q.collection(), q.prefix(), LogOptions.PAGE_ENTRIES, q.continueToken());
@@ -145,23 +146,23 @@
               page.items().stream().filter(filter).forEach(into::add);
               return page.isLast()
                   ? CompletableFuture.completedFuture(null)
-                  : gather(q.after(page.continueToken()), into, filter);
+                  : collect(q.after(page.continueToken()), into, filter);
             });
   }
 
-  /** One at a time, so that a truncation takes no more than one call of the budget at once. */
-  private CompletableFuture<Void> deleteAll(List<StoredObject> doomed, int i) {
-    if (i == doomed.size()) {
+  /** Deletes one object at a time, so that truncation uses one call of the store budget at once. */
+  private CompletableFuture<Void> deleteAll(List<StoredObject> objects, int i) {
+    if (i == objects.size()) {
       return CompletableFuture.completedFuture(null);
     }
-    StoredObject o = doomed.get(i);
+    StoredObject o = objects.get(i);
     return api.delete(o.key(), o.resourceVersion())
-        .exceptionally(LogSnapshots::ignoreGone)
-        .thenCompose(ok -> deleteAll(doomed, i + 1));
+        .exceptionally(LogSnapshotWriter::ignoreNotFound)
+        .thenCompose(ok -> deleteAll(objects, i + 1));
   }
 
-  private static Void ignoreGone(Throwable t) {
-    if (LogReads.isNotFound(t)) {
+  private static Void ignoreNotFound(Throwable t) {
+    if (LogReader.isNotFound(t)) {
       return null;
     }
     throw new CompletionException(t);
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogView.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogView.java
@@ -11,15 +11,15 @@
 import org.larkkeel.store.StoreVersion;
 
 /**
- * What a read of a log returned.
+ * The result of reading a log.
  *
- * <p>Invariant: the entries follow one another without gaps, from the snapshot or else from where
- * the reader asked.
+ * <p>Invariant: the entries are consecutive, starting after the snapshot, or after the reader's
+ * position if there is no snapshot.
  *
- * @param snapshot where to start from, empty if the reader's own place will do
- * @param entries the entries after it, in order
- * @param tail the last entry of the log, 0 if it is empty
- * @param resourceVersion a watch may start from it
+ * @param snapshot the state to start from, empty if the entries continue from the reader's position
+ * @param entries the entries after the snapshot or the reader's position, in order
+ * @param tail the number of the last entry of the log, 0 if the log is empty
+ * @param resourceVersion the version from which a watch can start
  * @since 0.1
  */
 public record LogView(
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogWriter.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogWriter.java
@@ -19,12 +19,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The owner of a log: takes it over by a seal, then commits records in groups.
+ * Writes a log as its owner: takes ownership by appending a seal, then commits records in batches.
  *
- * <p>Invariants: at most one append is in progress, and the same entry is appended until its fate
- * is known. The replica has exactly the entries up to the last one known. A record is reported
- * committed only after its entry is known to be in the log. After another owner's seal nothing more
- * is committed, whatever this process's clock says. Confined to the scheduler.
+ * <p>Invariants: at most one append is in progress, and the same entry is appended until its
+ * outcome is known. The replica holds exactly the entries up to the last one known. A record is
+ * reported committed only after its entry is known to be in the log. After another owner's seal
+ * nothing more is committed, regardless of this process's clock. Confined to the scheduler.
  *
  * @since 0.1
  */
@@ -42,18 +42,18 @@
   private List<Submission> batch = List.of();
   private Phase phase = Phase.NEW;
   private long last;
-  private long nextStart;
+  private long nextAppendNanos;
   private boolean flushScheduled;
   private int entriesSinceSnapshot;
   private long bytesSinceSnapshot;
-  private boolean snapshotting;
+  private boolean snapshotInProgress;
 
   /**
    * Creates a writer that does not own the log yet.
    *
    * @param log the log
    * @param options limits
-   * @param replica an empty state
+   * @param replica the state to build from the log; empty
    */
   public LogWriter(ObjectLog log, LogWriterOptions options, Replica replica) {
     this.log = log;
@@ -61,11 +61,12 @@
     this.options = options;
     this.replica = replica;
     this.backoff = log.newBackoff();
-    this.nextStart = scheduler.nanoTime();
+    this.nextAppendNanos = scheduler.nanoTime();
   }
 
   /**
-   * Takes the log over: reads it and appends a seal; tries until it succeeds or is closed.
+   * Takes ownership of the log: reads it and appends a seal. Retries until it succeeds or the
+   * writer is closed.
    *
    * @return completes when this process owns the log; never fails
    */
@@ -76,28 +77,28 @@
   }
 
   /**
-   * The end of the ownership.
+   * Returns a future for the end of the ownership.
    *
-   * @return completes when another process has taken the log over
+   * @return completes when another process has taken the log over, or this writer is closed
    */
   public CompletableFuture<Void> deposed() {
     return deposed;
   }
 
   /**
-   * Tells whether records are taken.
+   * Returns whether this process owns the log and records are accepted.
    *
-   * @return true between the take-over by this process and that by another
+   * @return true from the seal of this process until it learns of another owner's seal or closes
    */
   public boolean isOwner() {
     return phase == Phase.OWNER;
   }
 
   /**
-   * Gives a record to commit with others.
+   * Submits a record, which is committed in one entry with others.
    *
    * @param record the record
-   * @return its way into the log
+   * @return the submission, which completes with the outcome
    */
   public Submission submit(JsonNode record) {
     Submission s = new Submission(record);
@@ -113,10 +114,10 @@
   }
 
   /**
-   * Takes a record back.
+   * Withdraws a record that has not been sent to the store.
    *
-   * @param s the record's way
-   * @return true if it was not sent and now never will be; its result is then {@link
+   * @param s the submission of the record
+   * @return true if the record was withdrawn and will never be sent; its result is then {@link
    *     CommitResult#NOT_COMMITTED}
    */
   public boolean withdraw(Submission s) {
@@ -127,10 +128,10 @@
     return removed;
   }
 
-  /** Gives the log up without a seal; records not sent are not committed. */
+  /** Ends the ownership without a seal; records that were not sent are not committed. */
   @Override
   public void close() {
-    end(Phase.CLOSED, CommitResult.UNKNOWN);
+    endOwnership(Phase.CLOSED, CommitResult.UNKNOWN);
   }
 
   private void readTail() {
@@ -174,14 +175,14 @@
     }
     log.append(seal)
         .setPrior(prior)
-        .setGuard(Guard.READ_MANIFEST)
+        .setGuard(TruncationGuard.READ_MANIFEST)
         .call()
-        .thenAccept(r -> sealed(seal, r));
+        .thenAccept(r -> sealCompleted(seal, r));
   }
 
-  private void sealed(LogEntry seal, AppendResult r) {
+  private void sealCompleted(LogEntry seal, AppendResult r) {
     switch (r) {
-      case AppendResult.Appended a -> own(seal);
+      case AppendResult.Appended a -> becomeOwner(seal);
       case AppendResult.Unresolved u ->
           scheduler.schedule(backoff.next(), () -> seal(seal, Prior.UNRESOLVED));
       case AppendResult.Lost l -> readTail();
@@ -190,7 +191,7 @@
     }
   }
 
-  private void own(LogEntry seal) {
+  private void becomeOwner(LogEntry seal) {
     if (phase != Phase.OPENING) {
       return;
     }
@@ -205,10 +206,10 @@
     if (phase != Phase.OWNER || !batch.isEmpty() || queue.isEmpty() || flushScheduled) {
       return;
     }
-    long wait = nextStart - scheduler.nanoTime();
-    if (wait > 0) {
+    long waitNanos = nextAppendNanos - scheduler.nanoTime();
+    if (waitNanos > 0) {
       flushScheduled = true;
-      scheduler.schedule(Duration.ofNanos(wait), this::flushNow);
+      scheduler.schedule(Duration.ofNanos(waitNanos), this::flushNow);
     } else {
       flushNow();
     }
@@ -220,43 +221,43 @@
       return;
     }
     batch = nextBatch();
-    nextStart = scheduler.nanoTime() + options.interval().toNanos();
+    nextAppendNanos = scheduler.nanoTime() + options.interval().toNanos();
     List<JsonNode> records = batch.stream().map(Submission::record).toList();
     append(LogEntry.records(last + 1, log.nextAppend(), records), Prior.NONE);
   }
 
   private List<Submission> nextBatch() {
-    List<Submission> taken = new ArrayList<>();
+    List<Submission> next = new ArrayList<>();
     int bytes = 0;
     while (!queue.isEmpty()) {
       bytes += queue.peekFirst().bytes();
-      if (!taken.isEmpty() && bytes > log.options().maxEntryBytes()) {
+      if (!next.isEmpty() && bytes > log.options().maxEntryBytes()) {
         break;
       }
-      taken.add(queue.removeFirst());
+      next.add(queue.removeFirst());
     }
-    return taken;
+    return next;
   }
 
   private void append(LogEntry e, Prior prior) {
     log.append(e)
         .setPrior(prior)
-        .setGuard(Guard.RETAINED_SEAL)
+        .setGuard(TruncationGuard.RETAINED_SEAL)
         .call()
-        .thenAccept(r -> appended(e, r));
+        .thenAccept(r -> appendCompleted(e, r));
   }
 
-  private void appended(LogEntry e, AppendResult r) {
+  private void appendCompleted(LogEntry e, AppendResult r) {
     if (phase != Phase.OWNER) {
       return;
     }
     switch (r) {
       case AppendResult.Appended a -> commit(e);
-      case AppendResult.NotAppended n -> settle(CommitResult.NOT_COMMITTED);
+      case AppendResult.NotAppended n -> completeBatch(CommitResult.NOT_COMMITTED);
       case AppendResult.Unresolved u ->
           scheduler.schedule(backoff.next(), () -> append(e, Prior.UNRESOLVED));
-      case AppendResult.Lost l -> end(Phase.DEPOSED, CommitResult.DEPOSED);
-      case AppendResult.Forgotten f -> end(Phase.DEPOSED, CommitResult.UNKNOWN);
+      case AppendResult.Lost l -> endOwnership(Phase.DEPOSED, CommitResult.DEPOSED);
+      case AppendResult.Forgotten f -> endOwnership(Phase.DEPOSED, CommitResult.UNKNOWN);
     }
   }
 
@@ -265,28 +266,28 @@
     apply(e);
     entriesSinceSnapshot++;
     batch.forEach(s -> bytesSinceSnapshot += s.bytes());
-    settle(CommitResult.COMMITTED);
+    completeBatch(CommitResult.COMMITTED);
     snapshotIfDue();
   }
 
-  private void settle(CommitResult r) {
+  private void completeBatch(CommitResult r) {
     List<Submission> done = batch;
     batch = List.of();
     done.forEach(s -> s.result().complete(r));
     flush();
   }
 
-  private void end(Phase how, CommitResult ofBatch) {
+  private void endOwnership(Phase endPhase, CommitResult batchResult) {
     if (phase == Phase.CLOSED || phase == Phase.DEPOSED) {
       return;
     }
-    phase = how;
-    if (how == Phase.DEPOSED) {
+    phase = endPhase;
+    if (endPhase == Phase.DEPOSED) {
       LOG.info("event=log-lost log={} last={}", log.name(), last);
     }
     List<Submission> waiting = List.copyOf(queue);
     queue.clear();
-    settle(ofBatch);
+    completeBatch(batchResult);
     waiting.forEach(s -> s.result().complete(CommitResult.DEPOSED));
     deposed.complete(null);
   }
@@ -295,17 +296,17 @@
     boolean due =
         entriesSinceSnapshot >= options.snapshotEntries()
             || bytesSinceSnapshot >= options.snapshotBytes();
-    if (!due || snapshotting) {
+    if (!due || snapshotInProgress) {
       return;
     }
-    snapshotting = true;
+    snapshotInProgress = true;
     entriesSinceSnapshot = 0;
     bytesSinceSnapshot = 0;
-    log.writeSnapshot(new LogSnapshot(last, replica.save())).whenComplete(this::snapshotted);
+    log.writeSnapshot(new LogSnapshot(last, replica.save())).whenComplete(this::snapshotCompleted);
   }
 
-  private void snapshotted(SnapshotResult r, Throwable failure) {
-    snapshotting = false;
+  private void snapshotCompleted(SnapshotResult r, Throwable failure) {
+    snapshotInProgress = false;
     if (failure != null) {
       LOG.warn("event=snapshot-failed log={} cause=\"{}\"", log.name(), failure.getMessage());
     }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogWriterOptions.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogWriterOptions.java
@@ -9,18 +9,19 @@
 import java.time.Duration;
 
 /**
- * Limits of a writer. Immutable.
+ * The limits of a {@link LogWriter}. Immutable.
  *
- * @param interval the shortest distance between the beginnings of two entries, so that the write
- *     rate does not depend on the rate of records
- * @param maxPending records that may wait; more are refused
- * @param snapshotEntries entries between snapshots
- * @param snapshotBytes bytes of records between snapshots, whichever comes first
+ * @param interval the minimum time between the starts of two appends, so that the write rate does
+ *     not depend on the rate of records
+ * @param maxPending the maximum number of records that may wait; further ones are refused
+ * @param snapshotEntries the number of entries after which a snapshot is written
+ * @param snapshotBytes the bytes of records after which a snapshot is written, if reached before
+ *     {@code snapshotEntries}
  * @since 0.1
  */
 public record LogWriterOptions(
     Duration interval, int maxPending, int snapshotEntries, long snapshotBytes) {
-  /** The usual limits. */
+  /** The default limits. */
   public static final LogWriterOptions DEFAULT =
       new LogWriterOptions(Duration.ofMillis(50), 10_000, 256, 4L << 20);
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Manifest.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Manifest.java
@@ -14,17 +14,18 @@
 import org.larkkeel.store.StoreVersion;
 
 /**
- * Names the current snapshot of a log.
+ * The object that names the current snapshot of a log.
  *
- * <p>Invariant: {@code truncated <= through}; neither ever decreases. It is swapped before any
- * entry is deleted. Immutable.
+ * <p>Invariant: {@code truncatedThrough <= through}, and neither ever decreases. The manifest is
+ * replaced before the entries that it declares truncated are deleted. Immutable.
  *
- * @param version the object's version, none if there is none yet
- * @param through the last entry that the snapshot covers, 0 for none
- * @param truncated entries up to this one may be gone
+ * @param version the version of the stored object, {@link StoreVersion#NONE} if none is stored yet
+ * @param through the number of the last entry that the snapshot covers, 0 for none
+ * @param truncatedThrough entries up to and including this number may have been deleted
  * @param chunks the names of the objects that hold the snapshot, in order, never null
  */
-record Manifest(StoreVersion version, long through, long truncated, ImmutableList<String> chunks) {
+record Manifest(
+    StoreVersion version, long through, long truncatedThrough, ImmutableList<String> chunks) {
   static final String KIND = "LogManifest";
   static final Manifest NONE = new Manifest(StoreVersion.NONE, 0, 0, ImmutableList.of());
 
@@ -41,7 +42,7 @@
 
   JsonNode toSpec() {
     ObjectNode o = JsonNodeFactory.instance.objectNode();
-    o.put(THROUGH, through).put(TRUNCATED, truncated);
+    o.put(THROUGH, through).put(TRUNCATED, truncatedThrough);
     ArrayNode names = o.putArray(CHUNKS);
     chunks.forEach(names::add);
     return o;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/ObjectLog.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/ObjectLog.java
@@ -19,11 +19,12 @@
 /**
  * An append-only log over the object API.
  *
- * <p>Entry <i>n</i> is an object created only if absent, so appending is a compare-and-set on
- * <i>n</i>. Invariants: an entry once read never changes; entries have no gaps; of any number of
- * writers at one place exactly one wins, and each learns whether it did or that it does not know.
+ * <p>Entry <i>n</i> is an object that is created only if absent, so appending is a compare-and-set
+ * on <i>n</i>. Invariants: an entry never changes once it was read; the entries have no gaps; of
+ * concurrent writers at one position at most one succeeds, and each learns whether it succeeded,
+ * failed, or has an unknown outcome.
  *
- * <p>Confined to the scheduler: call its methods there only.
+ * <p>Confined to the scheduler: call its methods only there.
  *
  * @since 0.1
  */
@@ -34,17 +35,17 @@
   private final Scheduler scheduler;
   private final RandomGenerator random;
   private final LogOptions options;
-  private final LogReads reads;
-  private final LogSnapshots snapshots;
+  private final LogReader reader;
+  private final LogSnapshotWriter snapshotWriter;
   private long sequence;
 
   /**
-   * Opens a log; nothing is called yet.
+   * Creates an accessor of a log; makes no call to the store.
    *
    * @param api the object API
-   * @param name names the log
-   * @param writer this process
-   * @param scheduler the API's scheduler
+   * @param name the name of the log
+   * @param writer the ID of this process
+   * @param scheduler the scheduler of the API
    * @param random the source of jitter
    * @param options limits
    */
@@ -61,14 +62,14 @@
     this.scheduler = scheduler;
     this.random = random;
     this.options = options;
-    this.reads = new LogReads(api, name);
-    this.snapshots = new LogSnapshots(api, name, options, reads);
+    this.reader = new LogReader(api, name);
+    this.snapshotWriter = new LogSnapshotWriter(api, name, options, reader);
   }
 
   /**
-   * Names the next append of this process.
+   * Returns a new ID for an append by this process.
    *
-   * @return an id that was not used before
+   * @return an ID that was not returned before
    */
   public AppendId nextAppend() {
     sequence++;
@@ -76,32 +77,32 @@
   }
 
   /**
-   * Prepares to append an entry.
+   * Creates a command that appends an entry.
    *
-   * @param entry the entry, at the place after the last one known
-   * @return the command
+   * @param entry the entry, whose number follows the last one known
+   * @return the command, not started
    */
   public AppendCommand append(LogEntry entry) {
     return new AppendCommand(this, entry);
   }
 
   /**
-   * Reads the log.
+   * Reads the entries after a position.
    *
-   * @param after the last entry that the reader has, 0 for none
-   * @return what follows, from a snapshot if the reader's place is gone; fails with {@link
-   *     org.larkkeel.store.ObjectApiException}
+   * @param after the number of the last entry that the reader has, 0 for none
+   * @return the entries that follow, preceded by a snapshot if the reader's position is truncated;
+   *     fails with {@link org.larkkeel.store.ObjectApiException}
    */
   public CompletableFuture<LogView> read(long after) {
-    return reads.read(after);
+    return reader.read(after);
   }
 
   /**
    * Follows the log until closed.
    *
-   * @param after the last entry that the reader has, 0 for none
+   * @param after the number of the last entry that the reader has, 0 for none
    * @param listener receives snapshots and entries in order
-   * @return the follower, already running
+   * @return the follower, already started
    */
   public LogFollower follow(long after, LogFollower.Listener listener) {
     LogFollower f = new LogFollower(this, after, listener);
@@ -110,18 +111,18 @@
   }
 
   /**
-   * Replaces the snapshot, then deletes entries that it covers, but for some kept for slow readers
-   * and the newest seals. An older snapshot never replaces a newer one.
+   * Replaces the snapshot, then deletes the entries that it covers, except the newest seals and
+   * some entries that are kept for slow readers. An older snapshot never replaces a newer one.
    *
    * @param snapshot the state after an entry that is in the log
-   * @return what came of it; fails with {@link org.larkkeel.store.ObjectApiException}
+   * @return the outcome; fails with {@link org.larkkeel.store.ObjectApiException}
    */
   public CompletableFuture<SnapshotResult> writeSnapshot(LogSnapshot snapshot) {
-    return snapshots.write(snapshot, nextAppend());
+    return snapshotWriter.write(snapshot, nextAppend());
   }
 
   /**
-   * The name of the log.
+   * Returns the name of the log.
    *
    * @return the name, never null
    */
@@ -130,7 +131,7 @@
   }
 
   /**
-   * The limits of the log.
+   * Returns the limits of the log.
    *
    * @return the options, never null
    */
@@ -146,15 +147,15 @@
     return scheduler;
   }
 
-  LogReads reads() {
-    return reads;
+  LogReader reader() {
+    return reader;
   }
 
   Backoff newBackoff() {
-    return new Backoff(options.firstRetry(), options.longestRetry(), random);
+    return new Backoff(options.firstRetryDelay(), options.maxRetryDelay(), random);
   }
 
-  /** Watches the entries, for the follower. */
+  /** Watches the entries, for {@link LogFollower}. */
   Watch watch(StoreVersion resourceVersion, Consumer<WatchEvent> listener) {
     return api.watch(name.value(), resourceVersion, options.watchTimeout(), listener);
   }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Prior.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Prior.java
@@ -7,13 +7,13 @@
 package org.larkkeel.store.log;
 
 /**
- * What is known of earlier attempts to append the same entry.
+ * The state of knowledge of earlier attempts to append the same entry.
  *
  * @since 0.1
  */
 public enum Prior {
-  /** There was none, or it is known to have had no effect. */
+  /** There was no earlier attempt, or all are known to have had no effect. */
   NONE,
-  /** The outcome of one is unknown. */
+  /** The outcome of an earlier attempt is unknown. */
   UNRESOLVED
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Replica.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Replica.java
@@ -7,30 +7,30 @@
 package org.larkkeel.store.log;
 
 /**
- * The state that a log's entries make up. Called on the scheduler only.
+ * The state that results from applying a log's entries in order. Called on the scheduler only.
  *
  * @since 0.1
  */
 public interface Replica {
 
   /**
-   * Replaces the state.
+   * Replaces the state by that of a snapshot.
    *
-   * @param snapshot what {@link #save} returned after an entry
+   * @param snapshot the snapshot, whose content is a result of {@link #save}
    */
   void restore(LogSnapshot snapshot);
 
   /**
    * Applies the next entry.
    *
-   * @param entry the entry after the last one
+   * @param entry the entry that follows the last one applied or covered by the snapshot
    */
   void apply(LogEntry entry);
 
   /**
-   * Writes the state.
+   * Serializes the state.
    *
-   * @return the state in the replica's own form
+   * @return the state in the replica's own format
    */
   byte[] save();
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/SnapshotResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/SnapshotResult.java
@@ -7,13 +7,13 @@
 package org.larkkeel.store.log;
 
 /**
- * What came of writing a snapshot.
+ * The outcome of writing a snapshot.
  *
  * @since 0.1
  */
 public enum SnapshotResult {
-  /** It is the log's snapshot. */
+  /** The snapshot is now the log's current one. */
   WRITTEN,
-  /** The log has one as new, or another writer was faster. */
+  /** The log already has a snapshot at least as new, or another writer replaced it first. */
   SUPERSEDED
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Submission.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Submission.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A record on its way into the log. Confined to the scheduler.
+ * A record that was submitted to a {@link LogWriter}. Confined to the scheduler.
  *
  * @since 0.1
  */
@@ -25,9 +25,9 @@
   }
 
   /**
-   * What became of the record.
+   * Returns the outcome of the record.
    *
-   * @return never fails
+   * @return completes with the outcome; never fails
    */
   public CompletableFuture<CommitResult> result() {
     return result;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/WriterId.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/WriterId.java
@@ -10,27 +10,27 @@
 import org.larkkeel.lib.Incarnation;
 
 /**
- * One start of the process on one host. Immutable.
+ * One incarnation of the process on a host: one run from start to end. Immutable.
  *
  * @param host the host, never null
- * @param incarnation the start, never null
+ * @param incarnation the incarnation, never null
  * @since 0.1
  */
 public record WriterId(HostName host, Incarnation incarnation) {
   private static final char SEPARATOR = '/';
 
   /**
-   * Reads the text form.
+   * Parses the text form.
    *
-   * @param text what {@link #toString} returned
-   * @return the id
+   * @param text a result of {@link #toString}
+   * @return the ID
    * @throws IllegalArgumentException if the text is malformed
    */
   public static WriterId parse(String text) {
     int i = text.lastIndexOf(SEPARATOR);
     if (i < 0) {
       throw new IllegalArgumentException(
-          "the writer is \"" + text + "\": expected host/incarnation");
+          "writer ID \"" + text + "\" is malformed: expected host/incarnation");
     }
     return new WriterId(
         new HostName(text.substring(0, i)), new Incarnation(Long.parseLong(text.substring(i + 1))));
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/package-info.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An append-only log over the object API: the one primitive for everything that must be agreed or
- * kept.
+ * An append-only log over the object API, on which everything that needs agreement or durability is
+ * built.
  */
 package org.larkkeel.store.log;
