--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/Defects.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/Defects.java
@@ -185,7 +185,7 @@
             "deposed owner never takes its shard back",
             inPlatform(
                 "run/RunLog",
-                "scheduler.schedule(wait, this::adjust);",
+                "scheduler.schedule(wait, this::updateOwnedShards);",
                 "scheduler.schedule(wait, () -> {});")));
   }
 
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunHistoryTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunHistoryTest.java
@@ -27,16 +27,19 @@
 import org.larkkeel.store.Fault;
 import org.testng.annotations.Test;
 
-/** Generated histories of {@link RunLog}, against a naive model and against its promises. */
+/**
+ * Tests {@link RunLog} with generated histories: without faults against a reference model, and with
+ * faults against its invariants.
+ */
 public class RunHistoryTest {
   private static final int MAX_STEP = 1 << 20;
   private static final List<String> KEYS = List.of("k0", "k1", "k2", "k3");
 
-  /** One host without faults answers as a map would. */
+  /** Without faults, a single host gives the same results as a map of the runs. */
   public static class Differential {
 
     @Test
-    public void agreesWithTheNaiveModel() {
+    public void agreesWithTheReferenceModel() {
       qt().withFixedSeed(7)
           .withExamples(300)
           .withShrinkCycles(200)
@@ -49,18 +52,18 @@
       RunRig.Host a = rig.host("a");
       a.log.setMembers(RunRig.members(a));
       rig.time.advance(Duration.ofSeconds(1));
-      Map<String, NaiveRun> model = new HashMap<>();
+      Map<String, ModelRun> model = new HashMap<>();
       for (int v : steps) {
         String key = KEYS.get(v % KEYS.size());
         int op = v / KEYS.size() % 6;
         if (op < 3) {
           String digest = op == 0 ? "other" : "digest";
           RunToken t = a.token();
-          String expected = claim(model, key, digest, t);
+          String expected = claimInModel(model, key, digest, t);
           ClaimResult got = rig.await(a.log.claim(new ClaimRequest(RunRig.id(key), digest, t)));
           assertEquals(text(got), expected);
         } else {
-          NaiveRun run = model.get(key);
+          ModelRun run = model.get(key);
           RunToken t = run == null ? a.token() : run.token;
           RunOutcome o =
               switch (op) {
@@ -70,23 +73,23 @@
               };
           RecordResult got = rig.await(a.log.record(RunRig.id(key), t, o));
           assertEquals(got, run == null ? RecordResult.NO_SUCH_RUN : RecordResult.RECORDED);
-          settle(model, key, op);
+          recordInModel(model, key, op);
         }
       }
     }
 
-    private static String claim(
-        Map<String, NaiveRun> model, String key, String digest, RunToken t) {
-      NaiveRun run = model.get(key);
+    private static String claimInModel(
+        Map<String, ModelRun> model, String key, String digest, RunToken t) {
+      ModelRun run = model.get(key);
       if (run == null) {
-        model.put(key, new NaiveRun(digest, t));
+        model.put(key, new ModelRun(digest, t));
         return "Claimed " + t;
       }
       return run.digest.equals(digest) ? run.state : "KeyReused";
     }
 
-    private static void settle(Map<String, NaiveRun> model, String key, int op) {
-      NaiveRun run = model.get(key);
+    private static void recordInModel(Map<String, ModelRun> model, String key, int op) {
+      ModelRun run = model.get(key);
       if (run == null || run.state.startsWith("AlreadyDone")) {
         return;
       }
@@ -102,12 +105,12 @@
     }
   }
 
-  private static final class NaiveRun {
+  private static final class ModelRun {
     final String digest;
     final RunToken token;
     String state = "InProgress";
 
-    NaiveRun(String digest, RunToken token) {
+    ModelRun(String digest, RunToken token) {
       this.digest = digest;
       this.token = token;
     }
@@ -126,8 +129,11 @@
     };
   }
 
-  /** Hosts that race, pause, die and lose answers keep the promises. */
-  public static class Promises {
+  /**
+   * Hosts that disagree about the members, pause, crash, or lose store responses: a claim must be
+   * durable before it is reported, and a request may be claimed again only after its release.
+   */
+  public static class Invariants {
 
     @Test
     public void holdThroughFaults() {
@@ -151,7 +157,7 @@
     private final List<RunRig.Host> hosts = new ArrayList<>();
     private final Random random;
     private final Map<String, List<RunToken>> claimed = new HashMap<>();
-    private final List<Claim> open = new ArrayList<>();
+    private final List<Claim> openClaims = new ArrayList<>();
     private final Set<RunToken> released = new HashSet<>();
     private int incarnations = 1;
     private int faultsLeft;
@@ -168,12 +174,12 @@
 
     private RunRig.Host start(String name) {
       RunRig.Host h = rig.new Host(name, incarnations++, OPTIONS);
-      h.api.setWriteFaults(this::fault);
+      h.api.setWriteFaults(this::nextFault);
       h.log.setMembers(ImmutableSet.of(new HostName(name)));
       return h;
     }
 
-    private Fault fault() {
+    private Fault nextFault() {
       if (faultsLeft == 0) {
         return Fault.NONE;
       }
@@ -186,7 +192,7 @@
         step(v % 12, v / 12);
         rig.time.advance(Duration.ofMillis(random.nextInt(60)));
       }
-      heal();
+      checkOwnersAfterFaultsEnd();
       if (failure != null) {
         throw new AssertionError(failure);
       }
@@ -228,20 +234,22 @@
     private void claim(RunRig.Host h, String key) {
       RunToken t = h.token();
       ClaimRequest q = new ClaimRequest(RunRig.id(key), "digest", t);
-      h.log.claim(q).thenAccept(r -> answered(key, t, r)).whenComplete(this::keepFailure);
+      h.log.claim(q).thenAccept(r -> checkResult(key, t, r)).whenComplete(this::keepFailure);
     }
 
-    private void answered(String key, RunToken t, ClaimResult r) {
+    private void checkResult(String key, RunToken t, ClaimResult r) {
       switch (r) {
         case ClaimResult.Claimed c -> {
           assertEquals(c.token(), t);
-          assertTrue(isInStore(t), "claimed before it was durable: " + t);
-          List<RunToken> before = claimed.computeIfAbsent(key, k -> new ArrayList<>());
-          assertTrue(released.containsAll(before), key + " claimed by " + before + " and " + t);
-          before.add(t);
-          open.add(new Claim(key, t));
+          assertTrue(isInStore(t), "claimed before the claim was durable: " + t);
+          List<RunToken> earlier = claimed.computeIfAbsent(key, k -> new ArrayList<>());
+          assertTrue(released.containsAll(earlier), key + " claimed by " + earlier + " and " + t);
+          earlier.add(t);
+          openClaims.add(new Claim(key, t));
         }
-        case ClaimResult.Unavailable u -> assertFalse(isInStore(t), "told as not run: " + t);
+        case ClaimResult.Unavailable u ->
+            assertFalse(
+                isInStore(t), "reported unavailable although the claim is in the store: " + t);
         case ClaimResult.AlreadyDone d -> {
           String by = new String(d.answer().orElseThrow().body(), UTF_8);
           assertTrue(claimed.get(key).contains(RunToken.parse(by)), by);
@@ -250,7 +258,7 @@
       }
     }
 
-    /** A failed assertion in a callback would be lost in its future. */
+    /** Keeps the first failed assertion of a callback, which its future would hide. */
     private void keepFailure(Void ok, Throwable t) {
       if (t != null && failure == null) {
         failure = t;
@@ -266,12 +274,12 @@
     }
 
     private void record(RunRig.Host h, int p) {
-      if (open.isEmpty()) {
+      if (openClaims.isEmpty()) {
         return;
       }
-      Claim c = open.get(p / 3 % open.size());
+      Claim c = openClaims.get(p / 3 % openClaims.size());
       if (p % 5 == 0 && !released.contains(c.token)) {
-        open.remove(c);
+        openClaims.remove(c);
         released.add(c.token);
         h.log.record(RunRig.id(c.key), c.token, new RunOutcome.NotRun());
       } else {
@@ -279,7 +287,7 @@
       }
     }
 
-    private void heal() {
+    private void checkOwnersAfterFaultsEnd() {
       rig.store.setOutage(false);
       faultsLeft = 0;
       hosts.forEach(h -> h.process.resume());
@@ -287,25 +295,25 @@
       hosts.forEach(h -> h.log.setMembers(all));
       rig.time.advance(Duration.ofSeconds(30));
       for (String key : KEYS) {
-        int served = 0;
+        int owners = 0;
         for (RunRig.Host h : hosts) {
           ClaimResult r = claimNow(h, key);
           if (r instanceof ClaimResult.Unavailable) {
-            // An owner learns at its first append that it was deposed, and takes the shard back.
+            // A deposed owner learns of it at its first append; the shard is then taken back.
             rig.time.advance(Duration.ofSeconds(5));
             r = claimNow(h, key);
           }
-          assertFalse(r instanceof ClaimResult.Unavailable, "unavailable after healing");
-          served += r instanceof ClaimResult.NotOwner ? 0 : 1;
+          assertFalse(r instanceof ClaimResult.Unavailable, "unavailable after the faults ended");
+          owners += r instanceof ClaimResult.NotOwner ? 0 : 1;
         }
-        assertEquals(served, 1, "owners of " + key);
+        assertEquals(owners, 1, "owners of " + key);
       }
     }
 
     private ClaimResult claimNow(RunRig.Host h, String key) {
       RunToken t = h.token();
       ClaimResult r = rig.await(h.log.claim(new ClaimRequest(RunRig.id(key), "digest", t)));
-      answered(key, t, r);
+      checkResult(key, t, r);
       return r;
     }
   }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunLogTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunLogTest.java
@@ -26,11 +26,11 @@
 import org.larkkeel.store.run.RunRig.Host;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RunLog}. */
+/** Tests {@link RunLog}. */
 public class RunLogTest {
-  private static final String D = "digest";
+  private static final String DIGEST = "digest";
 
-  private static Host alone(RunRig rig) {
+  private static Host startSingleHost(RunRig rig) {
     Host a = rig.host("a");
     a.log.setMembers(RunRig.members(a));
     rig.time.advance(Duration.ofSeconds(1));
@@ -45,31 +45,31 @@
     return new String(((AlreadyDone) r).answer().orElseThrow().body(), UTF_8);
   }
 
-  /** One owner, no faults. */
-  public static class Answers {
+  /** One owner without faults: results of claims and records. */
+  public static class WithoutFaults {
 
     @Test
     public void firstClaimWinsAndRetriesGetTheAnswer() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
-      Claimed c = (Claimed) a.claim("k", D);
-      assertEquals(a.claim("k", D), new InProgress());
+      Host a = startSingleHost(rig);
+      Claimed c = (Claimed) a.claim("k", DIGEST);
+      assertEquals(a.claim("k", DIGEST), new InProgress());
       assertEquals(a.claim("k", "other"), new KeyReused());
       assertEquals(
           rig.await(a.log.record(RunRig.id("k"), c.token(), answered("yes"))),
           RecordResult.RECORDED);
-      assertEquals(body(a.claim("k", D)), "yes");
+      assertEquals(body(a.claim("k", DIGEST)), "yes");
       assertEquals(
           rig.await(a.log.record(RunRig.id("k"), c.token(), answered("no"))),
           RecordResult.RECORDED);
-      assertEquals(body(a.claim("k", D)), "yes");
+      assertEquals(body(a.claim("k", DIGEST)), "yes");
     }
 
     @Test
-    public void sameAttemptMayAskAgain() {
+    public void sameAttemptMayRepeatItsClaim() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
-      ClaimRequest q = new ClaimRequest(RunRig.id("k"), D, a.token());
+      Host a = startSingleHost(rig);
+      ClaimRequest q = new ClaimRequest(RunRig.id("k"), DIGEST, a.token());
       CompletableFuture<ClaimResult> first = a.log.claim(q);
       CompletableFuture<ClaimResult> again = a.log.claim(q);
       assertEquals(rig.await(first), new Claimed(q.token()));
@@ -78,12 +78,12 @@
     }
 
     @Test
-    public void releasedKeyMayBeClaimedAgainButNotByAnOldOutcome() {
+    public void releasedKeyMayBeClaimedAgainAndIgnoresTheOldAttempt() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
-      Claimed c = (Claimed) a.claim("k", D);
+      Host a = startSingleHost(rig);
+      Claimed c = (Claimed) a.claim("k", DIGEST);
       rig.await(a.log.record(RunRig.id("k"), c.token(), new RunOutcome.NotRun()));
-      assertTrue(a.claim("k", D) instanceof Claimed);
+      assertTrue(a.claim("k", DIGEST) instanceof Claimed);
       assertEquals(
           rig.await(a.log.record(RunRig.id("k"), c.token(), answered("late"))),
           RecordResult.NO_SUCH_RUN);
@@ -92,144 +92,146 @@
     @Test
     public void largeAndOldAnswersAreDroppedButTheirRunsStayDone() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
+      Host a = startSingleHost(rig);
       for (String key : List.of("k1", "k2", "k3", "k4", "k5", "k6", "k7")) {
-        Claimed c = (Claimed) a.claim(key, D);
+        Claimed c = (Claimed) a.claim(key, DIGEST);
         rig.await(a.log.record(RunRig.id(key), c.token(), answered("8 bytes!")));
       }
-      Claimed large = (Claimed) a.claim("large", D);
+      Claimed large = (Claimed) a.claim("large", DIGEST);
       rig.await(a.log.record(RunRig.id("large"), large.token(), answered("9 bytes!!")));
-      assertFalse(((AlreadyDone) a.claim("large", D)).answer().isPresent());
+      assertFalse(((AlreadyDone) a.claim("large", DIGEST)).answer().isPresent());
       long kept =
           List.of("k1", "k2", "k3", "k4", "k5", "k6", "k7").stream()
-              .filter(k -> ((AlreadyDone) a.claim(k, D)).answer().isPresent())
+              .filter(k -> ((AlreadyDone) a.claim(k, DIGEST)).answer().isPresent())
               .count();
       assertTrue(kept >= 2 && kept <= 4, "answers kept in 2 shards of 20 bytes: " + kept);
     }
 
     @Test
-    public void runsAreForgottenAfterTheRetention() {
+    public void runsAreDroppedAfterTheRetention() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
-      assertTrue(a.claim("k", D) instanceof Claimed);
+      Host a = startSingleHost(rig);
+      assertTrue(a.claim("k", DIGEST) instanceof Claimed);
       rig.time.advance(Duration.ofMinutes(59));
-      assertEquals(a.claim("k", D), new InProgress());
+      assertEquals(a.claim("k", DIGEST), new InProgress());
       rig.time.advance(Duration.ofMinutes(2));
-      assertTrue(a.claim("k", D) instanceof Claimed);
+      assertTrue(a.claim("k", DIGEST) instanceof Claimed);
     }
   }
 
-  /** Faults of the store. */
+  /** Outages of the store and lost responses during a claim. */
   public static class StoreFaults {
 
     @Test
-    public void outageIsToldAsNotRunAndNothingIsLeft() {
+    public void claimDuringOutageIsUnavailableAndLeavesNoRecord() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
+      Host a = startSingleHost(rig);
       rig.store.setOutage(true);
-      assertEquals(a.claim("k", D), new Unavailable());
+      assertEquals(a.claim("k", DIGEST), new Unavailable());
       rig.store.setOutage(false);
       rig.time.advance(Duration.ofSeconds(10));
       assertTrue(rig.records(RunRig.OPTIONS).isEmpty());
-      assertTrue(a.claim("k", D) instanceof Claimed);
+      assertTrue(a.claim("k", DIGEST) instanceof Claimed);
     }
 
     @Test
     public void lostAnswerIsResolvedToClaimed() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
+      Host a = startSingleHost(rig);
       List<Fault> faults = new ArrayList<>(List.of(Fault.LOSE_ANSWER));
       a.api.setWriteFaults(() -> faults.isEmpty() ? Fault.NONE : faults.removeFirst());
-      assertTrue(a.claim("k", D) instanceof Claimed);
+      assertTrue(a.claim("k", DIGEST) instanceof Claimed);
       assertEquals(rig.records(RunRig.OPTIONS).size(), 1);
     }
 
     @Test
-    public void claimThatCanNotBeResolvedIsUnknownForEverAndLaterOnesAreNotRun() {
+    public void unresolvedClaimStaysUnknownAndIsNeverRunAgain() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
+      Host a = startSingleHost(rig);
       a.api.setWriteFaults(() -> Fault.LOSE_ANSWER);
       a.api.setReadFaults(() -> Fault.REFUSE);
-      assertEquals(a.claim("k", D), new Unknown());
-      assertEquals(a.claim("k", D), new InProgress());
+      assertEquals(a.claim("k", DIGEST), new Unknown());
+      assertEquals(a.claim("k", DIGEST), new InProgress());
       a.api.setWriteFaults(() -> Fault.NONE);
       a.api.setReadFaults(() -> Fault.NONE);
       rig.time.advance(Duration.ofSeconds(10));
-      assertEquals(a.claim("k", D), new Unknown());
+      assertEquals(a.claim("k", DIGEST), new Unknown());
     }
   }
 
-  /** Take-overs. */
-  public static class Owners {
+  /** Take-over of shards: a paused, delayed or former owner must not claim a request again. */
+  public static class OwnerChanges {
 
     @Test
-    public void newOwnerKnowsWhatRanAndWhatMayHaveRun() {
+    public void newOwnerKnowsDoneAndPossiblyExecutedRuns() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
-      Claimed done = (Claimed) a.claim("done", D);
+      Host a = startSingleHost(rig);
+      Claimed done = (Claimed) a.claim("done", DIGEST);
       rig.await(a.log.record(RunRig.id("done"), done.token(), answered("yes")));
-      a.claim("open", D);
+      a.claim("open", DIGEST);
       for (int i = 0; i < 30; i++) {
-        a.claim("filler" + i, D);
+        a.claim("filler" + i, DIGEST);
       }
       Host b = rig.host("b");
       b.log.setMembers(RunRig.members(b));
       rig.time.advance(Duration.ofSeconds(5));
-      assertEquals(body(b.claim("done", D)), "yes");
-      assertEquals(b.claim("open", D), new InProgress());
+      assertEquals(body(b.claim("done", DIGEST)), "yes");
+      assertEquals(b.claim("open", DIGEST), new InProgress());
       a.kill();
-      assertEquals(b.claim("open", D), new Unknown());
+      assertEquals(b.claim("open", DIGEST), new Unknown());
     }
 
     @Test
     public void claimantMayReportToTheNewOwner() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
-      Claimed c = (Claimed) a.claim("k", D);
+      Host a = startSingleHost(rig);
+      Claimed c = (Claimed) a.claim("k", DIGEST);
       Host b = rig.host("b");
       b.log.setMembers(RunRig.members(b));
       rig.time.advance(Duration.ofSeconds(5));
       assertEquals(
           rig.await(b.log.record(RunRig.id("k"), c.token(), answered("yes"))),
           RecordResult.RECORDED);
-      assertEquals(body(b.claim("k", D)), "yes");
+      assertEquals(body(b.claim("k", DIGEST)), "yes");
     }
 
+    /** The entries of the new owner are truncated while the former owner is paused. */
     @Test
     public void pausedOwnerFailsItsNextAppendEvenAfterTruncation() {
       RunRig rig = new RunRig();
-      Host a = alone(rig);
-      a.claim("early", D);
+      Host a = startSingleHost(rig);
+      a.claim("early", DIGEST);
       a.process.pause();
       Host b = rig.host("b");
       b.log.setMembers(RunRig.members(b));
       rig.time.advance(Duration.ofSeconds(5));
       for (int i = 0; i < 40; i++) {
-        assertTrue(b.claim("k" + i, D) instanceof Claimed);
+        assertTrue(b.claim("k" + i, DIGEST) instanceof Claimed);
       }
       rig.time.advance(Duration.ofSeconds(5));
       a.process.resume();
       for (int i = 0; i < 40; i++) {
-        ClaimResult r = a.claim("k" + i, D);
+        ClaimResult r = a.claim("k" + i, DIGEST);
         assertFalse(r instanceof Claimed, "claimed twice: k" + i);
       }
     }
 
+    /** A slow host's seal reaches the store after another owner has truncated its position. */
     @Test
-    public void slowTakeOverOfTruncatedPlaceDoesNotOwn() {
+    public void delayedSealAtTruncatedPositionGainsNoOwnership() {
       RunRig rig = new RunRig();
       Host slow = rig.host("slow");
       slow.api.setOneWay(Duration.ofSeconds(2));
       slow.log.setMembers(RunRig.members(slow));
-      Host a = alone(rig);
+      Host a = startSingleHost(rig);
       rig.time.advance(Duration.ofMillis(7500));
       for (int i = 0; i < 40; i++) {
-        assertTrue(a.claim("k" + i, D) instanceof Claimed);
+        assertTrue(a.claim("k" + i, DIGEST) instanceof Claimed);
       }
       slow.api.setOneWay(Duration.ofMillis(1));
       rig.time.advance(Duration.ofSeconds(10));
       for (int i = 0; i < 40; i++) {
-        assertFalse(slow.claim("k" + i, D) instanceof Claimed, "claimed twice: k" + i);
+        assertFalse(slow.claim("k" + i, DIGEST) instanceof Claimed, "claimed twice: k" + i);
       }
     }
 
@@ -240,17 +242,17 @@
       Host b = rig.host("b");
       a.log.setMembers(RunRig.members(b));
       rig.time.advance(Duration.ofSeconds(1));
-      assertTrue(a.claim("k", D) instanceof ClaimResult.NotOwner n && n.owner().isPresent());
+      assertTrue(a.claim("k", DIGEST) instanceof ClaimResult.NotOwner n && n.owner().isPresent());
       a.log.setMembers(ImmutableSet.of());
-      assertTrue(a.claim("k", D) instanceof ClaimResult.NotOwner n && n.owner().isEmpty());
+      assertTrue(a.claim("k", DIGEST) instanceof ClaimResult.NotOwner n && n.owner().isEmpty());
     }
   }
 
-  /** The cost. */
-  public static class Cost {
+  /** Store writes per second, which must not grow with the rate of claims. */
+  public static class StoreWriteRate {
 
     @Test
-    public void writesDoNotGrowWithRequests() {
+    public void writeRateIsBoundedAtAnyClaimRate() {
       for (int perSecond : new int[] {20, 200, 1000}) {
         RunRig rig = new RunRig();
         Host a = rig.new Host("a", 1, RunLogOptions.DEFAULT);
@@ -260,14 +262,14 @@
         final int seconds = 60;
         List<CompletableFuture<ClaimResult>> claims = new ArrayList<>();
         for (int i = 0; i < perSecond * seconds; i++) {
-          claims.add(a.log.claim(new ClaimRequest(RunRig.id("k" + i), D, a.token())));
+          claims.add(a.log.claim(new ClaimRequest(RunRig.id("k" + i), DIGEST, a.token())));
           rig.time.advance(Duration.ofNanos(1_000_000_000L / perSecond));
         }
         double writes = (rig.store.writes() - before) / (double) seconds;
         claims.forEach(c -> assertTrue(rig.await(c) instanceof Claimed));
         System.out.printf("claims/s=%d store writes/s=%.1f%n", perSecond, writes);
         int bound = 2 * 4 * 20 + 10;
-        assertTrue(writes <= bound, perSecond + " claims/s made writes/s: " + writes);
+        assertTrue(writes <= bound, perSecond + " claims/s caused store writes/s: " + writes);
       }
     }
   }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunRig.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunRig.java
@@ -26,9 +26,9 @@
 import org.larkkeel.store.log.LogWriterOptions;
 import org.larkkeel.store.log.WriterId;
 
-/** A store and hosts with a run log each, in virtual time. */
+/** An in-memory store and hosts, each with a run log, in virtual time. */
 final class RunRig {
-  static final Duration LONG = Duration.ofMinutes(5);
+  static final Duration AWAIT_TIMEOUT = Duration.ofMinutes(5);
   static final RunLogOptions OPTIONS =
       new RunLogOptions(
           2,
@@ -54,7 +54,7 @@
   }
 
   <T> T await(CompletableFuture<T> f) {
-    time.until(f::isDone, LONG);
+    time.until(f::isDone, AWAIT_TIMEOUT);
     return f.join();
   }
 
@@ -70,7 +70,7 @@
     return all.build();
   }
 
-  /** All records in the logs, whoever wrote them. */
+  /** Returns all records in the logs of all shards, whichever host wrote them. */
   List<RunRecord> records(RunLogOptions options) {
     List<RunRecord> all = new ArrayList<>();
     for (int shard = 0; shard < options.shards(); shard++) {
@@ -81,7 +81,7 @@
     return all;
   }
 
-  /** One process. */
+  /** One process on a host, with its own connection to the store and its run log. */
   final class Host {
     final ManualScheduler.Process process = time.newProcess();
     final InMemoryObjectApi api = new InMemoryObjectApi(store, process);
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/package-info.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the run records. */
+/** Tests of the run records of non-idempotent requests. */
 package org.larkkeel.store.run;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/ClaimResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/ClaimResult.java
@@ -10,43 +10,46 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * The closed list of answers to a claim.
+ * The result of a claim.
  *
  * @since 0.1
  */
 public sealed interface ClaimResult {
 
   /**
-   * The claim is durable: the request may be sent, once.
+   * The claim is durable: the claimant may send the request once.
    *
-   * @param token names the attempt, as it was asked for
+   * @param token the ID of the attempt, as in the claim
    */
   record Claimed(RunToken token) implements ClaimResult {}
 
   /**
-   * The request has run.
+   * The request has already run.
    *
-   * @param answer its answer, empty if that was too large to keep or has been dropped since
+   * @param answer the recorded answer, empty if it was too large to keep or has since been dropped
    */
   record AlreadyDone(Optional<RecordedAnswer> answer) implements ClaimResult {}
 
-  /** Another live attempt is running the request. */
+  /** Another attempt, whose process may still run, has claimed the request. */
   record InProgress() implements ClaimResult {}
 
-  /** An earlier attempt may have run the request; it is never run again. */
+  /**
+   * An earlier attempt may have run the request, or it is unknown whether this claim was recorded.
+   * The request is not run again.
+   */
   record Unknown() implements ClaimResult {}
 
-  /** The key was used with another body. */
+  /** The key was used with another method, path or body. */
   record KeyReused() implements ClaimResult {}
 
-  /** The claim could not be kept: the request was not run. */
+  /** The claim was not recorded, so that the request was not run. */
   record Unavailable() implements ClaimResult {}
 
   /**
-   * Another host keeps the records of this key; nothing was claimed.
+   * This host does not own the shard of the key; nothing was claimed.
    *
-   * @param owner the host by the members known here, empty if it is this one but it has not taken
-   *     the records over yet
+   * @param owner the owner according to the members known here; empty if that is this host, which
+   *     has not taken the shard over yet, or if no members are known
    */
   record NotOwner(Optional<HostName> owner) implements ClaimResult {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RecordResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RecordResult.java
@@ -7,17 +7,17 @@
 package org.larkkeel.store.run;
 
 /**
- * What became of an outcome given to be recorded.
+ * The result of recording the outcome of an attempt.
  *
  * @since 0.1
  */
 public enum RecordResult {
-  /** It is durable, or was before. */
+  /** The outcome is durable, or one was recorded earlier. */
   RECORDED,
-  /** Another host keeps the records; send it there. */
+  /** This host does not own the shard; send the outcome to the owner. */
   NOT_OWNER,
-  /** It may not be durable; send it again. */
+  /** The outcome may not be durable; send it again. */
   UNAVAILABLE,
-  /** There is no such attempt, or its time of retention is over. */
+  /** The attempt does not hold the key: it never did, was released, or its retention expired. */
   NO_SUCH_RUN
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RecordedAnswer.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RecordedAnswer.java
@@ -7,11 +7,11 @@
 package org.larkkeel.store.run;
 
 /**
- * The answer of a request that has run.
+ * The recorded answer of a request that has run.
  *
  * @param status the HTTP status
- * @param contentType the type of the body, empty if it had none, never null
- * @param body the body, not to be changed
+ * @param contentType the media type of the body, empty if the answer had none, never null
+ * @param body the body; must not be modified
  * @since 0.1
  */
 @SuppressWarnings("ArrayRecordComponent")
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunId.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunId.java
@@ -10,10 +10,10 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * What makes two requests the same. Immutable.
+ * The identity of a request: requests with equal workspace and key are the same. Immutable.
  *
  * @param workspace the workspace of the caller, never null
- * @param key the caller's key, never null
+ * @param key the idempotency key that the caller chose, never null
  * @since 0.1
  */
 public record RunId(WorkspaceName workspace, IdempotencyKey key) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunLog.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunLog.java
@@ -23,18 +23,18 @@
 import org.larkkeel.store.log.WriterId;
 
 /**
- * The run records of non-idempotent requests, in a few shards that the live hosts own by rendezvous
- * hashing.
+ * The run records of non-idempotent requests, divided into a few shards. The owner of each shard is
+ * one of the live hosts, chosen by rendezvous hashing.
  *
- * <p>Two hosts that disagree about the members can both try to own a shard; only the one whose seal
- * is the last can commit. Safe for use by several threads: the state is confined to the scheduler.
+ * <p>Hosts that disagree about the members may both try to own a shard; only the host whose seal is
+ * the last in the shard's log can commit. Thread-safe: the state is confined to the scheduler.
  *
  * @since 0.1
  */
 public final class RunLog implements AutoCloseable {
-  private static final String COLLECTION = "runlog-";
+  private static final String COLLECTION_PREFIX = "runlog-";
 
-  private static final Duration RETAKE = Duration.ofSeconds(1);
+  private static final Duration MIN_RETAKE_DELAY = Duration.ofSeconds(1);
 
   private final ObjectApi api;
   private final WriterId self;
@@ -46,14 +46,14 @@
   private volatile ImmutableSet<HostName> members = ImmutableSet.of();
 
   /**
-   * Creates a log that owns nothing before the members are known.
+   * Creates a run log that owns no shard until the members are set.
    *
    * @param api the object API
-   * @param self this process
-   * @param scheduler the API's scheduler
+   * @param self the ID of this process
+   * @param scheduler the scheduler of the API
    * @param random the source of jitter
    * @param options limits
-   * @param alive tells whether a start of a process may still run; asked on the scheduler
+   * @param alive returns whether an incarnation of a process may still run; called on the scheduler
    */
   public RunLog(
       ObjectApi api,
@@ -71,32 +71,32 @@
   }
 
   /**
-   * Tells who keeps the records of a key.
+   * Returns the owner of the shard of a key.
    *
    * @param key the key
-   * @return the host by the members known here, empty if there are none
+   * @return the owner according to the members known here, empty if none are known
    */
   public Optional<HostName> ownerOf(RunId key) {
     return ShardHash.ownerOf(ShardHash.shardOf(key, options.shards()), members);
   }
 
   /**
-   * Takes the live hosts over; shards that are no longer this host's are given up, others are taken
-   * over.
+   * Sets the live hosts. This host then closes the shards that it no longer owns and takes over
+   * those that it newly owns.
    *
-   * @param hosts the live hosts, this one included unless it is leaving
+   * @param hosts the live hosts, including this one unless it is leaving
    */
   public void setMembers(ImmutableSet<HostName> hosts) {
     members = hosts;
-    scheduler.execute(this::adjust);
+    scheduler.execute(this::updateOwnedShards);
   }
 
   /**
-   * Claims a request. The caller may send the request if and only if the answer is {@link
+   * Claims a request. The claimant may send the request if and only if the result is {@link
    * ClaimResult.Claimed}.
    *
-   * @param request the request
-   * @return the answer; never fails
+   * @param request the claim
+   * @return the result; never fails
    */
   public CompletableFuture<ClaimResult> claim(ClaimRequest request) {
     return onScheduler(
@@ -109,12 +109,12 @@
   }
 
   /**
-   * Records how an attempt ended. May be repeated.
+   * Records the outcome of an attempt. May be retried.
    *
    * @param key the key
-   * @param token the attempt
-   * @param outcome how it ended
-   * @return what became of it; never fails
+   * @param token the ID of the attempt
+   * @param outcome the outcome of the attempt
+   * @return the result; never fails
    */
   public CompletableFuture<RecordResult> record(RunId key, RunToken token, RunOutcome outcome) {
     return onScheduler(
@@ -126,7 +126,7 @@
         });
   }
 
-  /** Gives all shards up. */
+  /** Closes all shards that this host owns. */
   @Override
   public void close() {
     setMembers(ImmutableSet.of());
@@ -136,34 +136,36 @@
     return new ClaimResult.NotOwner(ownerOf(key).filter(h -> !h.equals(self.host())));
   }
 
-  private void adjust() {
+  private void updateOwnedShards() {
     for (int shard = 0; shard < options.shards(); shard++) {
-      boolean mine = ShardHash.ownerOf(shard, members).filter(self.host()::equals).isPresent();
-      if (mine && !owned.containsKey(shard)) {
+      boolean ownedByThisHost =
+          ShardHash.ownerOf(shard, members).filter(self.host()::equals).isPresent();
+      if (ownedByThisHost && !owned.containsKey(shard)) {
         open(shard);
-      } else if (!mine && owned.containsKey(shard)) {
+      } else if (!ownedByThisHost && owned.containsKey(shard)) {
         owned.remove(shard).close();
       }
     }
   }
 
   private void open(int shard) {
-    LogName name = new LogName(COLLECTION + shard);
+    LogName name = new LogName(COLLECTION_PREFIX + shard);
     ObjectLog log = new ObjectLog(api, name, self, scheduler, random, options.log());
     RunShard s = new RunShard(log, scheduler, options.limits(), options.writer());
     owned.put(shard, s);
     s.open();
-    s.deposed().thenRun(() -> lost(shard, s));
+    s.deposed().thenRun(() -> shardDeposed(shard, s));
   }
 
   /**
-   * Another host took over. If the shard is still this host's by the members, the two disagree or
-   * did so; it is taken back after a while, so that no shard stays without an owner.
+   * Handles the take-over of a shard by another host. If this host is still the owner according to
+   * its members, the hosts disagree or did so for a time. The shard is then taken back after a
+   * random delay, so that no shard stays without an owner.
    */
-  private void lost(int shard, RunShard s) {
+  private void shardDeposed(int shard, RunShard s) {
     if (owned.remove(shard, s)) {
-      Duration wait = RETAKE.plusNanos(random.nextLong(RETAKE.toNanos()));
-      scheduler.schedule(wait, this::adjust);
+      Duration wait = MIN_RETAKE_DELAY.plusNanos(random.nextLong(MIN_RETAKE_DELAY.toNanos()));
+      scheduler.schedule(wait, this::updateOwnedShards);
     }
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunOutcome.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunOutcome.java
@@ -7,7 +7,7 @@
 package org.larkkeel.store.run;
 
 /**
- * How an attempt ended.
+ * The outcome of an attempt to run a request.
  *
  * @since 0.1
  */
@@ -16,13 +16,13 @@
   /**
    * The request ran and was answered.
    *
-   * @param answer the answer; kept only up to the limit of size
+   * @param answer the answer; kept only if it does not exceed the maximum size
    */
   record Answered(RecordedAnswer answer) implements RunOutcome {}
 
-  /** The request certainly did not run; the key may be claimed again. */
+  /** The request certainly did not run; it may be claimed again. */
   record NotRun() implements RunOutcome {}
 
-  /** The request may have run; the key is never run again. */
+  /** The request may have run, so that it is not run again. */
   record Unknown() implements RunOutcome {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunRecord.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunRecord.java
@@ -15,28 +15,29 @@
 import org.larkkeel.lib.IdempotencyKey;
 import org.larkkeel.lib.WorkspaceName;
 
-/** One record of a run log. */
+/** One record in the log of a shard: a change of one run. */
 sealed interface RunRecord {
 
-  /** The run that it is about. */
+  /** Returns the run that the record changes. */
   RunId key();
 
-  /** The attempt that it is about. */
+  /** Returns the attempt that the record belongs to. */
   RunToken token();
 
-  /** A claim, with the wall time of its owner in milliseconds. */
-  record Claim(RunId key, RunToken token, String bodyDigest, long at) implements RunRecord {}
+  /** A claim, with the wall time in milliseconds at the owner of the shard. */
+  record Claim(RunId key, RunToken token, String bodyDigest, long wallMillis)
+      implements RunRecord {}
 
-  /** A run that was answered; the answer is empty if it was too large. */
+  /** An attempt that was answered; the answer is empty if it was too large. */
   record Done(RunId key, RunToken token, Optional<RecordedAnswer> answer) implements RunRecord {}
 
-  /** An attempt that certainly did not run. */
+  /** An attempt that certainly did not run; frees the key for another claim. */
   record Release(RunId key, RunToken token) implements RunRecord {}
 
-  /** An attempt that may have run and never reports. */
+  /** An attempt that may have run and whose outcome will not be reported. */
   record Lost(RunId key, RunToken token) implements RunRecord {}
 
-  /** The JSON form of records. */
+  /** Converts run records from and to JSON. */
   final class Codec {
     private static final String TYPE = "type";
     private static final String CLAIM = "claim";
@@ -60,7 +61,7 @@
       o.put(KEY, r.key().key().value());
       o.put(TOKEN, r.token().toString());
       return switch (r) {
-        case Claim c -> o.put(TYPE, CLAIM).put(DIGEST, c.bodyDigest()).put(AT, c.at());
+        case Claim c -> o.put(TYPE, CLAIM).put(DIGEST, c.bodyDigest()).put(AT, c.wallMillis());
         case Done d -> answer(o.put(TYPE, DONE), d.answer());
         case Release x -> o.put(TYPE, RELEASE);
         case Lost l -> o.put(TYPE, LOST);
@@ -79,7 +80,7 @@
         case DONE -> new Done(key, token, answer(o));
         case RELEASE -> new Release(key, token);
         case LOST -> new Lost(key, token);
-        default -> throw new IllegalArgumentException("the run record's type is \"" + type + "\"");
+        default -> throw new IllegalArgumentException("unknown run record type \"" + type + "\"");
       };
     }
 
@@ -98,7 +99,7 @@
             new RecordedAnswer(
                 o.path(STATUS).asInt(), o.path(CONTENT_TYPE).asText(), o.path(BODY).binaryValue()));
       } catch (IOException e) {
-        throw new UncheckedIOException("the recorded body is not base64", e);
+        throw new UncheckedIOException("the body of a recorded answer is not valid base64", e);
       }
     }
   }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunShard.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunShard.java
@@ -20,17 +20,17 @@
 import org.larkkeel.store.log.WriterId;
 
 /**
- * One shard of the run log on the host that owns it.
+ * One shard of the run log at the host that owns it, or is taking it over.
  *
- * <p>Invariant: a claim is answered {@link ClaimResult.Claimed} only while its record is in the log
- * and no other token has the key. Confined to the scheduler.
+ * <p>Invariant: a claim results in {@link ClaimResult.Claimed} only if its record is in the log and
+ * no other token holds the key. Confined to the scheduler.
  */
 final class RunShard implements AutoCloseable {
   private final Scheduler scheduler;
   private final RunLimits limits;
   private final RunTable table;
   private final LogWriter writer;
-  private final Map<RunId, Pending> pending = new HashMap<>();
+  private final Map<RunId, PendingClaim> pending = new HashMap<>();
 
   RunShard(ObjectLog log, Scheduler scheduler, RunLimits limits, LogWriterOptions writerOptions) {
     this.scheduler = scheduler;
@@ -57,14 +57,14 @@
     if (known.isPresent()) {
       return CompletableFuture.completedFuture(known.get());
     }
-    Pending other = pending.get(q.key());
+    PendingClaim other = pending.get(q.key());
     if (other != null) {
       return other.join(q);
     }
     if (table.size() + pending.size() >= limits.maxRuns()) {
       return CompletableFuture.completedFuture(new ClaimResult.Unavailable());
     }
-    Pending p = new Pending(q);
+    PendingClaim p = new PendingClaim(q);
     pending.put(q.key(), p);
     p.start();
     return p.result;
@@ -82,13 +82,13 @@
 
   private RunRecord toRecord(RunId key, RunToken token, RunOutcome outcome) {
     return switch (outcome) {
-      case RunOutcome.Answered a -> new RunRecord.Done(key, token, bounded(a.answer()));
+      case RunOutcome.Answered a -> new RunRecord.Done(key, token, answerWithinLimit(a.answer()));
       case RunOutcome.NotRun n -> new RunRecord.Release(key, token);
       case RunOutcome.Unknown u -> new RunRecord.Lost(key, token);
     };
   }
 
-  private Optional<RecordedAnswer> bounded(RecordedAnswer a) {
+  private Optional<RecordedAnswer> answerWithinLimit(RecordedAnswer a) {
     return a.body().length <= limits.maxAnswerBytes() ? Optional.of(a) : Optional.empty();
   }
 
@@ -110,13 +110,13 @@
   }
 
   /** A claim that is not durable yet. */
-  private final class Pending {
+  private final class PendingClaim {
     final CompletableFuture<ClaimResult> result = new CompletableFuture<>();
     private final ClaimRequest request;
     private Submission submission;
     private Scheduler.Timer timer;
 
-    Pending(ClaimRequest request) {
+    PendingClaim(ClaimRequest request) {
       this.request = request;
     }
 
@@ -126,7 +126,7 @@
               request.key(), request.token(), request.bodyDigest(), scheduler.wallMillis());
       timer = scheduler.schedule(limits.claimTimeout(), this::timedOut);
       submission = submit(claim);
-      submission.result().thenAccept(this::settled);
+      submission.result().thenAccept(this::commitCompleted);
     }
 
     CompletableFuture<ClaimResult> join(ClaimRequest q) {
@@ -145,18 +145,18 @@
       }
     }
 
-    private void settled(CommitResult r) {
+    private void commitCompleted(CommitResult r) {
       timer.cancel();
       pending.remove(request.key(), this);
-      boolean late = result.isDone();
+      boolean alreadyAnswered = result.isDone();
       result.complete(
           switch (r) {
             case COMMITTED -> new ClaimResult.Claimed(request.token());
             case NOT_COMMITTED, DEPOSED -> new ClaimResult.Unavailable();
             case UNKNOWN -> new ClaimResult.Unknown();
           });
-      if (late && r == CommitResult.COMMITTED) {
-        // The claimant was told that the outcome is unknown, so nobody will report one.
+      if (alreadyAnswered && r == CommitResult.COMMITTED) {
+        // The claimant received "unknown" after the timeout, so it will not report an outcome.
         submit(new RunRecord.Lost(request.key(), request.token()));
       }
     }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunTable.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunTable.java
@@ -22,10 +22,10 @@
 import org.larkkeel.store.log.WriterId;
 
 /**
- * The runs of one shard: what its log adds up to. Pure; not safe for use by several threads.
+ * The runs of one shard: the state that results from its log. Performs no I/O; not thread-safe.
  *
- * <p>Invariants: a run that is claimed or done is claimed by no other token until it is released or
- * its retention is over; a done run never becomes anything else. Runs are in the order of their
+ * <p>Invariants: a run that is claimed or done can not be claimed by another token until it is
+ * released or its retention expires; a done run stays done. Runs are kept in the order of their
  * claims.
  */
 final class RunTable implements Replica {
@@ -33,14 +33,14 @@
 
   private final RunLimits limits;
   private final Map<RunId, Run> runs = new LinkedHashMap<>();
-  private final Deque<RunId> answered = new ArrayDeque<>();
+  private final Deque<RunId> answeredKeys = new ArrayDeque<>();
   private long answerBytes;
 
   RunTable(RunLimits limits) {
     this.limits = limits;
   }
 
-  /** What a claim would get, empty if the key is free. */
+  /** Returns the result that a claim would get, empty if the key is not claimed. */
   Optional<ClaimResult> lookup(ClaimRequest q, Predicate<WriterId> alive) {
     Run run = runs.get(q.key());
     if (run == null) {
@@ -53,11 +53,11 @@
         switch (run.state) {
           case DONE -> new ClaimResult.AlreadyDone(run.answer);
           case LOST -> new ClaimResult.Unknown();
-          case CLAIMED -> claimed(run, q, alive);
+          case CLAIMED -> resultOfClaimed(run, q, alive);
         });
   }
 
-  private static ClaimResult claimed(Run run, ClaimRequest q, Predicate<WriterId> alive) {
+  private static ClaimResult resultOfClaimed(Run run, ClaimRequest q, Predicate<WriterId> alive) {
     RunToken token = run.claim.token();
     if (token.equals(q.token())) {
       return new ClaimResult.Claimed(token);
@@ -65,7 +65,7 @@
     return alive.test(token.claimant()) ? new ClaimResult.InProgress() : new ClaimResult.Unknown();
   }
 
-  /** Whether an attempt is the one that the table knows for its key. */
+  /** Returns whether an attempt holds its key. */
   boolean isCurrent(RunId key, RunToken token) {
     Run run = runs.get(key);
     return run != null && run.claim.token().equals(token);
@@ -80,13 +80,13 @@
     return runs.size();
   }
 
-  /** Forgets the runs whose time is over. */
+  /** Removes the runs whose retention has expired. */
   void expire(long wallMillis) {
-    long oldest = wallMillis - limits.retention().toMillis();
+    long expiredMillis = wallMillis - limits.retention().toMillis();
     var it = runs.values().iterator();
     while (it.hasNext()) {
       Run run = it.next();
-      if (run.claim.at() > oldest) {
+      if (run.claim.wallMillis() > expiredMillis) {
         return;
       }
       dropAnswer(run);
@@ -109,7 +109,7 @@
   }
 
   private void done(RunRecord.Done d) {
-    Run run = current(d);
+    Run run = currentRun(d);
     if (run == null || run.state == State.DONE) {
       return;
     }
@@ -117,32 +117,32 @@
     run.answer = d.answer();
     if (run.answer.isPresent()) {
       answerBytes += answerSize(run);
-      answered.addLast(d.key());
-      dropOldest();
+      answeredKeys.addLast(d.key());
+      dropOldestAnswers();
     }
   }
 
   private void release(RunRecord.Release r) {
-    Run run = current(r);
+    Run run = currentRun(r);
     if (run != null && run.state == State.CLAIMED) {
       runs.remove(r.key());
     }
   }
 
   private void lost(RunRecord.Lost l) {
-    Run run = current(l);
+    Run run = currentRun(l);
     if (run != null && run.state == State.CLAIMED) {
       run.state = State.LOST;
     }
   }
 
-  private Run current(RunRecord r) {
+  private Run currentRun(RunRecord r) {
     return isCurrent(r.key(), r.token()) ? runs.get(r.key()) : null;
   }
 
-  private void dropOldest() {
-    while (answerBytes > limits.maxAnswersBytes() && !answered.isEmpty()) {
-      Run run = runs.get(answered.removeFirst());
+  private void dropOldestAnswers() {
+    while (answerBytes > limits.maxAnswersBytes() && !answeredKeys.isEmpty()) {
+      Run run = runs.get(answeredKeys.removeFirst());
       if (run != null) {
         dropAnswer(run);
       }
@@ -182,12 +182,12 @@
   @Override
   public void restore(LogSnapshot s) {
     runs.clear();
-    answered.clear();
+    answeredKeys.clear();
     answerBytes = 0;
     try {
       MAPPER.readTree(s.content()).forEach(r -> apply(RunRecord.Codec.read(r)));
     } catch (IOException e) {
-      throw new UncheckedIOException("the snapshot of the runs can not be read", e);
+      throw new UncheckedIOException("cannot parse the snapshot of the run records", e);
     }
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunToken.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/RunToken.java
@@ -10,22 +10,22 @@
 import org.larkkeel.store.log.WriterId;
 
 /**
- * Names one attempt to run a request. The node that wants to run it chooses the token, so that it
- * may ask again when an answer to its claim was lost on the way.
+ * The ID of one attempt to run a request. The node that runs the request chooses the token, so that
+ * it can repeat the claim if the response to it is lost.
  *
  * <p>Invariant: a node never uses an attempt twice. Immutable.
  *
- * @param claimant the start of the process that runs the request, never null
- * @param attempt counts its attempts, never null
+ * @param claimant the incarnation of the process that runs the request, never null
+ * @param attempt the number of this attempt among those of the claimant, never null
  * @since 0.1
  */
 public record RunToken(WriterId claimant, AttemptId attempt) {
   private static final char SEPARATOR = '/';
 
   /**
-   * Reads the text form.
+   * Parses the text form.
    *
-   * @param text what {@link #toString} returned
+   * @param text a result of {@link #toString}
    * @return the token
    */
   public static RunToken parse(String text) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/run/package-info.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/run/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The run records of non-idempotent requests, so that each runs at most once across nodes and
- * restarts.
+ * The run records of non-idempotent requests, which ensure that each request runs at most once
+ * across nodes and restarts.
  */
 package org.larkkeel.store.run;
