--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/ConnectionPool.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/ConnectionPool.java
@@ -13,21 +13,22 @@
 import org.larkkeel.store.internal.http.HttpCallException.Sent;
 
 /**
- * A bounded pool of connections. Confined to the scheduler.
+ * A bounded pool of connections to one service. Confined to the scheduler.
  *
- * <p>Invariant: {@code open} counts idle, lent and connecting ones and stays at or below the limit.
+ * <p>Invariant: {@code openCount} is the number of idle, acquired and connecting connections, and
+ * never exceeds {@code maxConnections}.
  */
-final class ConnectionPool implements Connections {
+final class ConnectionPool implements ConnectionSource {
   private final Connector connector;
-  private final int limit;
+  private final int maxConnections;
   private final Deque<ClientConnection> idle = new ArrayDeque<>();
   private final Deque<CompletableFuture<ClientConnection>> waiting = new ArrayDeque<>();
-  private int open;
+  private int openCount;
   private boolean closed;
 
   ConnectionPool(Connector connector) {
     this.connector = connector;
-    this.limit = connector.options().maxConnections();
+    this.maxConnections = connector.options().maxConnections();
   }
 
   @Override
@@ -38,7 +39,7 @@
       return f;
     }
     waiting.addLast(f);
-    serve();
+    serveWaiting();
     return f;
   }
 
@@ -49,12 +50,12 @@
     } else {
       discard(c);
     }
-    serve();
+    serveWaiting();
   }
 
-  /** Closes the connections that no call uses. */
+  /** Closes the idle connections. */
   void closeIdle() {
-    open -= idle.size();
+    openCount -= idle.size();
     idle.forEach(Connector::reset);
     idle.clear();
   }
@@ -67,7 +68,7 @@
     waiting.clear();
   }
 
-  private void serve() {
+  private void serveWaiting() {
     while (!waiting.isEmpty()) {
       if (waiting.peekFirst().isDone()) {
         waiting.removeFirst();
@@ -78,23 +79,23 @@
         waiting.removeFirst().complete(c);
         continue;
       }
-      if (open >= limit) {
+      if (openCount >= maxConnections) {
         return;
       }
-      open++;
+      openCount++;
       CompletableFuture<ClientConnection> f = waiting.removeFirst();
       connector.connect().whenComplete((made, failure) -> connected(f, made, failure));
     }
   }
 
   private void connected(
-      CompletableFuture<ClientConnection> f, ClientConnection made, Throwable failure) {
+      CompletableFuture<ClientConnection> waiter, ClientConnection connection, Throwable failure) {
     if (failure != null) {
-      open--;
-      f.completeExceptionally(failure);
-      serve();
-    } else if (!f.complete(made)) {
-      release(made, true);
+      openCount--;
+      waiter.completeExceptionally(failure);
+      serveWaiting();
+    } else if (!waiter.complete(connection)) {
+      release(connection, true);
     }
   }
 
@@ -110,7 +111,7 @@
   }
 
   private void discard(ClientConnection c) {
-    open--;
+    openCount--;
     Connector.reset(c);
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/Connections.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/ConnectionSource.java
@@ -9,20 +9,20 @@
 import io.undertow.client.ClientConnection;
 import java.util.concurrent.CompletableFuture;
 
-/** Where a call has its connection from. Used on the scheduler. */
-interface Connections {
+/** Provides connections for calls. Confined to the scheduler. */
+interface ConnectionSource {
   /**
-   * Asks for a connection; cancelling the future gives it up.
+   * Requests a connection. Cancelling the future withdraws the request.
    *
-   * @return gets a connection, which must be released
+   * @return completes with a connection, which the receiver must release
    */
   CompletableFuture<ClientConnection> acquire();
 
   /**
-   * Takes a connection back.
+   * Releases a connection.
    *
    * @param c the connection
-   * @param reusable whether the call on it got its whole answer
+   * @param reusable true if the call on it received the complete response
    */
   void release(ClientConnection c, boolean reusable);
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/Connector.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/Connector.java
@@ -23,7 +23,7 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioWorker;
 
-/** Opens connections to one service. Safe for use by several threads. */
+/** Opens connections to one service. Thread-safe. */
 final class Connector {
   private static final int BUFFER_BYTES = 16 << 10;
 
@@ -38,7 +38,7 @@
     this.scheduler = scheduler;
   }
 
-  /** Opens a connection; the future completes on the scheduler. */
+  /** Opens a connection. The future completes on the scheduler. */
   CompletableFuture<ClientConnection> connect() {
     CompletableFuture<ClientConnection> f = new CompletableFuture<>();
     UndertowClient.getInstance()
@@ -51,7 +51,7 @@
 
               @Override
               public void failed(IOException e) {
-                scheduler.execute(() -> f.completeExceptionally(notSent(e)));
+                scheduler.execute(() -> f.completeExceptionally(connectFailure(e)));
               }
             },
             null,
@@ -64,16 +64,16 @@
   }
 
   /**
-   * Resets a connection whose answer nobody takes any more.
+   * Resets a connection whose response is no longer needed.
    *
-   * <p>Closing it in the ordinary way waits for the rest of the answer first, for up to 10 s in
-   * which the service goes on, and counts a watch as waiting.
+   * <p>An ordinary close first waits up to 10 s for the rest of the response. During this time the
+   * service continues to process the call, and still counts a watch as waiting.
    */
   static void reset(ClientConnection c) {
     try {
       c.getIoThread().execute(() -> resetNow(c));
     } catch (RejectedExecutionException e) {
-      // Its thread has ended, and nobody reads on: an ordinary close does not wait.
+      // The I/O thread has ended, so nothing reads the rest: an ordinary close does not wait.
       IoUtils.safeClose(c);
     }
   }
@@ -96,7 +96,7 @@
     return scheduler;
   }
 
-  private static HttpCallException notSent(IOException e) {
-    return new HttpCallException(Sent.NO, "connect: " + e.getMessage());
+  private static HttpCallException connectFailure(IOException e) {
+    return new HttpCallException(Sent.NO, "connection failed: " + e.getMessage());
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/Failures.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/Failures.java
@@ -15,26 +15,26 @@
 import org.larkkeel.store.ObjectApiFailure;
 import org.larkkeel.store.internal.http.HttpCallException.Sent;
 
-/** Maps answers and broken calls to failures. Stateless. */
+/** Maps error responses and failed calls to failures of the object API. Stateless. */
 public final class Failures {
   private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
-  private static final Duration LONGEST_RETRY_AFTER = Duration.ofSeconds(60);
+  private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(60);
   private static final int MAX_DETAIL_CHARS = 300;
 
   private Failures() {}
 
-  /** What an answer that is no success says. */
+  /** Returns the failure for a response with an error status. */
   public static ObjectApiException of(Effect effect, String call, HttpReply reply) {
     String body = new String(reply.body(), StandardCharsets.UTF_8);
     String detail = call + ": " + reply.status() + " " + shorten(body);
     return new ObjectApiException(failure(effect, reply, body), detail);
   }
 
-  /** What a call without a whole answer says. */
-  public static ObjectApiException of(Effect effect, String call, Throwable broken) {
-    boolean sent = !(broken instanceof HttpCallException e) || e.sent() == Sent.MAYBE;
-    ObjectApiFailure f = sent ? lost(effect) : new ObjectApiFailure.Unavailable();
-    return new ObjectApiException(f, call + ": " + broken.getMessage());
+  /** Returns the failure for a call that received no complete response. */
+  public static ObjectApiException of(Effect effect, String call, Throwable cause) {
+    boolean sent = !(cause instanceof HttpCallException e) || e.sent() == Sent.MAYBE;
+    ObjectApiFailure f = sent ? withoutResponse(effect) : new ObjectApiFailure.Unavailable();
+    return new ObjectApiException(f, call + ": " + cause.getMessage());
   }
 
   private static ObjectApiFailure failure(Effect effect, HttpReply reply, String body) {
@@ -51,12 +51,12 @@
       case StatusCodes.SERVICE_UNAVAILABLE -> new ObjectApiFailure.Unavailable();
       default ->
           reply.status() >= StatusCodes.INTERNAL_SERVER_ERROR
-              ? lost(effect)
+              ? withoutResponse(effect)
               : new ObjectApiFailure.Refused(reply.status());
     };
   }
 
-  private static ObjectApiFailure lost(Effect effect) {
+  private static ObjectApiFailure withoutResponse(Effect effect) {
     return switch (effect) {
       case READ -> new ObjectApiFailure.Unavailable();
       case WRITE -> new ObjectApiFailure.OutcomeUnknown();
@@ -66,7 +66,7 @@
   static Duration retryAfter(Optional<String> value) {
     try {
       Duration d = value.map(Long::parseLong).map(Duration::ofSeconds).orElse(DEFAULT_RETRY_AFTER);
-      return d.compareTo(LONGEST_RETRY_AFTER) > 0 ? LONGEST_RETRY_AFTER : d;
+      return d.compareTo(MAX_RETRY_AFTER) > 0 ? MAX_RETRY_AFTER : d;
     } catch (NumberFormatException e) {
       return DEFAULT_RETRY_AFTER;
     }
@@ -76,11 +76,11 @@
     return s.length() <= MAX_DETAIL_CHARS ? s : s.substring(0, MAX_DETAIL_CHARS);
   }
 
-  /** Whether a call may change anything. */
+  /** The effect that a call may have at the service. */
   public enum Effect {
-    /** It changes nothing. */
+    /** The call changes nothing. */
     READ,
-    /** It may change an object. */
+    /** The call may change an object. */
     WRITE
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpCallException.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpCallException.java
@@ -6,7 +6,7 @@
 
 package org.larkkeel.store.internal.http;
 
-/** A call without a whole answer. Immutable. */
+/** Thrown if a call received no complete response. Immutable. */
 final class HttpCallException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -17,16 +17,16 @@
     this.sent = sent;
   }
 
-  /** Whether the service may have seen the request. */
+  /** Returns whether the service may have received the request. */
   Sent sent() {
     return sent;
   }
 
-  /** How far a request got. */
+  /** Whether any part of a request may have been sent. */
   enum Sent {
-    /** No byte of it was sent. */
+    /** No byte of the request was sent. */
     NO,
-    /** Some or all of it was sent. */
+    /** Some or all of the request may have been sent. */
     MAYBE
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpCaller.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpCaller.java
@@ -23,8 +23,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Calls one HTTP service over a pool of connections. Safe for use by several threads; futures
- * complete on the scheduler, with {@link HttpCallException} where there is no whole answer.
+ * A client of one HTTP service, over a pool of connections. Thread-safe. Futures complete on the
+ * scheduler; they fail with {@link HttpCallException} if no complete response is received.
  */
 public final class HttpCaller implements AutoCloseable {
   private final Connector connector;
@@ -32,7 +32,7 @@
   private final Scheduler scheduler;
   private final HttpClientOptions options;
 
-  /** Calls by connections of a worker. */
+  /** Creates a client whose connections use the I/O threads of a worker. */
   public HttpCaller(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
     this.options = options;
     this.scheduler = scheduler;
@@ -40,7 +40,7 @@
     this.pool = new ConnectionPool(connector);
   }
 
-  /** Sends a request; the future gets its whole answer. */
+  /** Sends a request on a pooled connection; the future completes with the complete response. */
   public CompletableFuture<HttpReply> call(HttpRequestData request) {
     Call c = new Call(request, pool, options.timeout());
     scheduler.execute(c::start);
@@ -48,27 +48,29 @@
   }
 
   /**
-   * Sends a request that may wait for long on a connection of its own, which ends with the call.
+   * Sends a request that may wait for a long time. The call uses a connection of its own, which is
+   * closed at the end of the call.
    *
    * @param request the request
-   * @param timeout the longest time until its whole answer
-   * @return the call, which may be given up
+   * @param timeout the maximum time until the complete response
+   * @return the call, which can be cancelled by closing it
    */
-  public PendingCall<HttpReply> callAlone(HttpRequestData request, Duration timeout) {
-    Call c = new Call(request, new SingleUse(connector), timeout);
+  public PendingCall<HttpReply> callOnOwnConnection(HttpRequestData request, Duration timeout) {
+    Call c = new Call(request, new SingleUseConnections(connector), timeout);
     scheduler.execute(c::start);
-    return new PendingCall<>(c.result, () -> scheduler.execute(c::giveUp));
+    return new PendingCall<>(c.result, () -> scheduler.execute(c::cancel));
   }
 
   /**
-   * Closes the connections that are kept for later calls; on the scheduler. Connections fall silent
-   * together: when one brought no answer, a call on another could wait in vain for its whole time.
+   * Closes the idle pooled connections; called on the scheduler. Connections to a service tend to
+   * become unresponsive together: after one produced no response, a call on another might wait for
+   * its full timeout without a response.
    */
-  void distrustIdle() {
+  void closeIdleConnections() {
     pool.closeIdle();
   }
 
-  /** The connector, for calls that keep a connection to themselves. */
+  /** Returns the connector, for calls that use a connection of their own. */
   Connector connector() {
     return connector;
   }
@@ -78,11 +80,14 @@
     scheduler.execute(pool::close);
   }
 
-  /** One call; its fields belong to the scheduler, the body to the I/O thread until the end. */
+  /**
+   * One call. Its fields are confined to the scheduler, except that status, headers and body belong
+   * to the I/O thread until the end of the response.
+   */
   private final class Call implements ResponseReader.Sink {
     final CompletableFuture<HttpReply> result = new CompletableFuture<>();
     private final HttpRequestData request;
-    private final Connections connections;
+    private final ConnectionSource connections;
     private final Duration timeout;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private CompletableFuture<ClientConnection> acquiring;
@@ -91,7 +96,7 @@
     private int status;
     private HeaderMap headers = new HeaderMap();
 
-    Call(HttpRequestData request, Connections connections, Duration timeout) {
+    Call(HttpRequestData request, ConnectionSource connections, Duration timeout) {
       this.request = request;
       this.connections = connections;
       this.timeout = timeout;
@@ -147,7 +152,8 @@
     @Override
     public void bytes(ByteBuffer part) throws IOException {
       if (body.size() + part.remaining() > options.maxBodyBytes()) {
-        throw new IOException("the answer is larger than " + options.maxBodyBytes() + " bytes");
+        throw new IOException(
+            "the response body is larger than " + options.maxBodyBytes() + " bytes");
       }
       body.write(part.array(), part.arrayOffset() + part.position(), part.remaining());
     }
@@ -164,19 +170,19 @@
     }
 
     private void timedOut() {
-      abandon("no answer within " + timeout);
+      abort("no response within " + timeout);
     }
 
-    /** Ends the call, whose answer nobody takes any more. */
-    void giveUp() {
-      abandon("given up");
+    /** Ends the call, whose response is no longer needed. */
+    void cancel() {
+      abort("cancelled by the client");
     }
 
-    private void abandon(String detail) {
+    private void abort(String detail) {
       if (result.isDone()) {
         return;
       }
-      distrustIdle();
+      closeIdleConnections();
       Sent sent = connection == null ? Sent.NO : Sent.MAYBE;
       acquiring.cancel(false);
       finish(null, new HttpCallException(sent, detail));
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpLineStream.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpLineStream.java
@@ -22,8 +22,8 @@
 import org.xnio.IoUtils;
 
 /**
- * A call whose answer comes a line at a time, on a connection of its own. Lines are delivered on
- * the scheduler; none after {@link #close()}.
+ * A call whose response is a stream of lines, on a connection of its own. Lines are delivered on
+ * the scheduler. No line is delivered after {@link #close()} has taken effect there.
  */
 final class HttpLineStream implements ResponseReader.Sink {
   private static final int MAX_LINE_BYTES = 2 << 20;
@@ -48,13 +48,16 @@
   /**
    * Opens the stream.
    *
-   * @param longest ends the stream by force after this time
-   * @return completes at the end; of a refusal, the reply holds status and body
+   * @param timeout the maximum duration of the stream, after which it fails
+   * @return completes at the end of the stream; if the service refused the call, with the status
+   *     and the body of its response
    */
-  CompletableFuture<HttpReply> start(Duration longest) {
+  CompletableFuture<HttpReply> start(Duration timeout) {
     scheduler.execute(
         () -> {
-          timer = scheduler.schedule(longest, () -> fail(Sent.MAYBE, "no end within " + longest));
+          timer =
+              scheduler.schedule(
+                  timeout, () -> fail(Sent.MAYBE, "the stream did not end within " + timeout));
           connector.connect().whenComplete(this::connected);
         });
     return ended;
@@ -74,7 +77,7 @@
       return;
     }
     connection = c;
-    c.sendRequest(request.toClientRequest(connector.options()), new Sending());
+    c.sendRequest(request.toClientRequest(connector.options()), new RequestCallback());
   }
 
   @Override
@@ -82,15 +85,15 @@
     while (part.hasRemaining()) {
       byte b = part.get();
       if (b == '\n' && status == StatusCodes.OK) {
-        byte[] whole = line.toByteArray();
+        byte[] completeLine = line.toByteArray();
         line.reset();
-        scheduler.execute(() -> deliver(whole));
+        scheduler.execute(() -> deliver(completeLine));
       } else {
         line.write(b);
       }
     }
     if (line.size() > MAX_LINE_BYTES) {
-      throw new IOException("a line is longer than " + MAX_LINE_BYTES + " bytes");
+      throw new IOException("a line of the response is longer than " + MAX_LINE_BYTES + " bytes");
     }
   }
 
@@ -105,9 +108,9 @@
     scheduler.execute(() -> fail(Sent.MAYBE, String.valueOf(e.getMessage())));
   }
 
-  private void deliver(byte[] whole) {
-    if (!ended.isDone() && whole.length > 0) {
-      listener.accept(whole);
+  private void deliver(byte[] completeLine) {
+    if (!ended.isDone() && completeLine.length > 0) {
+      listener.accept(completeLine);
     }
   }
 
@@ -130,11 +133,11 @@
     }
   }
 
-  /** Passes the response on to the reader. */
-  private final class Sending implements ClientCallback<ClientExchange> {
+  /** Registers for the response when the request is sent. */
+  private final class RequestCallback implements ClientCallback<ClientExchange> {
     @Override
     public void completed(ClientExchange x) {
-      x.setResponseListener(new Receiving());
+      x.setResponseListener(new ResponseCallback());
     }
 
     @Override
@@ -143,8 +146,8 @@
     }
   }
 
-  /** Begins to read the response. */
-  private final class Receiving implements ClientCallback<ClientExchange> {
+  /** Starts reading the response body when the headers are received. */
+  private final class ResponseCallback implements ClientCallback<ClientExchange> {
     @Override
     public void completed(ClientExchange x) {
       status = x.getResponse().getResponseCode();
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpObjectCalls.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpObjectCalls.java
@@ -28,29 +28,31 @@
 import org.larkkeel.store.internal.http.Failures.Effect;
 import org.xnio.XnioWorker;
 
-/** The calls of the object API, one method each. Safe for use by several threads. */
+/** The object API over HTTP: one method for each call. Thread-safe. */
 public final class HttpObjectCalls implements AutoCloseable {
   private static final String BASE = "/apis/larkkeel.org/v1/";
+
+  /** Time beyond its timeout that the service has to end a watch. */
   private static final Duration WATCH_GRACE = Duration.ofSeconds(5);
 
-  private final HttpCaller caller;
-  private final JsonCalls calls;
+  private final HttpCaller client;
+  private final JsonCalls jsonClient;
 
   /**
-   * Creates the calls.
+   * Creates a client of the object API.
    *
-   * @param options where the service is, and limits
+   * @param options the address of the service, and limits
    * @param worker runs the I/O
    * @param scheduler completes the futures
    */
   public HttpObjectCalls(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
-    this.caller = new HttpCaller(options, worker, scheduler);
-    this.calls = new JsonCalls(caller);
+    this.client = new HttpCaller(options, worker, scheduler);
+    this.jsonClient = new JsonCalls(client);
   }
 
   /** See {@link org.larkkeel.store.ObjectApi#get}. */
   public CompletableFuture<StoredObject> get(ObjectKey key) {
-    return call(Effect.READ, Methods.GET, path(key), "", object(key));
+    return call(Effect.READ, Methods.GET, path(key), "", objectConverter(key));
   }
 
   /** See {@link org.larkkeel.store.ObjectApi#list}. */
@@ -70,14 +72,14 @@
   /** See {@link org.larkkeel.store.ObjectApi#create}. */
   public CompletableFuture<StoredObject> create(ObjectKey key, String kind, JsonNode spec) {
     String body = ObjectCodec.toText(key, kind, spec, StoreVersion.NONE);
-    return call(Effect.WRITE, Methods.POST, BASE + key.collection(), body, object(key));
+    return call(Effect.WRITE, Methods.POST, BASE + key.collection(), body, objectConverter(key));
   }
 
   /** See {@link org.larkkeel.store.ObjectApi#update}. */
   public CompletableFuture<StoredObject> update(
       ObjectKey key, String kind, JsonNode spec, StoreVersion version) {
     String body = ObjectCodec.toText(key, kind, spec, version);
-    return call(Effect.WRITE, Methods.PUT, path(key), body, object(key));
+    return call(Effect.WRITE, Methods.PUT, path(key), body, objectConverter(key));
   }
 
   /** See {@link org.larkkeel.store.ObjectApi#delete}. */
@@ -96,22 +98,22 @@
             + version.number()
             + "&timeoutSeconds="
             + Math.max(1, timeout.toSeconds());
-    HttpWatch w = new HttpWatch(collection, listener, caller);
-    w.start(caller.connector(), new HttpRequestData(Methods.GET, path, ""), timeout);
+    HttpWatch w = new HttpWatch(collection, listener, client);
+    w.start(client.connector(), new HttpRequestData(Methods.GET, path, ""), timeout);
     return w;
   }
 
   @Override
   public void close() {
-    caller.close();
+    client.close();
   }
 
   private <T> CompletableFuture<T> call(
-      Effect effect, HttpString method, String path, String body, Function<JsonNode, T> read) {
-    return calls.call(effect, method, path, body, read);
+      Effect effect, HttpString method, String path, String body, Function<JsonNode, T> converter) {
+    return jsonClient.call(effect, method, path, body, converter);
   }
 
-  private static Function<JsonNode, StoredObject> object(ObjectKey key) {
+  private static Function<JsonNode, StoredObject> objectConverter(ObjectKey key) {
     return o -> ObjectCodec.object(key.collection(), o);
   }
 
@@ -123,42 +125,42 @@
     return URLEncoder.encode(s, StandardCharsets.UTF_8);
   }
 
-  /** A watch over one line stream. */
+  /** A watch whose events are the lines of one stream. */
   private static final class HttpWatch implements Watch {
     private final String collection;
     private final Consumer<WatchEvent> listener;
-    private final HttpCaller caller;
+    private final HttpCaller client;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private HttpLineStream stream;
 
-    HttpWatch(String collection, Consumer<WatchEvent> listener, HttpCaller caller) {
+    HttpWatch(String collection, Consumer<WatchEvent> listener, HttpCaller client) {
       this.collection = collection;
       this.listener = listener;
-      this.caller = caller;
+      this.client = client;
     }
 
     void start(Connector connector, HttpRequestData request, Duration timeout) {
-      stream = new HttpLineStream(connector, request, this::line);
-      stream.start(timeout.plus(WATCH_GRACE)).whenComplete(this::end);
+      stream = new HttpLineStream(connector, request, this::lineReceived);
+      stream.start(timeout.plus(WATCH_GRACE)).whenComplete(this::streamEnded);
     }
 
-    private void line(byte[] line) {
+    private void lineReceived(byte[] line) {
       WatchEvent e;
       try {
         e = ObjectCodec.event(collection, ObjectCodec.parse(line));
-      } catch (ObjectApiException unreadable) {
-        ended.completeExceptionally(unreadable);
+      } catch (ObjectApiException malformed) {
+        ended.completeExceptionally(malformed);
         stream.close();
         return;
       }
       listener.accept(e);
     }
 
-    private void end(HttpReply reply, Throwable broken) {
+    private void streamEnded(HttpReply reply, Throwable failure) {
       String name = "watch " + collection;
-      if (broken != null) {
-        caller.distrustIdle();
-        ended.completeExceptionally(Failures.of(Effect.READ, name, broken));
+      if (failure != null) {
+        client.closeIdleConnections();
+        ended.completeExceptionally(Failures.of(Effect.READ, name, failure));
       } else if (reply.status() / 100 != 2) {
         ended.completeExceptionally(Failures.of(Effect.READ, name, reply));
       } else {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpReply.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpReply.java
@@ -11,14 +11,14 @@
 import java.util.Optional;
 
 /**
- * A whole answer.
+ * A complete response.
  *
  * @param status the HTTP status
- * @param headers the headers, not to be changed
+ * @param headers the headers; must not be modified
  * @param body the body, owned by the reply
  */
 public record HttpReply(int status, HeaderMap headers, byte[] body) {
-  /** The first value of a header; empty if there is none. */
+  /** Returns the first value of a header, empty if the header is absent. */
   public Optional<String> header(HttpString name) {
     return Optional.ofNullable(headers.getFirst(name));
   }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpRequestData.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpRequestData.java
@@ -14,11 +14,11 @@
 import org.larkkeel.store.HttpClientOptions;
 
 /**
- * A request before it is sent.
+ * The data of a request to send. Immutable.
  *
- * @param method the method
- * @param path path and query, escaped
- * @param body the body; empty for none
+ * @param method the HTTP method
+ * @param path the path and query, percent-encoded
+ * @param body the JSON body, empty for none
  */
 public record HttpRequestData(HttpString method, String path, String body) {
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpWeightCalls.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpWeightCalls.java
@@ -25,37 +25,37 @@
 import org.larkkeel.store.order.PullResult;
 import org.xnio.XnioWorker;
 
-/** The calls of the weight store. Safe for use by several threads. */
+/** The weight store's API over HTTP. Thread-safe. */
 public final class HttpWeightCalls implements AutoCloseable {
   private static final String BASE = "/weights/v1/";
   private static final String PULLS = "/pulls";
-  private static final String NO_VERSION = "latest";
+  private static final String LATEST_VERSION = "latest";
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final HttpCaller caller;
+  private final HttpCaller client;
 
   /**
-   * Creates the calls.
+   * Creates a client of the weight store.
    *
-   * @param options where the store is, and limits
+   * @param options the address of the store, and limits
    * @param worker runs the I/O
    * @param scheduler completes the futures
    */
   public HttpWeightCalls(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
-    this.caller = new HttpCaller(options, worker, scheduler);
+    this.client = new HttpCaller(options, worker, scheduler);
   }
 
   /** See {@link org.larkkeel.store.order.WeightStore#pull}. */
   public CompletableFuture<PullResult> pull(UpstreamName upstream, ModelVersion model) {
     String body =
         JsonNodeFactory.instance.objectNode().put("upstream", upstream.value()).toString();
-    return caller
+    return client
         .call(new HttpRequestData(Methods.POST, path(model), body))
-        .handle((reply, broken) -> broken == null ? result(reply) : new PullResult.Failed());
+        .handle((reply, failure) -> failure == null ? result(reply) : new PullResult.Failed());
   }
 
   private static String path(ModelVersion model) {
-    String version = model.version().equals(ModelVersion.ANY) ? NO_VERSION : model.version();
+    String version = model.version().equals(ModelVersion.ANY) ? LATEST_VERSION : model.version();
     return BASE + escape(model.model().value()) + "/" + escape(version) + PULLS;
   }
 
@@ -65,14 +65,14 @@
 
   private static PullResult result(HttpReply reply) {
     return switch (reply.status()) {
-      case StatusCodes.ACCEPTED -> started(reply);
+      case StatusCodes.ACCEPTED -> parsePull(reply);
       case StatusCodes.TOO_MANY_REQUESTS ->
           new PullResult.Throttled(Failures.retryAfter(reply.header(Headers.RETRY_AFTER)));
       default -> new PullResult.Failed();
     };
   }
 
-  private static PullResult started(HttpReply reply) {
+  private static PullResult parsePull(HttpReply reply) {
     try {
       JsonNode pull = JSON.readTree(reply.body());
       long rate = pull.path("bytesPerSecond").asLong();
@@ -89,6 +89,6 @@
 
   @Override
   public void close() {
-    caller.close();
+    client.close();
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/JsonCalls.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/JsonCalls.java
@@ -19,97 +19,107 @@
 import org.larkkeel.store.internal.http.Failures.Effect;
 
 /**
- * Calls with JSON bodies, whose failures are those of the object API.
+ * A client for calls with JSON bodies, whose failures are those of the object API.
  *
- * <p>Safe for use by several threads; futures complete on the caller's scheduler, with {@link
- * ObjectApiException} where there is no success.
+ * <p>Thread-safe. Futures complete on the scheduler of the {@link HttpCaller}; they fail with
+ * {@link ObjectApiException} unless the response has a success status and can be parsed.
  */
 public final class JsonCalls implements AutoCloseable {
-  private final HttpCaller caller;
+  private final HttpCaller client;
   private final Consumer<HttpReply> observer;
 
-  /** Calls by a caller, which it closes. */
-  public JsonCalls(HttpCaller caller) {
-    this(caller, reply -> {});
+  /** Creates a client over an HTTP client, which it closes with itself. */
+  public JsonCalls(HttpCaller client) {
+    this(client, reply -> {});
   }
 
   /**
-   * As the other.
+   * Creates a client over an HTTP client, which it closes with itself, with an observer of the
+   * responses.
    *
-   * @param observer is shown each whole answer, whatever it is, before it is read; throws an {@link
-   *     ObjectApiException} if it must not be read
+   * @param client the HTTP client
+   * @param observer receives each complete response, whatever its status, before it is parsed;
+   *     throws an {@link ObjectApiException} if the response must not be used
    */
-  public JsonCalls(HttpCaller caller, Consumer<HttpReply> observer) {
-    this.caller = caller;
+  public JsonCalls(HttpCaller client, Consumer<HttpReply> observer) {
+    this.client = client;
     this.observer = observer;
   }
 
   /**
-   * Calls.
+   * Sends a request and parses the JSON response.
    *
-   * @param effect whether it may change anything
-   * @param method the method
-   * @param path path and query
-   * @param body the JSON text; empty for none
-   * @param read reads the answer; throws an {@link ObjectApiException} if it can not be read
+   * @param effect whether the call may change an object
+   * @param method the HTTP method
+   * @param path the path and query
+   * @param body the JSON text, empty for none
+   * @param converter converts the response; throws an {@link ObjectApiException} if it is malformed
+   * @return completes with the converted response
    */
   public <T> CompletableFuture<T> call(
-      Effect effect, HttpString method, String path, String body, Function<JsonNode, T> read) {
-    return callRaw(effect, method, path, body, r -> read.apply(ObjectCodec.parse(r.body())));
+      Effect effect, HttpString method, String path, String body, Function<JsonNode, T> converter) {
+    return callRaw(effect, method, path, body, r -> converter.apply(ObjectCodec.parse(r.body())));
   }
 
-  /** As {@link #call}, for a reader of the whole answer. */
+  /** Like {@link #call}, but {@code converter} converts the complete response with its headers. */
   public <T> CompletableFuture<T> callRaw(
-      Effect effect, HttpString method, String path, String body, Function<HttpReply, T> read) {
-    CompletableFuture<HttpReply> answer = caller.call(new HttpRequestData(method, path, body));
-    return read(effect, method + " " + path, answer, read);
+      Effect effect,
+      HttpString method,
+      String path,
+      String body,
+      Function<HttpReply, T> converter) {
+    CompletableFuture<HttpReply> answer = client.call(new HttpRequestData(method, path, body));
+    return convert(effect, method + " " + path, answer, converter);
   }
 
   /**
-   * Reads something for which the service may wait.
+   * Sends a GET request to which the service may delay its response, on a connection of its own.
    *
-   * @param path path and query
-   * @param timeout the longest time until the whole answer
-   * @param read as in {@link #call}; of a call that is given up it is never called
+   * @param path the path and query
+   * @param timeout the maximum time until the complete response
+   * @param converter converts the complete response, as in {@link #callRaw}; not called once the
+   *     call is cancelled
+   * @return the call, which can be cancelled by closing it
    */
-  public <T> PendingCall<T> await(String path, Duration timeout, Function<HttpReply, T> read) {
+  public <T> PendingCall<T> await(String path, Duration timeout, Function<HttpReply, T> converter) {
     HttpRequestData request = new HttpRequestData(Methods.GET, path, "");
-    PendingCall<HttpReply> call = caller.callAlone(request, timeout);
-    CompletableFuture<T> answer = read(Effect.READ, Methods.GET + " " + path, call.answer(), read);
-    return new PendingCall<>(answer, call.abandonment());
+    PendingCall<HttpReply> call = client.callOnOwnConnection(request, timeout);
+    CompletableFuture<T> answer =
+        convert(Effect.READ, Methods.GET + " " + path, call.answer(), converter);
+    return new PendingCall<>(answer, call.cancelAction());
   }
 
-  private <T> CompletableFuture<T> read(
+  private <T> CompletableFuture<T> convert(
       Effect effect,
       String name,
       CompletableFuture<HttpReply> answer,
-      Function<HttpReply, T> read) {
+      Function<HttpReply, T> converter) {
     return answer.handle(
-        (reply, broken) -> {
-          if (broken != null) {
-            throw new CompletionException(Failures.of(effect, name, broken));
+        (reply, failure) -> {
+          if (failure != null) {
+            throw new CompletionException(Failures.of(effect, name, failure));
           }
-          if (!isUsable(reply)) {
+          if (!isAcceptedByObserver(reply)) {
             throw new CompletionException(
-                Failures.of(effect, name, new IOException("the answer can not be read")));
+                Failures.of(effect, name, new IOException("the observer rejected the response")));
           }
           if (reply.status() / 100 != 2) {
             throw new CompletionException(Failures.of(effect, name, reply));
           }
-          return read(effect, name, reply, read);
+          return convert(effect, name, reply, converter);
         });
   }
 
-  private static <T> T read(
-      Effect effect, String name, HttpReply reply, Function<HttpReply, T> read) {
+  private static <T> T convert(
+      Effect effect, String name, HttpReply reply, Function<HttpReply, T> converter) {
     try {
-      return read.apply(reply);
+      return converter.apply(reply);
     } catch (ObjectApiException e) {
       throw new CompletionException(effect == Effect.READ ? e : Failures.of(effect, name, e));
     }
   }
 
-  private boolean isUsable(HttpReply reply) {
+  private boolean isAcceptedByObserver(HttpReply reply) {
     try {
       observer.accept(reply);
       return true;
@@ -120,6 +130,6 @@
 
   @Override
   public void close() {
-    caller.close();
+    client.close();
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/ObjectCodec.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/ObjectCodec.java
@@ -21,16 +21,16 @@
 import org.larkkeel.store.StoredObject;
 import org.larkkeel.store.WatchEvent;
 
-/** Objects and events as JSON. Stateless and safe for use by several threads. */
+/** Converts objects and watch events from and to JSON. Stateless and thread-safe. */
 public final class ObjectCodec {
-  /** The version of all objects. */
+  /** The API version of all objects. */
   public static final String API_VERSION = "larkkeel.org/v1";
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private ObjectCodec() {}
 
-  /** Writes an object; no version is left out. */
+  /** Returns the JSON of an object, without a resource version if there is none. */
   public static ObjectNode toJson(ObjectKey key, String kind, JsonNode spec, StoreVersion version) {
     ObjectNode o = JsonNodeFactory.instance.objectNode();
     o.put("apiVersion", API_VERSION);
@@ -47,16 +47,16 @@
     try {
       return MAPPER.writeValueAsString(toJson(key, kind, spec, version));
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("the spec of " + key + " can not be written", e);
+      throw new IllegalArgumentException("cannot write the spec of " + key + " as JSON", e);
     }
   }
 
-  /** Reads JSON; throws an {@link ObjectApiException} if it is none. */
+  /** Parses JSON; throws an {@link ObjectApiException} if the body is malformed. */
   public static JsonNode parse(byte[] body) {
     try {
       return MAPPER.readTree(body);
     } catch (IOException e) {
-      throw unreadable(e.getMessage());
+      throw malformed(e.getMessage());
     }
   }
 
@@ -82,7 +82,7 @@
       case "ADDED", "MODIFIED" -> new WatchEvent.Changed(object(collection, object));
       case "DELETED" -> new WatchEvent.Deleted(object(collection, object));
       case "BOOKMARK" -> new WatchEvent.Bookmark(version(object.path("metadata")));
-      default -> throw unreadable("type is \"" + type + "\"");
+      default -> throw malformed("unknown event type \"" + type + "\"");
     };
   }
 
@@ -93,13 +93,13 @@
 
   private static JsonNode required(JsonNode node, String field) {
     if (node.isMissingNode()) {
-      throw unreadable(field + " is missing");
+      throw malformed(field + " is missing");
     }
     return node;
   }
 
-  private static ObjectApiException unreadable(String detail) {
+  private static ObjectApiException malformed(String detail) {
     return new ObjectApiException(
-        new ObjectApiFailure.Refused(0), "the store's answer can not be read: " + detail);
+        new ObjectApiFailure.Refused(0), "cannot parse the store's response: " + detail);
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/PendingCall.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/PendingCall.java
@@ -9,18 +9,17 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A call that may wait for long. Closing it ends it at the other side too.
+ * A call in progress that may wait for a long time. Closing it cancels the call and resets its
+ * connection, so that the service ends it too. Thread-safe.
  *
- * <p>Safe for use by several threads.
- *
- * @param answer gets the answer; fails if there is none, or when the call is given up
- * @param abandonment gives the call up
- * @param <T> the answer
+ * @param answer completes with the answer; fails if none is received or the call is cancelled
+ * @param cancelAction cancels the call
+ * @param <T> the type of the answer
  */
-public record PendingCall<T>(CompletableFuture<T> answer, Runnable abandonment)
+public record PendingCall<T>(CompletableFuture<T> answer, Runnable cancelAction)
     implements AutoCloseable {
   @Override
   public void close() {
-    abandonment.run();
+    cancelAction.run();
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/ResponseReader.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/ResponseReader.java
@@ -11,7 +11,7 @@
 import org.xnio.ChannelListener;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads a response body without blocking. Used by one I/O thread. */
+/** Reads a response body without blocking. Confined to one I/O thread. */
 final class ResponseReader implements ChannelListener<StreamSourceChannel> {
   private static final int BUFFER_BYTES = 16 << 10;
 
@@ -49,15 +49,15 @@
     }
   }
 
-  /** Receives the body. */
+  /** Receives a response body. */
   interface Sink {
-    /** Takes some bytes; the buffer is reused afterwards. */
+    /** Receives the next bytes of the body. The buffer is valid only during this call. */
     void bytes(ByteBuffer part) throws IOException;
 
-    /** The body is whole. */
+    /** The body is complete. */
     void end();
 
-    /** The connection broke or the sink refused the bytes. */
+    /** The connection failed, or {@link #bytes} threw an exception. */
     void failed(IOException cause);
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/SingleUse.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/SingleUseConnections.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.CompletableFuture;
 import org.xnio.IoUtils;
 
-/** A new connection for each call. Confined to the scheduler. */
-final class SingleUse implements Connections {
+/** Opens a new connection for each call and closes it on release. Confined to the scheduler. */
+final class SingleUseConnections implements ConnectionSource {
   private final Connector connector;
 
-  SingleUse(Connector connector) {
+  SingleUseConnections(Connector connector) {
     this.connector = connector;
   }
 
@@ -26,11 +26,11 @@
   }
 
   private static void connected(
-      CompletableFuture<ClientConnection> f, ClientConnection made, Throwable failure) {
+      CompletableFuture<ClientConnection> f, ClientConnection connection, Throwable failure) {
     if (failure != null) {
       f.completeExceptionally(failure);
-    } else if (!f.complete(made)) {
-      IoUtils.safeClose(made);
+    } else if (!f.complete(connection)) {
+      IoUtils.safeClose(connection);
     }
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/package-info.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP adapters of the ports to the platform, over Undertow's client. */
+/** HTTP clients of the platform's services, based on Undertow's client. */
 package org.larkkeel.store.internal.http;
