--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/settings/SettingsReaderTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/settings/SettingsReaderTest.java
@@ -22,19 +22,19 @@
 /** Tests of {@link SettingsReader}. */
 public class SettingsReaderTest {
   private static final String FILE = "node.json";
-  private static final String NEEDED =
+  private static final String REQUIRED_MEMBERS =
       """
       "host": "entry-1", "dataCentre": "dc-1", "platform": {"url": "http://127.0.0.1:9000"}
       """;
 
   private static Checked<Settings> read(String members) {
-    return SettingsReader.read(FILE, "{" + NEEDED.strip() + members + "\n}");
+    return SettingsReader.read(FILE, "{" + REQUIRED_MEMBERS.strip() + members + "\n}");
   }
 
-  /** The file that is printed. */
+  /** The defaults that {@code --print-default-config} prints. */
   public static class Defaults {
     @Test
-    public void printedFileHasTheValuesOfWhatIsLeftOut() throws IOException {
+    public void printedDefaultsEqualOmittedSettings() throws IOException {
       String printed =
           Resources.toString(
               Resources.getResource(Settings.class, "default-settings.json"),
@@ -43,8 +43,8 @@
     }
   }
 
-  /** Faults of the file. */
-  public static class Faults {
+  /** Invalid settings files. */
+  public static class InvalidFiles {
     @DataProvider
     static Object[][] faults() {
       return new Object[][] {
@@ -75,14 +75,14 @@
     }
 
     @Test(dataProvider = "faults")
-    public void eachIsToldWithItsPlaceAndRemedy(String members, String expected) {
+    public void eachIsReportedWithPathAndRemedy(String members, String expected) {
       Problems problems = read(members).problems();
       assertTrue(problems.hasErrors(), members);
       assertTrue(problems.toString().contains(expected), problems.toString());
     }
 
     @Test
-    public void allAreToldAtOnce() {
+    public void allAreReportedTogether() {
       String text =
           """
           {
@@ -104,7 +104,7 @@
     }
   }
 
-  /** What is shown of secrets. */
+  /** Secrets must not appear in the text form of settings. */
   public static class Secrets {
     @Test
     public void digestsOfTokensAreNotShown() {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/LimitSettings.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/LimitSettings.java
@@ -9,24 +9,24 @@
 import java.time.Duration;
 
 /**
- * Bounds of a node.
+ * Resource limits and timeouts of a node.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param ioThreads I/O threads of all listeners and clients
- * @param queuedEvents events that may wait for the reducer, a power of 2
- * @param maxBodyBytes the largest body of a request
- * @param maxBodiesBytes the most that the bodies of all requests may take together
- * @param maxPendingBytes the most that waits for one caller to read
- * @param header a request whose headers take longer is dropped
- * @param body a request whose body takes longer is refused
- * @param idle a connection without a request is closed after this
- * @param stall a caller that reads nothing for this long is cut off
- * @param cutOff a node that reaches neither the store nor a peer for this long turns unready
- * @param grace how long a node that is to stop takes requests after it turned unready
- * @param drain the longest that a stop waits for requests in progress
- * @param reload how often certificates are looked at for a change
- * @param poll how often engines are asked for their load
+ * @param ioThreads the number of I/O threads that all listeners and clients share
+ * @param queuedEvents the capacity of the reducer's queue in events, a power of 2
+ * @param maxBodyBytes the maximum size of a request body
+ * @param maxBodiesBytes the maximum total size of all request bodies held at once
+ * @param maxPendingBytes the maximum size of the data buffered for one caller
+ * @param header the timeout for request headers, after which the connection is dropped
+ * @param body the timeout for a request body, after which the request is refused
+ * @param idle the time after which a connection without a request is closed
+ * @param stall the time after which the connection of a caller that reads nothing is closed
+ * @param cutOff the time without contact to the store or a peer after which the node turns unready
+ * @param grace the time for which a draining node still accepts requests after it turned unready
+ * @param drain the maximum time that a drain waits for requests in progress
+ * @param reload the interval between checks for changed certificate files
+ * @param poll the interval between polls of an engine's load
  * @since 0.1
  */
 public record LimitSettings(
@@ -59,7 +59,7 @@
   static final long RELOAD_MILLIS = 10_000;
   static final long POLL_MILLIS = 250;
 
-  /** The limits of a node that sets none. */
+  /** The default limits. */
   public static final LimitSettings DEFAULT =
       new LimitSettings(
           IO_THREADS,
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/ListenerSettings.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/ListenerSettings.java
@@ -10,17 +10,17 @@
 import java.util.Optional;
 
 /**
- * Where a listener listens.
+ * The address and the TLS files of a listener.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param address IP number and port; port 0 takes a free one
- * @param tls the PEM files; empty without TLS
+ * @param address IP number and port; port 0 selects a free port
+ * @param tls the PEM files; empty for a listener without TLS
  * @since 0.1
  */
 public record ListenerSettings(InetSocketAddress address, Optional<TlsFiles> tls) {
   /**
-   * A listener without TLS.
+   * Returns the settings of a listener without TLS.
    *
    * @param address IP number and port
    * @return the settings
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/LogLevel.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/LogLevel.java
@@ -7,17 +7,17 @@
 package org.larkkeel.daemon.settings;
 
 /**
- * The least grave lines that are logged.
+ * The minimum severity of the lines that are logged.
  *
  * @since 0.1
  */
 public enum LogLevel {
-  /** Failures that need somebody. */
+  /** Failures that an operator must act on. */
   ERROR,
-  /** Also what may need somebody. */
+  /** Also conditions that an operator may have to act on. */
   WARN,
-  /** Also one line for each request and change. */
+  /** Also one line for each request and each change. */
   INFO,
-  /** Also each attempt. */
+  /** Also one line for each attempt. */
   DEBUG
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/OperatorSettings.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/OperatorSettings.java
@@ -9,13 +9,13 @@
 import org.larkkeel.http.operator.OperatorRole;
 
 /**
- * Who may operate.
+ * The name, the token digest and the role of an operator.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param name the author in the audit trail
- * @param tokenSha256 SHA-256 of the bearer token in lower case hex
- * @param role what the holder may do
+ * @param name the name, recorded as the author in the audit trail
+ * @param tokenSha256 the SHA-256 digest of the bearer token, in lower-case hex
+ * @param role the role, which determines the permitted operations
  * @since 0.1
  */
 public record OperatorSettings(String name, String tokenSha256, OperatorRole role) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/PlatformSettings.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/PlatformSettings.java
@@ -12,15 +12,15 @@
 import java.util.Optional;
 
 /**
- * How to reach the platform's object API.
+ * The address, the credentials and the call budget for the platform's object API.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param url scheme, address and port
- * @param token the file that holds the bearer token, read before each call; empty without
- * @param timeout the longest time of a call
- * @param readsPerSecond this node's share of the store's reads
- * @param writesPerSecond this node's share of the store's writes
+ * @param token the file with the bearer token, read before each call; empty if no token is sent
+ * @param timeout the timeout of a call
+ * @param readsPerSecond the maximum rate of reads by this node, its share of the store's capacity
+ * @param writesPerSecond the maximum rate of writes by this node, its share of the store's capacity
  * @since 0.1
  */
 public record PlatformSettings(
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/Settings.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/Settings.java
@@ -15,22 +15,22 @@
 import org.larkkeel.router.RouterSettings;
 
 /**
- * All settings of a node, checked.
+ * All settings of a node, validated.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param host the name of the node, unique among its peers
- * @param dataCentre where it runs
- * @param incarnation the number of this start; empty takes the clock at the start
- * @param caller the listener towards callers
- * @param operator the listener towards operators
- * @param peer the listener towards peers
- * @param peerSecret the file that holds the secret that peers share; empty without
+ * @param dataCentre the data centre of the node
+ * @param incarnation the incarnation of the node; if empty, the wall clock at the start is used
+ * @param caller the listener for callers
+ * @param operator the listener for operators
+ * @param peer the listener for peers
+ * @param peerSecret the file with the shared secret of the peers; empty if they use none
  * @param platform the platform's object API
- * @param operators who may operate
- * @param limits bounds
+ * @param operators the operators with their token digests and roles
+ * @param limits resource limits and timeouts
  * @param router settings of the router
- * @param logLevel what is logged
+ * @param logLevel the minimum severity of the lines that are logged
  * @since 0.1
  */
 public record Settings(
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SettingsKeys.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SettingsKeys.java
@@ -61,7 +61,7 @@
   public static final String EJECT_MILLIS = "ejectMillis";
   public static final String LOG_LEVEL = "logLevel";
 
-  static final ImmutableSet<String> TOP =
+  static final ImmutableSet<String> TOP_LEVEL =
       ImmutableSet.of(
           HOST,
           DATA_CENTRE,
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SettingsReader.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SettingsReader.java
@@ -28,7 +28,7 @@
 import org.larkkeel.router.RouterSettings;
 
 /**
- * Reads the settings file and reports every problem at once.
+ * Reads the settings file; reports all problems together rather than only the first.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -45,43 +45,43 @@
   private static final String DEFAULT_OPERATOR = "127.0.0.1:8081";
   private static final String DEFAULT_PEER = "127.0.0.1:8082";
   private static final int MAX_THREADS = 64;
-  private static final int MIN_QUEUED = 64;
-  private static final int MAX_QUEUED = 1 << 20;
+  private static final int MIN_QUEUED_EVENTS = 64;
+  private static final int MAX_QUEUED_EVENTS = 1 << 20;
   private static final int MIN_BYTES = 1_024;
-  private static final long MAX_BODIES = 1L << 36;
+  private static final long MAX_TOTAL_BODY_BYTES = 1L << 36;
   private static final long DAY_MILLIS = TimeUnit.DAYS.toMillis(1);
-  private static final int MAX_RATE = 100_000;
+  private static final int MAX_CALLS_PER_SECOND = 100_000;
   private static final int MAX_TOKENS = 10_000_000;
 
   private SettingsReader() {}
 
   /**
-   * Reads settings.
+   * Reads and validates the settings.
    *
-   * @param source the name of the file, for problems
-   * @param text the file
-   * @return the settings, or every problem
+   * @param source the name of the file, shown in problems
+   * @param text the content of the file
+   * @return the settings, or all problems
    */
   public static Checked<Settings> read(String source, String text) {
     ProblemCollector problems = new ProblemCollector(source, Severity.ERROR);
     Settings settings =
-        FieldReader.document(text, SettingsKeys.TOP, problems)
+        FieldReader.document(text, SettingsKeys.TOP_LEVEL, problems)
             .map(SettingsReader::settings)
             .orElse(null);
     return Checked.of(settings, problems.build());
   }
 
-  /** Builds the settings; the result is of use only if there is no problem. */
+  /** Builds the settings; fields may be null if a problem was reported. */
   private static Settings settings(FieldReader top) {
     HostName host = name(top, SettingsKeys.HOST).map(HostName::new).orElse(null);
-    DataCentreName place =
+    DataCentreName dataCentre =
         name(top, SettingsKeys.DATA_CENTRE).map(DataCentreName::new).orElse(null);
     long incarnation = top.whole(SettingsKeys.INCARNATION, 0, Long.MAX_VALUE, 0);
     FieldReader listeners = top.child(SettingsKeys.LISTENERS, SettingsKeys.IN_LISTENERS);
     FieldReader peer = listeners.child(SettingsKeys.PEER, SettingsKeys.IN_PEER);
     return new Settings(
         host,
-        place,
+        dataCentre,
         incarnation == 0 ? Optional.empty() : Optional.of(new Incarnation(incarnation)),
         listener(listeners.child(SettingsKeys.CALLER, SettingsKeys.IN_LISTENER), DEFAULT_CALLER),
         listener(
@@ -91,7 +91,7 @@
         platform(top.child(SettingsKeys.PLATFORM, SettingsKeys.IN_PLATFORM)),
         operators(top),
         limits(top.child(SettingsKeys.LIMITS, SettingsKeys.IN_LIMITS)),
-        router(top.child(SettingsKeys.ROUTER, SettingsKeys.IN_ROUTER), place),
+        router(top.child(SettingsKeys.ROUTER, SettingsKeys.IN_ROUTER), dataCentre),
         top.choice(SettingsKeys.LOG_LEVEL, LogLevel.class, LogLevel.INFO));
   }
 
@@ -102,8 +102,8 @@
     return fields.parsed(key, text -> new HostName(text).value(), NAME_REMEDY);
   }
 
-  private static ListenerSettings listener(FieldReader fields, String absent) {
-    return new ListenerSettings(address(fields, absent), tls(fields, Optional.empty()));
+  private static ListenerSettings listener(FieldReader fields, String defaultAddress) {
+    return new ListenerSettings(address(fields, defaultAddress), tls(fields, Optional.empty()));
   }
 
   private static ListenerSettings peerListener(FieldReader fields) {
@@ -122,16 +122,16 @@
     return new ListenerSettings(address, tls);
   }
 
-  private static InetSocketAddress address(FieldReader fields, String absent) {
+  private static InetSocketAddress address(FieldReader fields, String defaultAddress) {
     return fields
         .parsed(SettingsKeys.ADDRESS, SettingsReader::parseAddress, ADDRESS_REMEDY)
-        .orElseGet(() -> parseAddress(absent));
+        .orElseGet(() -> parseAddress(defaultAddress));
   }
 
   private static InetSocketAddress parseAddress(String text) {
     HostAndPort parts = HostAndPort.fromString(text);
     if (!parts.hasPort()) {
-      throw new IllegalArgumentException("no port");
+      throw new IllegalArgumentException("the address has no port");
     }
     return new InetSocketAddress(InetAddresses.forString(parts.getHost()), parts.getPort());
   }
@@ -157,15 +157,15 @@
         url,
         fields.text(SettingsKeys.TOKEN).map(Path::of),
         millis(fields, SettingsKeys.TIMEOUT_MILLIS, 2_000),
-        (int) fields.whole(SettingsKeys.READS_PER_SECOND, 1, MAX_RATE, 100),
-        (int) fields.whole(SettingsKeys.WRITES_PER_SECOND, 1, MAX_RATE, 50));
+        (int) fields.whole(SettingsKeys.READS_PER_SECOND, 1, MAX_CALLS_PER_SECOND, 100),
+        (int) fields.whole(SettingsKeys.WRITES_PER_SECOND, 1, MAX_CALLS_PER_SECOND, 50));
   }
 
   private static URI parseUrl(String text) {
     URI url = URI.create(text);
     boolean http = "http".equals(url.getScheme()) || "https".equals(url.getScheme());
     if (!http || url.getHost() == null || url.getPort() < 0) {
-      throw new IllegalArgumentException("not an address of the platform");
+      throw new IllegalArgumentException("expected an http or https URL with host and port");
     }
     return url;
   }
@@ -189,25 +189,31 @@
 
   private static String parseDigest(String text) {
     if (!DIGEST.matcher(text).matches()) {
-      throw new IllegalArgumentException("not a digest");
+      throw new IllegalArgumentException("expected 64 hex digits");
     }
     return text.toLowerCase(Locale.ROOT);
   }
 
   private static LimitSettings limits(FieldReader f) {
-    int queued =
+    int queuedEvents =
         (int)
             f.whole(
-                SettingsKeys.QUEUED_EVENTS, MIN_QUEUED, MAX_QUEUED, LimitSettings.QUEUED_EVENTS);
-    if (Integer.bitCount(queued) != 1) {
+                SettingsKeys.QUEUED_EVENTS,
+                MIN_QUEUED_EVENTS,
+                MAX_QUEUED_EVENTS,
+                LimitSettings.QUEUED_EVENTS);
+    if (Integer.bitCount(queuedEvents) != 1) {
       f.report(SettingsKeys.QUEUED_EVENTS, "not a power of 2", "use a power of 2, as 16384");
     }
     return new LimitSettings(
         (int) f.whole(SettingsKeys.IO_THREADS, 1, MAX_THREADS, LimitSettings.IO_THREADS),
-        queued,
+        queuedEvents,
         bytes(f, SettingsKeys.MAX_BODY_BYTES, LimitSettings.MAX_BODY_BYTES),
         f.whole(
-            SettingsKeys.MAX_BODIES_BYTES, MIN_BYTES, MAX_BODIES, LimitSettings.MAX_BODIES_BYTES),
+            SettingsKeys.MAX_BODIES_BYTES,
+            MIN_BYTES,
+            MAX_TOTAL_BODY_BYTES,
+            LimitSettings.MAX_BODIES_BYTES),
         bytes(f, SettingsKeys.MAX_PENDING_BYTES, LimitSettings.MAX_PENDING_BYTES),
         millis(f, SettingsKeys.HEADER_MILLIS, LimitSettings.HEADER_MILLIS),
         millis(f, SettingsKeys.BODY_MILLIS, LimitSettings.BODY_MILLIS),
@@ -220,15 +226,15 @@
         millis(f, SettingsKeys.POLL_MILLIS, LimitSettings.POLL_MILLIS));
   }
 
-  private static int bytes(FieldReader fields, String key, int absent) {
-    return (int) fields.whole(key, MIN_BYTES, Integer.MAX_VALUE, absent);
+  private static int bytes(FieldReader fields, String key, int defaultValue) {
+    return (int) fields.whole(key, MIN_BYTES, Integer.MAX_VALUE, defaultValue);
   }
 
-  private static Duration millis(FieldReader fields, String key, long absent) {
-    return Duration.ofMillis(fields.whole(key, 1, DAY_MILLIS, absent));
+  private static Duration millis(FieldReader fields, String key, long defaultMillis) {
+    return Duration.ofMillis(fields.whole(key, 1, DAY_MILLIS, defaultMillis));
   }
 
-  private static RouterSettings router(FieldReader f, DataCentreName place) {
+  private static RouterSettings router(FieldReader f, DataCentreName dataCentre) {
     RouterSettings defaults = RouterSettings.defaults();
     RouterSettings.Builder builder =
         f.parsed(
@@ -237,7 +243,7 @@
                 "use one of " + String.join(", ", RouterSettings.NAMES))
             .orElseGet(RouterSettings::builder);
     return builder
-        .dataCentre(Optional.ofNullable(place))
+        .dataCentre(Optional.ofNullable(dataCentre))
         .sharedSlots(
             f.choice(SettingsKeys.SLOTS, SlotSharing.class, SlotSharing.GRANTED)
                 == SlotSharing.GRANTED)
@@ -251,11 +257,11 @@
         .build();
   }
 
-  private static int count(FieldReader fields, String key, int max, int absent) {
-    return (int) fields.whole(key, 1, max, absent);
+  private static int count(FieldReader fields, String key, int max, int defaultValue) {
+    return (int) fields.whole(key, 1, max, defaultValue);
   }
 
-  private static long nanos(FieldReader fields, String key, long absent) {
-    return millis(fields, key, TimeUnit.NANOSECONDS.toMillis(absent)).toNanos();
+  private static long nanos(FieldReader fields, String key, long defaultNanos) {
+    return millis(fields, key, TimeUnit.NANOSECONDS.toMillis(defaultNanos)).toNanos();
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SlotSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SlotSharing.java
@@ -12,8 +12,8 @@
  * @since 0.1
  */
 public enum SlotSharing {
-  /** Each node counts on what the upstream reports as free. */
+  /** Each node uses the free slots that the upstream reports. */
   REPORTED,
-  /** The node that owns the upstream grants slots to the others. */
+  /** The node that owns the upstream grants slots to the other nodes. */
   GRANTED
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/package-info.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The settings of a node: their keys, types, checks and explanations. */
+/** The settings of a node: keys, types, validation and the commented default file. */
 package org.larkkeel.daemon.settings;
