--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/BoundedAppenderTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/BoundedAppenderTest.java
@@ -20,24 +20,24 @@
 import java.util.concurrent.CountDownLatch;
 import org.testng.annotations.Test;
 
-/** The bound of the log. */
+/** Tests of {@link BoundedAppender}. */
 public class BoundedAppenderTest {
   private static final int LINES = 5_000;
   private static final int QUEUE = 500;
 
-  /** Takes lines when it is let. */
-  private static final class Sink extends AppenderBase<ILoggingEvent> {
+  /** Blocks until it is released, then records the lines. */
+  private static final class BlockableAppender extends AppenderBase<ILoggingEvent> {
     private final List<String> lines = new CopyOnWriteArrayList<>();
-    private final CountDownLatch open;
+    private final CountDownLatch released;
 
-    Sink(CountDownLatch open) {
-      this.open = open;
+    BlockableAppender(CountDownLatch released) {
+      this.released = released;
     }
 
     @Override
     protected void append(ILoggingEvent event) {
       try {
-        open.await();
+        released.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -51,7 +51,7 @@
     return context;
   }
 
-  private static BoundedAppender start(LoggerContext context, Sink sink) {
+  private static BoundedAppender start(LoggerContext context, BlockableAppender sink) {
     sink.setContext(context);
     sink.start();
     BoundedAppender bounded = new BoundedAppender();
@@ -67,12 +67,12 @@
     return bounded;
   }
 
-  /** A flood of lines. */
+  /** More lines than the rate limit or the queue allows. */
   public static class Flood {
     @Test
-    public void leavesOutWhatWentWellAndTellsHowMuch() {
+    public void dropsInfoLinesAboveRateAndReportsTheirNumber() {
       LoggerContext context = context();
-      Sink sink = new Sink(new CountDownLatch(0));
+      BlockableAppender sink = new BlockableAppender(new CountDownLatch(0));
       BoundedAppender bounded = start(context, sink);
       Logger logger = context.getLogger("test");
       for (int i = 0; i < LINES; i++) {
@@ -86,23 +86,24 @@
       long bad = sink.lines.stream().filter(l -> l.contains("event=bad")).count();
       assertTrue(good >= 100 && good < 200, "good " + good);
       assertEquals(bad, 100);
-      assertEquals(bounded.leftOut(), LINES - good);
+      assertEquals(bounded.droppedLines(), LINES - good);
       assertTrue(sink.lines.stream().anyMatch(l -> l.contains("event=lines_left_out")));
     }
 
     @Test
-    public void neverWaitsForReaderThatDoesNotRead() {
+    public void neverWaitsForBlockedAppender() {
       LoggerContext context = context();
-      CountDownLatch open = new CountDownLatch(1);
-      Sink sink = new Sink(open);
+      CountDownLatch released = new CountDownLatch(1);
+      BlockableAppender sink = new BlockableAppender(released);
       BoundedAppender bounded = start(context, sink);
       Logger logger = context.getLogger("test");
       for (int i = 0; i < LINES; i++) {
         logger.warn("event=bad i={}", i);
       }
-      // The queue, and as many that its thread has taken out and holds while the reader waits.
-      assertTrue(bounded.leftOut() >= LINES - 2 * QUEUE - 1, "left out " + bounded.leftOut());
-      open.countDown();
+      // Up to QUEUE lines are queued, and as many may be drained by the blocked worker thread.
+      assertTrue(
+          bounded.droppedLines() >= LINES - 2 * QUEUE - 1, "dropped " + bounded.droppedLines());
+      released.countDown();
       bounded.stop();
     }
   }
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/DaemonTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/DaemonTest.java
@@ -50,7 +50,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Daemon} with stand-ins on the loopback address. */
+/** Tests of {@link Daemon} against stand-in servers on the loopback address. */
 public class DaemonTest {
   private static final String CONFIGURATION =
       """
@@ -73,8 +73,8 @@
       }
       """;
 
-  /** One node with one engine of each role, a service and a platform. */
-  private static final class Rig implements AutoCloseable {
+  /** A node with one engine of each role, a service and a platform. */
+  private static final class TestNode implements AutoCloseable {
     final Closer closer = new Closer();
     final HttpClient http = closer.add(HttpClient.newHttpClient());
     final PlatformStandin platform =
@@ -84,7 +84,7 @@
     final ServiceStandin service = closer.add(ServiceStandin.start(ServiceSettings.DEFAULTS));
     final Daemon daemon = closer.add(Daemon.start(settings()));
 
-    Rig() throws IOException {}
+    TestNode() throws IOException {}
 
     private EngineStandin engine(String name, EngineRole role) {
       return closer.add(EngineStandin.start(EngineSettings.of(name, role, "m")));
@@ -143,63 +143,63 @@
     }
   }
 
-  /** A node before and after its first configuration. */
+  /** A node must be ready only with a configuration and must never go back to an older one. */
   public static class Start {
     @Test
-    public void becomesReadyWithItsConfigurationAndAnswers() throws Exception {
-      try (Rig rig = new Rig()) {
-        assertEquals(rig.get("/readyz").statusCode(), 503);
-        rig.configure();
-        assertEquals(rig.get("/readyz").statusCode(), 200);
-        assertEquals(rig.get("/item?n=1").body(), ServiceOracle.lookup("/item?n=1"));
-        assertTrue(rig.get("/metrics").body().contains("larkkeel_requests_answered"));
+    public void isReadyAndAnswersOnceConfigured() throws Exception {
+      try (TestNode node = new TestNode()) {
+        assertEquals(node.get("/readyz").statusCode(), 503);
+        node.configure();
+        assertEquals(node.get("/readyz").statusCode(), 200);
+        assertEquals(node.get("/item?n=1").body(), ServiceOracle.lookup("/item?n=1"));
+        assertTrue(node.get("/metrics").body().contains("larkkeel_requests_answered"));
       }
     }
 
     @Test
     public void olderConfigurationIsIgnored() throws Exception {
-      try (Rig rig = new Rig()) {
-        rig.configure();
+      try (TestNode node = new TestNode()) {
+        node.configure();
         assertFalse(
-            rig.daemon.accept(
+            node.daemon.accept(
                 org.larkkeel.config.Configuration.EMPTY.withRevision(new Revision(1))));
-        assertEquals(rig.get("/item").statusCode(), 200);
+        assertEquals(node.get("/item").statusCode(), 200);
       }
     }
   }
 
-  /** A graceful stop. */
+  /** A drain must turn the node unready first and must not cut off a stream in progress. */
   public static class Stop {
-    private Rig rig;
+    private TestNode node;
 
     /** Starts the node. */
     @BeforeClass
     public void start() throws IOException {
-      rig = new Rig();
-      rig.configure();
+      node = new TestNode();
+      node.configure();
     }
 
-    /** Closes whatever the test left open. */
+    /** Closes the node and the stand-ins. */
     @AfterClass(alwaysRun = true)
     public void stop() throws Exception {
-      rig.close();
+      node.close();
     }
 
     @Test
-    public void drainCutsNoStream() throws Exception {
+    public void drainWaitsForOpenStream() throws Exception {
       HttpRequest request =
-          rig.request("/v1/completions")
+          node.request("/v1/completions")
               .POST(
                   BodyPublishers.ofString(
                       "{\"model\":\"m\",\"prompt\":\"hola\",\"max_tokens\":40,\"stream\":true}"))
               .build();
       HttpResponse<java.io.InputStream> response =
-          rig.http.send(request, BodyHandlers.ofInputStream());
+          node.http.send(request, BodyHandlers.ofInputStream());
       try (BufferedReader lines =
           new BufferedReader(new InputStreamReader(response.body(), StandardCharsets.UTF_8))) {
         String first = lines.readLine();
-        CompletableFuture<Void> drained = rig.daemon.drain();
-        assertEquals(rig.get("/readyz").statusCode(), 503, "unready comes first");
+        CompletableFuture<Void> drained = node.daemon.drain();
+        assertEquals(node.get("/readyz").statusCode(), 503, "unready comes first");
         assertFalse(drained.isDone(), "the drain did not wait for the stream");
         StringBuilder rest = new StringBuilder(first);
         lines.lines().forEach(rest::append);
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/DrainTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/DrainTest.java
@@ -20,8 +20,8 @@
 
 /** Tests of {@link Drain}. */
 public class DrainTest {
-  /** A node with a number of requests in progress. */
-  private static final class Rig {
+  /** A node with one request in progress that records the steps of its drain. */
+  private static final class TestNode {
     final VirtualTime time = new VirtualTime();
     final List<String> steps = new ArrayList<>();
     int inProgress = 1;
@@ -37,45 +37,45 @@
   public static class Order {
     @Test
     public void unreadyThenRefuseThenWaitForTheLastRequest() {
-      Rig rig = new Rig();
-      final CompletableFuture<Void> done = rig.drain.begin();
-      assertEquals(rig.steps, List.of("unready"));
-      rig.time.advance(LimitSettings.DEFAULT.grace());
-      assertEquals(rig.steps, List.of("unready", "refuse"));
-      rig.time.advance(Duration.ofMinutes(1));
-      assertFalse(done.isDone(), "a request in progress was cut");
-      rig.inProgress = 0;
-      rig.time.advance(Duration.ofSeconds(1));
+      TestNode node = new TestNode();
+      final CompletableFuture<Void> done = node.drain.begin();
+      assertEquals(node.steps, List.of("unready"));
+      node.time.advance(LimitSettings.DEFAULT.grace());
+      assertEquals(node.steps, List.of("unready", "refuse"));
+      node.time.advance(Duration.ofMinutes(1));
+      assertFalse(done.isDone(), "the drain did not wait for the request in progress");
+      node.inProgress = 0;
+      node.time.advance(Duration.ofSeconds(1));
       assertTrue(done.isDone());
     }
 
     @Test
     public void repeatedBeginHasNoFurtherEffect() {
-      Rig rig = new Rig();
-      CompletableFuture<Void> first = rig.drain.begin();
-      assertSame(rig.drain.begin(), first);
-      rig.time.advance(Duration.ofMinutes(1));
-      assertEquals(rig.steps, List.of("unready", "refuse"));
+      TestNode node = new TestNode();
+      CompletableFuture<Void> first = node.drain.begin();
+      assertSame(node.drain.begin(), first);
+      node.time.advance(Duration.ofMinutes(1));
+      assertEquals(node.steps, List.of("unready", "refuse"));
     }
   }
 
-  /** Ends before the last request. */
+  /** Drains that end before the last request has ended. */
   public static class Bounds {
     @Test
-    public void hurryEndsAtOnce() {
-      Rig rig = new Rig();
-      CompletableFuture<Void> done = rig.drain.begin();
-      rig.drain.hurry();
+    public void finishNowEndsDrainImmediately() {
+      TestNode node = new TestNode();
+      CompletableFuture<Void> done = node.drain.begin();
+      node.drain.finishNow();
       assertTrue(done.isDone());
     }
 
     @Test
-    public void limitEndsTheWait() {
-      Rig rig = new Rig();
-      CompletableFuture<Void> done = rig.drain.begin();
-      rig.time.advance(LimitSettings.DEFAULT.drain());
+    public void timeLimitEndsDrain() {
+      TestNode node = new TestNode();
+      CompletableFuture<Void> done = node.drain.begin();
+      node.time.advance(LimitSettings.DEFAULT.drain());
       assertFalse(done.isDone());
-      rig.time.advance(LimitSettings.DEFAULT.grace().plusSeconds(1));
+      node.time.advance(LimitSettings.DEFAULT.grace().plusSeconds(1));
       assertTrue(done.isDone());
     }
   }
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/EffectDispatcherTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/EffectDispatcherTest.java
@@ -37,7 +37,7 @@
   private static final WorkspaceName WORKSPACE = new WorkspaceName("w");
   private static final RunKey KEY = new RunKey(new IdempotencyKey("k"), 1);
 
-  /** Adapters that throw. */
+  /** Adapters that throw: an effect that expects an outcome must still get one, as a failure. */
   public static class Exceptions {
     @DataProvider
     static Object[][] effects() {
@@ -68,10 +68,10 @@
     }
 
     @Test(dataProvider = "effects")
-    public void becomeTheEffectsFailure(Effect effect, Event expected) {
+    public void publishFailureOfEffect(Effect effect, Event expected) {
       EffectSink broken =
           e -> {
-            throw new IllegalStateException("fault of the test");
+            throw new IllegalStateException("thrown by the test");
           };
       EffectPorts ports = new EffectPorts(broken, broken, broken, broken, broken, broken);
       List<Event> events = new ArrayList<>();
@@ -80,7 +80,7 @@
     }
   }
 
-  /** The way of each effect. */
+  /** The adapter to which an effect is passed. */
   public static class Routes {
     @Test
     public void claimsGoToTheRunLogAndCancelsToTheUpstream() {
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/LineEncoderTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/LineEncoderTest.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The form of a log line. */
+/** Tests of {@link LineEncoder}. */
 public class LineEncoderTest {
   private static final long YEAR_2200 = 7_258_118_400_000L;
   private static final List<Level> LEVELS =
@@ -41,8 +41,8 @@
     return new String(encoder.encode(event), StandardCharsets.UTF_8);
   }
 
-  /** A pattern of Logback says the same, with far more classes. */
-  public static class LikePattern {
+  /** The lines must equal those of the Logback pattern that the encoder replaces. */
+  public static class EquivalenceToPattern {
     private static final String PATTERN =
         "time=%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX, UTC} level=%level logger=%logger{0} %msg%n";
 
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Examples, for the reader. */
+  /** Examples of lines, and dates when the day changes in either direction. */
   public static class Lines {
     @Test
     public void nameTimeLevelAndLogger() {
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void followMidnightAndClocksThatGoBack() {
+    public void datesFollowMidnightAndClockSteppedBack() {
       LoggerContext context = new LoggerContext();
       LineEncoder encoder = new LineEncoder();
       long midnight = 1_796_256_000_000L;
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/LogConfiguratorTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/LogConfiguratorTest.java
@@ -23,7 +23,7 @@
 import java.util.ServiceLoader;
 import org.testng.annotations.Test;
 
-/** How the log of a process is set up. */
+/** Tests of {@link LogConfigurator}. */
 @Test(singleThreaded = true)
 public class LogConfiguratorTest {
   private static ExecutionStatus configure(LoggerContext context) {
@@ -32,8 +32,8 @@
     return configurator.configure(context);
   }
 
-  /** Without settings of the operator. */
-  public static class Alone {
+  /** Without a configuration file: {@link LogConfigurator} sets up the log. */
+  public static class WithoutFile {
     @Test
     public void isFoundByLogback() {
       boolean found =
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void writesBoundedLinesAndIsTheLast() {
+    public void addsBoundedAppenderAndEndsConfiguration() {
       LoggerContext context = new LoggerContext();
       assertEquals(configure(context), ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY);
       Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
@@ -56,26 +56,26 @@
     }
 
     @Test
-    public void listensToWhatLogbackSaysOfItself() {
+    public void printsLogbackWarningsToStandardError() {
       LoggerContext context = new LoggerContext();
       configure(context);
       PrintStream before = System.err;
       ByteArrayOutputStream err = new ByteArrayOutputStream();
       System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
       try {
-        context.getStatusManager().add(new InfoStatus("all is well", this));
-        context.getStatusManager().add(new WarnStatus("no room", this));
+        context.getStatusManager().add(new InfoStatus("started", this));
+        context.getStatusManager().add(new WarnStatus("queue is full", this));
       } finally {
         System.setErr(before);
         context.stop();
       }
       assertEquals(
           err.toString(StandardCharsets.UTF_8),
-          "larkkeel: the log: no room" + System.lineSeparator());
+          "larkkeel: the log: queue is full" + System.lineSeparator());
     }
 
     @Test
-    public void quietensLibraries() {
+    public void setsLibrariesToWarn() {
       LoggerContext context = new LoggerContext();
       configure(context);
       assertFalse(context.getLogger("io.undertow.request").isInfoEnabled());
@@ -85,10 +85,10 @@
     }
   }
 
-  /** With a file that the operator names. */
+  /** With a configuration file named by the operator. */
   public static class WithFile {
     @Test
-    public void leavesAllToIt() {
+    public void leavesConfigurationToFile() {
       LoggerContext context = new LoggerContext();
       String before = System.getProperty(LogConfigurator.FILE_PROPERTY);
       System.setProperty(LogConfigurator.FILE_PROPERTY, "a.xml");
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/MainTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/MainTest.java
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Wrong options. */
+  /** Invalid options. */
   public static class Usage {
     @Test
     public void unknownOptionIsNamedWithExitTwo() {
@@ -51,11 +51,12 @@
   /** Options that print. */
   public static class Print {
     @Test
-    public void pageShowsWhatIsPrinted() throws IOException {
+    public void settingsPageContainsPrintedDefaults() throws IOException {
       Output out = new Output();
       Main.run(new String[] {"--print-default-config"}, out.stream, new Output().stream);
       String page = Files.readString(Path.of("..", "docs", "SETTINGS.md"));
-      assertTrue(page.contains(out.toString()), "docs/SETTINGS.md differs from what is printed");
+      assertTrue(
+          page.contains(out.toString()), "docs/SETTINGS.md does not contain the printed defaults");
     }
 
     @Test
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/OrderSideTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/OrderModuleTest.java
@@ -55,47 +55,47 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link OrderSide} with stand-ins on the loopback address. */
-public class OrderSideTest {
-  private static final OrderLimits SHORT =
+/** Tests of {@link OrderModule} against stand-in servers on the loopback address. */
+public class OrderModuleTest {
+  private static final OrderLimits SHORT_INTERVALS =
       new OrderLimits(Duration.ofSeconds(2), Duration.ofSeconds(1), Duration.ofMillis(200), 2);
 
-  private static final PlatformSettings QUICK =
+  private static final PlatformSettings FAST_PLATFORM =
       new PlatformSettings(
           PlatformSettings.DEFAULTS.bind(), 1_000, 10_000, 1_000_000L, 2_000_000_000L, 2);
 
-  /** A platform and clients. */
-  public abstract static class Rig {
+  /** A stand-in platform and clients for it. */
+  public abstract static class StandinFixture {
     Closer closer;
     ExecutorScheduler scheduler;
     HttpWorker worker;
     PlatformStandin platform;
     EngineClient engines;
 
-    /** Starts them. */
+    /** Starts the platform and the clients. */
     @BeforeMethod
     public void start() {
       closer = new Closer();
       scheduler = closer.add(new ExecutorScheduler("orders-test"));
       worker = closer.add(new HttpWorker(1));
-      platform = closer.add(PlatformStandin.start(QUICK));
+      platform = closer.add(PlatformStandin.start(FAST_PLATFORM));
       engines =
           new EngineClient(
               closer.add(
                   new UpstreamClient(worker, UpstreamClientSettings.DEFAULT, System::nanoTime)));
     }
 
-    /** Stops them. */
+    /** Stops the platform and the clients. */
     @AfterMethod(alwaysRun = true)
     public void close() throws Exception {
       closer.close();
     }
 
-    EngineStandin engine(FencingHabit habit) {
+    EngineStandin engine(FencingHabit mode) {
       return closer.add(
           EngineStandin.start(
               EngineSettings.of("u", EngineRole.PREFILL, "old")
-                  .withFencing(habit)
+                  .withFencing(mode)
                   .withLoadMillis(1)));
     }
 
@@ -104,23 +104,23 @@
     }
   }
 
-  /** Orders and their answers. */
-  public static class Protocol extends Rig {
+  /** Orders to an engine and its answers. */
+  public static class Protocol extends StandinFixture {
 
-    /** Each habit with what becomes of an old number. */
+    /** Each fencing mode with the result of an order that has a stale fencing number. */
     @DataProvider
-    public Object[][] habits() {
+    public Object[][] fencingModes() {
       return new Object[][] {
         {FencingHabit.CHECK, OrderResult.STALE_FENCING},
         {FencingHabit.IGNORE, OrderResult.IN_FORCE},
       };
     }
 
-    @Test(dataProvider = "habits")
-    public void oldNumberIsRefusedOnlyByCheckingEngine(FencingHabit habit, OrderResult expected)
-        throws Exception {
+    @Test(dataProvider = "fencingModes")
+    public void staleFencingNumberIsRefusedOnlyByCheckingEngine(
+        FencingHabit mode, OrderResult expected) throws Exception {
       EngineOrders orders = new EngineOrders(engines);
-      Upstream u = upstream(engine(habit));
+      Upstream u = upstream(engine(mode));
       ModelVersion second = ModelVersion.parse("m@v2");
       assertEquals(send(orders, u, 7, new Order.LoadModel(second), true), OrderResult.IN_FORCE);
       EngineReport report = orders.read(u).get(30, TimeUnit.SECONDS);
@@ -130,7 +130,9 @@
       Order unload = new Order.UnloadModel(second.model());
       assertEquals(send(orders, u, 8, unload, false), OrderResult.NOT_SENT);
       report = orders.read(u).get(30, TimeUnit.SECONDS);
-      assertTrue(report.shape().models().contains(second.model()), "sent without leave");
+      assertTrue(
+          report.shape().models().contains(second.model()),
+          "an order that was no longer allowed was sent");
     }
 
     private static OrderResult send(
@@ -153,20 +155,20 @@
     }
   }
 
-  /** From the labels to the engine. */
-  public static class Controller extends Rig {
+  /** The order controller brings an engine to the shape that its labels declare. */
+  public static class Controller extends StandinFixture {
 
-    /** Each habit with the word of the configuration. */
+    /** Each fencing mode with its name in the configuration. */
     @DataProvider
-    public Object[][] habits() {
+    public Object[][] fencingModes() {
       return new Object[][] {
         {FencingHabit.CHECK, "checked"}, {FencingHabit.IGNORE, "ignored"},
       };
     }
 
-    @Test(dataProvider = "habits")
-    public void engineTakesTheDeclaredShape(FencingHabit habit, String fencing) throws Exception {
-      EngineStandin engine = engine(habit);
+    @Test(dataProvider = "fencingModes")
+    public void engineReachesDeclaredShape(FencingHabit mode, String fencing) throws Exception {
+      EngineStandin engine = engine(mode);
       String text =
           """
           {"upstreams": {"u": {
@@ -179,10 +181,10 @@
           ConfigurationDocument.read("test", text).orThrow().withRevision(new Revision(1));
       SimpleMeterRegistry meters = new SimpleMeterRegistry();
       WriterId self = new WriterId(new HostName("entry-1"), new Incarnation(1));
-      OrderSide side =
+      OrderModule module =
           closer.add(
-              new OrderSide(
-                  new OrderSide.Parts(
+              new OrderModule(
+                  new OrderModule.Dependencies(
                       self,
                       closer.add(new HttpObjectApi(options(), worker.worker(), scheduler)),
                       scheduler,
@@ -191,23 +193,30 @@
                       () -> configuration,
                       () -> ImmutableSortedSet.of(self.host()),
                       meters),
-                  SHORT,
+                  SHORT_INTERVALS,
                   1));
-      side.start();
+      module.start();
       EngineOrders orders = new EngineOrders(engines);
       Upstream u = configuration.upstreams().get(new UpstreamName("u"));
       long deadline = System.nanoTime() + Duration.ofSeconds(60).toNanos();
       String shape = "";
       while (!shape.equals("DECODE [m] {m=v2} [fair]") && System.nanoTime() < deadline) {
-        var is = orders.read(u).get(30, TimeUnit.SECONDS).shape();
-        shape = is.role() + " " + is.models() + " " + is.versions() + " " + is.adapters();
+        var current = orders.read(u).get(30, TimeUnit.SECONDS).shape();
+        shape =
+            current.role()
+                + " "
+                + current.models()
+                + " "
+                + current.versions()
+                + " "
+                + current.adapters();
         TimeUnit.MILLISECONDS.sleep(20);
       }
       assertEquals(shape, "DECODE [m] {m=v2} [fair]");
     }
   }
 
-  /** Who seeks the lease. */
+  /** The hosts that compete for the order controller's lease. */
   public static class Candidates {
 
     @Test
@@ -216,7 +225,7 @@
           IntStream.range(0, 330)
               .mapToObj(i -> new HostName("entry-" + i))
               .collect(ImmutableSortedSet.toImmutableSortedSet(HostName::compareTo));
-      assertEquals(live.stream().filter(h -> OrderSide.isCandidate(live, h)).count(), 3);
+      assertEquals(live.stream().filter(h -> OrderModule.isCandidate(live, h)).count(), 3);
     }
   }
 
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/PeerAdapterTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/PeerAdapterTest.java
@@ -37,13 +37,13 @@
     return Member.live(id, address, new DataCentreName("dc")).withState(state);
   }
 
-  /** Starts of nodes that have ended, whose requests are orphans. */
+  /** Node incarnations that have ended; only their requests may be swept as orphans. */
   public static class Ended {
     private final List<Event> events = new ArrayList<>();
     private final PeerAdapter adapter = new PeerAdapter(SELF, events::add, () -> 1);
 
     @Test
-    public void deadStartIsKnownAndItsSuccessorLives() {
+    public void deadIncarnationIsKnownAndNextOneIsLive() {
       adapter.memberChanged(member(origin("a", 1), MemberState.LIVE), false);
       adapter.memberChanged(member(origin("a", 1), MemberState.DEAD), false);
       adapter.memberChanged(member(origin("a", 2), MemberState.LIVE), false);
@@ -51,9 +51,9 @@
       assertFalse(adapter.isDead(origin("a", 2)));
     }
 
-    /** A paused node is found dead, goes on and refutes it; its requests are no orphans. */
+    /** A paused node is declared dead, resumes and refutes it; its requests are not orphans. */
     @Test
-    public void deathIsTakenBackOnceRefuted() {
+    public void refutedDeathIsRevoked() {
       adapter.memberChanged(member(origin("d", 1), MemberState.LIVE), false);
       adapter.memberChanged(member(origin("d", 1), MemberState.DEAD), false);
       adapter.memberChanged(member(origin("d", 1), MemberState.LIVE), false);
@@ -61,28 +61,29 @@
     }
 
     @Test
-    public void laterStartIsTheEndOfTheOneBefore() {
+    public void newIncarnationEndsPreviousOne() {
       adapter.memberChanged(member(origin("b", 1), MemberState.LIVE), false);
       adapter.memberChanged(member(origin("b", 2), MemberState.LIVE), false);
       assertTrue(adapter.isDead(origin("b", 1)));
       assertFalse(adapter.isDead(origin("b", 2)));
-      assertTrue(adapter.isDead(origin("self", 4)), "the start before this one has ended");
+      assertTrue(
+          adapter.isDead(origin("self", 4)), "the previous incarnation of this node has ended");
     }
 
     @Test
-    public void suspectsAndStrangersAndThisNodeAreNotTouched() {
+    public void suspectUnknownAndOwnNodesAreNotDead() {
       adapter.memberChanged(member(origin("c", 1), MemberState.SUSPECT), false);
       adapter.memberChanged(member(SELF, MemberState.LEFT), true);
       assertFalse(adapter.isDead(origin("c", 1)));
-      assertFalse(adapter.isDead(origin("stranger", 1)));
+      assertFalse(adapter.isDead(origin("unknown", 1)));
       assertFalse(adapter.isDead(SELF));
     }
   }
 
-  /** The set of live nodes. */
+  /** Changes of the set of live nodes. */
   public static class Live {
     @Test
-    public void eachChangeIsToldOnce() {
+    public void eachChangeIsPublishedOnce() {
       List<Event> events = new ArrayList<>();
       PeerAdapter adapter = new PeerAdapter(SELF, events::add, () -> 1);
       adapter.memberChanged(member(origin("a", 1), MemberState.LIVE), false);
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/ReducerLoopTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/ReducerLoopTest.java
@@ -38,21 +38,23 @@
 
   private static void await(CountDownLatch latch) {
     try {
-      assertTrue(latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the loop stands still");
+      assertTrue(latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the loop made no progress");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new AssertionError(e);
     }
   }
 
-  /** A ring without room. */
+  /**
+   * A full ring: requests are refused, outcomes are never lost, and the loop never blocks itself.
+   */
   public static class FullRing {
     @Test
-    public void refusesArrivalsAndKeepsEveryOutcome() throws InterruptedException {
+    public void refusesArrivalsAndAppliesEveryOutcome() throws InterruptedException {
       int arrivals = 3 * SIZE;
       int threads = 4;
-      int outcomesEach = SIZE;
-      int outcomes = threads * outcomesEach;
+      int outcomesPerThread = SIZE;
+      int outcomes = threads * outcomesPerThread;
       CountDownLatch gate = new CountDownLatch(1);
       CountDownLatch applied = new CountDownLatch(outcomes);
       AtomicInteger accepted = new AtomicInteger();
@@ -72,11 +74,13 @@
         for (int i = 0; i < arrivals; i++) {
           loop.publish(arrival(i));
         }
-        assertTrue(refused.get() >= arrivals - SIZE, "more arrivals were taken than find room");
-        assertTrue(refused.get() < arrivals, "no arrival was taken");
+        assertTrue(
+            refused.get() >= arrivals - SIZE,
+            "more arrivals were accepted than the ring has space for");
+        assertTrue(refused.get() < arrivals, "no arrival was accepted");
         List<Thread> producers = new ArrayList<>();
         for (int t = 0; t < threads; t++) {
-          producers.add(Thread.ofPlatform().start(() -> publishOutcomes(loop, outcomesEach)));
+          producers.add(Thread.ofPlatform().start(() -> publishOutcomes(loop, outcomesPerThread)));
         }
         gate.countDown();
         await(applied);
@@ -94,7 +98,7 @@
     }
 
     @Test
-    public void ownEventsDoNotWaitForRoom() {
+    public void eventsPublishedOnLoopThreadDoNotWaitForSpace() {
       CountDownLatch gate = new CountDownLatch(1);
       CountDownLatch failures = new CountDownLatch(SIZE);
       Effect effect = new Effect.Wake(0);
@@ -107,11 +111,11 @@
               failures.countDown();
             }
           };
-      ReducerLoop[] self = new ReducerLoop[1];
+      ReducerLoop[] loopHolder = new ReducerLoop[1];
       try (ReducerLoop loop =
           new ReducerLoop(
-              "test", SIZE, reducer, e -> self[0].publish(new Event.Ticked(0)), e -> {})) {
-        self[0] = loop;
+              "test", SIZE, reducer, e -> loopHolder[0].publish(new Event.Ticked(0)), e -> {})) {
+        loopHolder[0] = loop;
         loop.start();
         publishOutcomes(loop, SIZE);
         gate.countDown();
@@ -120,7 +124,7 @@
     }
   }
 
-  /** The order of times. */
+  /** The times of events. */
   public static class Times {
     @Test
     public void neverDecrease() {
@@ -143,13 +147,13 @@
     }
   }
 
-  /** A reducer that throws. */
+  /** A reducer that throws: the loop must continue with the next event. */
   public static class Exceptions {
     @Test
     public void doNotEndTheLoop() throws Exception {
       Reducer reducer =
           (event, effects) -> {
-            throw new IllegalStateException("fault of the test");
+            throw new IllegalStateException("thrown by the test");
           };
       try (ReducerLoop loop = new ReducerLoop("test", SIZE, reducer, e -> {}, e -> {})) {
         loop.start();
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/RunAdapterTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/RunAdapterTest.java
@@ -46,8 +46,8 @@
   private static final RunKey KEY = new RunKey(new IdempotencyKey("k"), 1);
   private static final WriterId SELF = new WriterId(new HostName("h"), new Incarnation(1));
 
-  /** Owners that answer what the test says; without an answer left, the last one again. */
-  private static final class Owners implements RunOwners {
+  /** Owners with scripted answers; the last answer is repeated. */
+  private static final class ScriptedOwners implements RunOwners {
     final Deque<CompletableFuture<ClaimResult>> claims = new ArrayDeque<>();
     final Deque<CompletableFuture<RecordResult>> records = new ArrayDeque<>();
     final List<RunToken> tokens = new ArrayList<>();
@@ -66,9 +66,9 @@
     }
   }
 
-  private static final class Rig {
+  private static final class Fixture {
     final VirtualTime time = new VirtualTime();
-    final Owners owners = new Owners();
+    final ScriptedOwners owners = new ScriptedOwners();
     final List<Event> events = new ArrayList<>();
     final RunAdapter adapter =
         new RunAdapter(owners, new RequestTable(), SELF, time, events::add, time::nanoTime);
@@ -97,68 +97,68 @@
     return CompletableFuture.failedFuture(new IllegalStateException("the answer was lost"));
   }
 
-  /** Claims. */
+  /** Claims: a lost answer must neither fail a claim at once nor leave one behind. */
   public static class Claims {
     @Test
-    public void lostAnswerIsAskedForAgainWithTheSameToken() {
-      Rig rig = new Rig();
+    public void claimIsRetriedWithSameTokenAfterLostAnswer() {
+      Fixture fixture = new Fixture();
       RunToken token = new RunToken(SELF, ATTEMPT);
-      rig.owners.claims.add(lost());
-      rig.owners.claims.add(answer(new ClaimResult.NotOwner(Optional.empty())));
-      rig.owners.claims.add(answer(new ClaimResult.Claimed(token)));
-      rig.claim();
-      assertEquals(rig.claimOutcomes(), List.of());
-      rig.time.advance(Duration.ofSeconds(1));
-      assertEquals(rig.claimOutcomes(), List.of(ClaimOutcome.CLAIMED));
-      assertEquals(rig.owners.tokens, List.of(token, token, token));
+      fixture.owners.claims.add(lost());
+      fixture.owners.claims.add(answer(new ClaimResult.NotOwner(Optional.empty())));
+      fixture.owners.claims.add(answer(new ClaimResult.Claimed(token)));
+      fixture.claim();
+      assertEquals(fixture.claimOutcomes(), List.of());
+      fixture.time.advance(Duration.ofSeconds(1));
+      assertEquals(fixture.claimOutcomes(), List.of(ClaimOutcome.CLAIMED));
+      assertEquals(fixture.owners.tokens, List.of(token, token, token));
     }
 
     @Test
-    public void claimThatIsGivenUpIsGivenBack() {
-      Rig rig = new Rig();
-      rig.owners.claims.add(lost());
-      rig.owners.records.add(answer(RecordResult.RECORDED));
-      rig.claim();
-      rig.time.advance(Duration.ofSeconds(60));
-      assertEquals(rig.claimOutcomes(), List.of(ClaimOutcome.UNAVAILABLE));
-      assertEquals(rig.owners.outcomes, List.of(new RunOutcome.NotRun()));
+    public void abandonedClaimIsReleased() {
+      Fixture fixture = new Fixture();
+      fixture.owners.claims.add(lost());
+      fixture.owners.records.add(answer(RecordResult.RECORDED));
+      fixture.claim();
+      fixture.time.advance(Duration.ofSeconds(60));
+      assertEquals(fixture.claimOutcomes(), List.of(ClaimOutcome.UNAVAILABLE));
+      assertEquals(fixture.owners.outcomes, List.of(new RunOutcome.NotRun()));
     }
 
     @Test
     public void doneRunWithoutItsAnswerIsUnknownAndNotRunAgain() {
-      Rig rig = new Rig();
-      rig.owners.claims.add(answer(new ClaimResult.AlreadyDone(Optional.empty())));
-      rig.claim();
-      assertEquals(rig.claimOutcomes(), List.of(ClaimOutcome.UNKNOWN));
+      Fixture fixture = new Fixture();
+      fixture.owners.claims.add(answer(new ClaimResult.AlreadyDone(Optional.empty())));
+      fixture.claim();
+      assertEquals(fixture.claimOutcomes(), List.of(ClaimOutcome.UNKNOWN));
     }
   }
 
-  /** Records. */
+  /** Records of outcomes: they must be retried until the owner has them durably. */
   public static class Records {
     @Test
-    public void areRepeatedUntilDurable() {
-      Rig rig = new Rig();
-      rig.owners.claims.add(answer(new ClaimResult.Claimed(new RunToken(SELF, ATTEMPT))));
-      rig.owners.records.add(lost());
-      rig.owners.records.add(answer(RecordResult.NOT_OWNER));
-      rig.owners.records.add(answer(RecordResult.RECORDED));
-      rig.claim();
-      rig.record(RunResult.NOT_RUN);
-      rig.time.advance(Duration.ofSeconds(1));
-      Event.RecordSettled settled = (Event.RecordSettled) rig.events.getLast();
+    public void areRetriedUntilDurable() {
+      Fixture fixture = new Fixture();
+      fixture.owners.claims.add(answer(new ClaimResult.Claimed(new RunToken(SELF, ATTEMPT))));
+      fixture.owners.records.add(lost());
+      fixture.owners.records.add(answer(RecordResult.NOT_OWNER));
+      fixture.owners.records.add(answer(RecordResult.RECORDED));
+      fixture.claim();
+      fixture.record(RunResult.NOT_RUN);
+      fixture.time.advance(Duration.ofSeconds(1));
+      Event.RecordSettled settled = (Event.RecordSettled) fixture.events.getLast();
       assertEquals(settled.outcome(), RecordOutcome.RECORDED);
-      assertEquals(rig.owners.outcomes.size(), 3);
-      assertTrue(rig.owners.outcomes.stream().allMatch(new RunOutcome.NotRun()::equals));
+      assertEquals(fixture.owners.outcomes.size(), 3);
+      assertTrue(fixture.owners.outcomes.stream().allMatch(new RunOutcome.NotRun()::equals));
     }
 
     @Test
-    public void runWithoutAnswerAtHandIsKeptAsUnknown() {
-      Rig rig = new Rig();
-      rig.owners.claims.add(answer(new ClaimResult.Claimed(new RunToken(SELF, ATTEMPT))));
-      rig.owners.records.add(answer(RecordResult.RECORDED));
-      rig.claim();
-      rig.record(RunResult.DONE);
-      assertEquals(rig.owners.outcomes, List.of(new RunOutcome.Unknown()));
+    public void doneRunWithoutAnswerIsRecordedAsUnknown() {
+      Fixture fixture = new Fixture();
+      fixture.owners.claims.add(answer(new ClaimResult.Claimed(new RunToken(SELF, ATTEMPT))));
+      fixture.owners.records.add(answer(RecordResult.RECORDED));
+      fixture.claim();
+      fixture.record(RunResult.DONE);
+      assertEquals(fixture.owners.outcomes, List.of(new RunOutcome.Unknown()));
     }
   }
 }
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/SlotGrantsTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/SlotGrantsTest.java
@@ -21,88 +21,89 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests that the router is told of exactly the slots that are leased for it. */
+/** Tests that {@link SlotGrants} grants the router exactly the slots that are leased for it. */
 public class SlotGrantsTest {
   private static final UpstreamName ENGINE = new UpstreamName("decode-1");
 
-  /** The slots of one engine, from the first want to the last. */
-  public static class Wants implements SlotGrants.Leases {
-    private final List<CompletableFuture<SlotLease>> open = new ArrayList<>();
+  /** The leases of one engine while the number of slots that the router requests changes. */
+  public static class WantedSlots implements SlotGrants.LeaseClient {
+    private final List<CompletableFuture<SlotLease>> pending = new ArrayList<>();
     private final List<SlotLease> released = new ArrayList<>();
-    private final List<Integer> told = new ArrayList<>();
+    private final List<Integer> published = new ArrayList<>();
     private long nextId;
     private SlotGrants grants;
 
     @BeforeMethod
     void start() {
-      open.clear();
+      pending.clear();
       released.clear();
-      told.clear();
+      published.clear();
       grants = new SlotGrants(this, this::publish, () -> 0);
     }
 
     @Test
-    public void asksOnceForWhatIsMissing() {
-      want(3);
-      want(3);
-      assertEquals(open.size(), 3);
+    public void requestsMissingLeasesOnce() {
+      setWanted(3);
+      setWanted(3);
+      assertEquals(pending.size(), 3);
     }
 
     @Test
-    public void tellsOfEachLeaseThatIsHeld() {
-      want(2);
-      answerAll();
-      assertEquals(told, List.of(1, 2));
+    public void publishesEachHeldLease() {
+      setWanted(2);
+      grantAll();
+      assertEquals(published, List.of(1, 2));
     }
 
     @Test
-    public void givesBackWhatIsNoLongerWanted() {
-      want(3);
-      answerAll();
-      want(1);
+    public void releasesLeasesAboveWantedNumber() {
+      setWanted(3);
+      grantAll();
+      setWanted(1);
       assertEquals(released.size(), 2);
-      assertEquals(told.getLast(), Integer.valueOf(1));
+      assertEquals(published.getLast(), Integer.valueOf(1));
     }
 
     @Test
-    public void givesBackWhatComesTooLate() {
-      want(1);
-      want(0);
-      answerAll();
+    public void releasesLeaseGrantedAfterDemandEnded() {
+      setWanted(1);
+      setWanted(0);
+      grantAll();
       assertEquals(released.size(), 1);
-      assertEquals(told, List.of());
+      assertEquals(published, List.of());
     }
 
     @Test
-    public void asksAgainAfterOwnerHadNone() {
-      want(1);
-      open.removeFirst()
+    public void requestsAgainAfterRefusal() {
+      setWanted(1);
+      pending
+          .removeFirst()
           .completeExceptionally(new LarkkeelException(ErrorKind.OVERLOADED, "no slot"));
-      want(1);
-      assertEquals(open.size(), 1);
-      assertEquals(told, List.of());
+      setWanted(1);
+      assertEquals(pending.size(), 1);
+      assertEquals(published, List.of());
     }
 
-    private void want(int slots) {
+    private void setWanted(int slots) {
       grants.accept(new Effect.WantSlots(ENGINE, slots));
     }
 
-    private void answerAll() {
-      List<CompletableFuture<SlotLease>> answered = List.copyOf(open);
-      open.clear();
+    private void grantAll() {
+      List<CompletableFuture<SlotLease>> answered = List.copyOf(pending);
+      pending.clear();
       answered.forEach(a -> a.complete(new SlotLease(ENGINE.value(), nextId++)));
     }
 
     private void publish(Event event) {
       if (event instanceof Event.SlotsGranted granted) {
-        told.add(granted.slots());
+        published.add(granted.slots());
       }
     }
 
     @Override
-    public CompletableFuture<SlotLease> acquire(String key, int priority, Duration patience) {
+    public CompletableFuture<SlotLease> acquire(String key, int priority, Duration timeout) {
       CompletableFuture<SlotLease> answer = new CompletableFuture<>();
-      open.add(answer);
+      pending.add(answer);
       return answer;
     }
 
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/UpstreamSideTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/UpstreamModuleTest.java
@@ -11,20 +11,20 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-/** Tests how often a node asks engines. */
-public class UpstreamSideTest {
-  /** The time between two polls. */
+/** Tests of {@link UpstreamModule}. */
+public class UpstreamModuleTest {
+  /** The time between two polls of an engine. */
   public static class PollDelay {
     private static final Duration MEAN = Duration.ofMillis(250);
 
     @Test
-    public void isAsSetWhileRequestsAreInProgress() {
-      assertEquals(UpstreamSide.pollDelay(MEAN.toNanos(), 1), MEAN);
+    public void isConfiguredValueWhileRequestsAreInProgress() {
+      assertEquals(UpstreamModule.pollDelay(MEAN.toNanos(), 1), MEAN);
     }
 
     @Test
     public void isLongerOnIdleNode() {
-      assertEquals(UpstreamSide.pollDelay(MEAN.toNanos(), 0), Duration.ofSeconds(2));
+      assertEquals(UpstreamModule.pollDelay(MEAN.toNanos(), 0), Duration.ofSeconds(2));
     }
   }
 }
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/VirtualTime.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/VirtualTime.java
@@ -10,7 +10,7 @@
 import java.util.PriorityQueue;
 import org.larkkeel.store.Scheduler;
 
-/** A scheduler whose time is moved by the test. */
+/** A scheduler whose time only the test advances. */
 public final class VirtualTime implements Scheduler {
   private final PriorityQueue<Due> due = new PriorityQueue<>();
   private long now;
@@ -44,7 +44,7 @@
     return () -> due.remove(added);
   }
 
-  /** Lets time pass; tasks that fall due run in order. */
+  /** Advances the time and runs the tasks that become due, in order. */
   public void advance(Duration time) {
     long end = now + time.toNanos();
     while (!due.isEmpty() && due.peek().at() <= end) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/BoundedAppender.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/BoundedAppender.java
@@ -17,46 +17,46 @@
 import org.larkkeel.lib.TokenBucket;
 
 /**
- * Hands lines to another thread and never makes the caller wait.
+ * An asynchronous appender with a rate limit; the thread that logs never blocks.
  *
- * <p>Lines of what went well are bounded by a rate; warnings and errors are left out only when the
- * queue is full. How many were left out is told in a line of its own, at most once a second. Safe
- * for use by several threads.
+ * <p>Events below {@link Level#WARN} are limited by a token bucket; warnings and errors are dropped
+ * only when the queue is full. The number of dropped lines is logged as {@code
+ * event=lines_left_out}, at most once a second. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class BoundedAppender extends AsyncAppender {
   private static final int DEFAULT_LINES_PER_SECOND = 150;
   private static final int DEFAULT_BURST = 600;
-  private static final long TELL_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long REPORT_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
   private static final String NAME = BoundedAppender.class.getName();
 
-  private final AtomicLong leftOut = new AtomicLong();
-  private final AtomicLong allLeftOut = new AtomicLong();
+  private final AtomicLong droppedSinceReport = new AtomicLong();
+  private final AtomicLong totalDropped = new AtomicLong();
   private int linesPerSecond = DEFAULT_LINES_PER_SECOND;
   private int burst = DEFAULT_BURST;
   private TokenBucket bucket;
-  private long toldAt;
+  private long lastReportNanos;
 
-  /** Never blocks and drops nothing by level before the queue is full. */
+  /** Creates an appender that never blocks and drops nothing by level until the queue is full. */
   public BoundedAppender() {
     setNeverBlock(true);
     setDiscardingThreshold(0);
   }
 
-  /** Sets how many lines of what went well are written a second. */
+  /** Sets the rate of events below {@link Level#WARN}, in lines per second. */
   public void setLinesPerSecond(int lines) {
     linesPerSecond = lines;
   }
 
-  /** Sets how many of them may come at once. */
+  /** Sets the burst of events below {@link Level#WARN}, in lines. */
   public void setBurst(int lines) {
     burst = lines;
   }
 
-  /** How many lines were left out since the start. */
-  public long leftOut() {
-    return allLeftOut.get();
+  /** Returns the number of lines dropped since the appender was created. */
+  public long droppedLines() {
+    return totalDropped.get();
   }
 
   @Override
@@ -68,12 +68,12 @@
   @Override
   protected void append(ILoggingEvent event) {
     if (!isAllowed(event) || getRemainingCapacity() == 0) {
-      leftOut.incrementAndGet();
-      allLeftOut.incrementAndGet();
+      droppedSinceReport.incrementAndGet();
+      totalDropped.incrementAndGet();
     } else {
       super.append(event);
     }
-    tellWhatIsLeftOut();
+    reportDroppedLines();
   }
 
   private synchronized boolean isAllowed(ILoggingEvent event) {
@@ -87,15 +87,17 @@
     return true;
   }
 
-  private void tellWhatIsLeftOut() {
+  private void reportDroppedLines() {
     long lines;
     synchronized (this) {
       long now = System.nanoTime();
-      if (leftOut.get() == 0 || now - toldAt < TELL_NANOS || getRemainingCapacity() == 0) {
+      if (droppedSinceReport.get() == 0
+          || now - lastReportNanos < REPORT_INTERVAL_NANOS
+          || getRemainingCapacity() == 0) {
         return;
       }
-      toldAt = now;
-      lines = leftOut.getAndSet(0);
+      lastReportNanos = now;
+      lines = droppedSinceReport.getAndSet(0);
     }
     Logger logger = ((LoggerContext) getContext()).getLogger(NAME);
     super.append(
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/ChangeLog.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/ChangeLog.java
@@ -14,7 +14,7 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * The log of accepted changes, as operators use it.
+ * The log of configuration changes, as the operator API uses it.
  *
  * <p>Implementations are safe for use by several threads and do not block. A future that fails
  * carries a {@link org.larkkeel.errors.LarkkeelException}.
@@ -23,20 +23,20 @@
  */
 public interface ChangeLog {
   /**
-   * Proposes a change.
+   * Proposes a change of the configuration.
    *
    * @param change the change, with author and time
-   * @param dryRun whether it is only checked
-   * @return the outcome
+   * @param dryRun whether the change is only checked, not made
+   * @return the outcome: accepted, conflicting or refused
    */
   CompletableFuture<ProposalOutcome> propose(Change change, DryRun dryRun);
 
   /**
    * Reads accepted changes.
    *
-   * @param from the first revision wanted
-   * @param limit the most entries, at least 1
-   * @return entries by ascending revision
+   * @param from the lowest revision to return
+   * @param limit the maximum number of entries, at least 1
+   * @return the entries in ascending order of revision
    */
   CompletableFuture<AuditPage> audit(Revision from, int limit);
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/ConfigLog.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/ConfigLog.java
@@ -42,16 +42,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration's log towards operators and peers.
+ * Serves the configuration log to operators and peers.
  *
- * <p>A newer revision that a peer holds is pulled if the store has not brought it after a short
- * wait, so that an outage of the store stops nothing. Safe for use by several threads.
+ * <p>If a peer has a newer revision that the store has not delivered after {@link #PULL_DELAY}, it
+ * is pulled from the peer, so that configurations still spread during an outage of the store. Safe
+ * for use by several threads.
  */
 final class ConfigLog implements ChangeLog, ConfigSource {
   private static final Logger log = LoggerFactory.getLogger(ConfigLog.class);
-  private static final Duration STORE_HEAD_START = Duration.ofMillis(400);
-  private static final long SAVE_SECONDS = 2;
-  private static final int MAX_SAVED_BYTES = 64 << 20;
+  private static final Duration PULL_DELAY = Duration.ofMillis(400);
+  private static final long SAVE_TIMEOUT_SECONDS = 2;
+  private static final int MAX_SNAPSHOT_BYTES = 64 << 20;
 
   private final ConfigStore store;
   private final NodeConfiguration configuration;
@@ -71,18 +72,18 @@
         : store.propose(change).thenApply(ConfigLog::toOutcome);
   }
 
-  /** Checks a change against what is in force here. */
+  /** Checks a change against the configuration in force on this node, without making it. */
   private CompletableFuture<ProposalOutcome> check(Change change) {
     Configuration current = configuration.current();
     return store
         .audit(change.base())
         .thenApply(
             since ->
-                conflict(change, since)
-                    .orElseGet(() -> checked(Changes.apply(current, change), current)));
+                findConflict(change, since)
+                    .orElseGet(() -> toCheckOutcome(Changes.apply(current, change), current)));
   }
 
-  private static java.util.Optional<ProposalOutcome> conflict(
+  private static java.util.Optional<ProposalOutcome> findConflict(
       Change change, ImmutableList<AuditEntry> since) {
     return Changes.findConflict(change, since.stream().map(AuditEntry::change).toList())
         .flatMap(
@@ -90,7 +91,8 @@
         .map(e -> new ProposalOutcome.Conflicting(e.change(), e.revision()));
   }
 
-  private static ProposalOutcome checked(Checked<Configuration> result, Configuration current) {
+  private static ProposalOutcome toCheckOutcome(
+      Checked<Configuration> result, Configuration current) {
     return switch (result) {
       case Checked.Valid<Configuration> v ->
           new ProposalOutcome.Accepted(current.revision(), v.warnings());
@@ -117,10 +119,10 @@
   @Override
   public CompletableFuture<AuditPage> audit(Revision from, int limit) {
     Revision after = new Revision(Math.max(0, from.value() - 1));
-    return store.audit(after).thenApply(entries -> page(entries, after, limit));
+    return store.audit(after).thenApply(entries -> toPage(entries, after, limit));
   }
 
-  private static AuditPage page(ImmutableList<AuditEntry> entries, Revision after, int limit) {
+  private static AuditPage toPage(ImmutableList<AuditEntry> entries, Revision after, int limit) {
     ImmutableList<AuditPage.Entry> page =
         entries.stream()
             .limit(limit)
@@ -130,26 +132,31 @@
     return new AuditPage(page, new Revision(last.value() + 1));
   }
 
-  /** What a peer pulls: the whole state, compressed; called on a thread that may wait. */
+  /**
+   * Returns the complete configuration log as a compressed snapshot, or no content if {@code from}
+   * is up to date. Blocks, so it is called on a thread that may wait.
+   */
   @Override
   public ConfigContent after(Revision from) {
     if (!configuration.revision().isAfter(from)) {
       return new ConfigContent(from, new byte[0], false);
     }
     try {
-      LogSnapshot saved = store.save().get(SAVE_SECONDS, TimeUnit.SECONDS);
-      return new ConfigContent(new Revision(saved.through()), zip(saved.content()), false);
+      LogSnapshot snapshot = store.save().get(SAVE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      return new ConfigContent(
+          new Revision(snapshot.through()), compress(snapshot.content()), false);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted", e);
+      throw new IllegalStateException(
+          "interrupted while saving a snapshot of the configuration", e);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("the configuration can not be saved", e);
+      throw new IllegalStateException("no snapshot of the configuration could be saved", e);
     }
   }
 
-  /** Pulls from a peer what the store does not bring. */
-  void newerAt(PeerNode peers, Member peer, Revision revision) {
-    scheduler.schedule(STORE_HEAD_START, () -> pull(peers, peer, revision));
+  /** Schedules a pull of a peer's newer revision, in case the store does not deliver it first. */
+  void schedulePull(PeerNode peers, Member peer, Revision revision) {
+    scheduler.schedule(PULL_DELAY, () -> pull(peers, peer, revision));
   }
 
   private void pull(PeerNode peers, Member peer, Revision revision) {
@@ -159,16 +166,16 @@
     CompletableFuture<?> unused =
         peers
             .pullConfig(peer.address(), configuration.revision())
-            .whenComplete((content, failure) -> pulled(peer, content, failure));
+            .whenComplete((content, failure) -> onPulled(peer, content, failure));
   }
 
-  private void pulled(Member peer, ConfigContent content, Throwable failure) {
+  private void onPulled(Member peer, ConfigContent content, Throwable failure) {
     pulling.set(false);
     if (failure != null) {
       log.warn("event=pull_failed peer={} cause=\"{}\"", peer.id(), failure.getMessage());
     } else if (content.revision().isAfter(configuration.revision())) {
       try {
-        store.offer(new LogSnapshot(content.revision().value(), unzip(content.bytes())));
+        store.offer(new LogSnapshot(content.revision().value(), decompress(content.bytes())));
         log.info("event=configuration_pulled peer={} revision={}", peer.id(), content.revision());
       } catch (IOException e) {
         log.warn("event=pull_unreadable peer={}", peer.id(), e);
@@ -176,21 +183,22 @@
     }
   }
 
-  private static byte[] zip(byte[] bytes) {
-    ByteArrayOutputStream zipped = new ByteArrayOutputStream();
-    try (GZIPOutputStream out = new GZIPOutputStream(zipped)) {
+  private static byte[] compress(byte[] bytes) {
+    ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+    try (GZIPOutputStream out = new GZIPOutputStream(compressed)) {
       out.write(bytes);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    return zipped.toByteArray();
+    return compressed.toByteArray();
   }
 
-  private static byte[] unzip(byte[] zipped) throws IOException {
-    try (GZIPInputStream in = new GZIPInputStream(new ByteArrayInputStream(zipped))) {
-      byte[] bytes = in.readNBytes(MAX_SAVED_BYTES);
+  private static byte[] decompress(byte[] compressed) throws IOException {
+    try (GZIPInputStream in = new GZIPInputStream(new ByteArrayInputStream(compressed))) {
+      byte[] bytes = in.readNBytes(MAX_SNAPSHOT_BYTES);
       if (in.read() >= 0) {
-        throw new IOException("the configuration is larger than " + MAX_SAVED_BYTES + " bytes");
+        throw new IOException(
+            "the peer's configuration is larger than " + MAX_SNAPSHOT_BYTES + " bytes");
       }
       return bytes;
     }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Daemon.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Daemon.java
@@ -46,9 +46,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One node: the router with all its adapters.
+ * A node: the router with its listeners, its clients and its connections to peers and the store.
  *
- * <p>Several may run in one process. Safe for use by several threads.
+ * <p>Several nodes may run in one process. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -60,28 +60,28 @@
   private final Settings settings;
   private final Closer closer;
   private final EngineRequestId.Origin origin;
-  private final RequestTable table = new RequestTable();
+  private final RequestTable requestTable = new RequestTable();
   private final NodeConfiguration configuration = new NodeConfiguration(this::publish, clock);
   private final PrometheusMeterRegistry meters =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final FactMeters facts = new FactMeters(meters);
+  private final FactMeters factMeters = new FactMeters(meters);
   private final PeerAdapter peerAdapter;
-  private final SlotGrants slots = new SlotGrants(slotLeases(), this::publish, clock);
+  private final SlotGrants slotGrants = new SlotGrants(newLeaseClient(), this::publish, clock);
   private final Readiness readiness;
   private final ExecutorScheduler scheduler;
   private final HttpWorker worker;
-  private final UpstreamSide upstreams;
-  private final StoreSide store;
-  private final ConfigLog changes;
-  private final Orphans orphans;
-  private final OrderSide orders;
+  private final UpstreamModule upstreamModule;
+  private final StoreModule storeModule;
+  private final ConfigLog configLog;
+  private final OrphanSweeper orphanSweeper;
+  private final OrderModule orderModule;
   private final Router router;
   private final ReducerLoop loop;
   private final PeerNode peers;
   private final Drain drain;
-  private final CallerListener callers;
+  private final CallerListener callerListener;
   private final NodeOperations operations;
-  private final OperatorListener operators;
+  private final OperatorListener operatorListener;
 
   private Daemon(Settings settings, Closer closer) throws IOException {
     this.settings = settings;
@@ -94,35 +94,36 @@
     worker = closer.add(new HttpWorker(settings.limits().ioThreads()));
     peerAdapter = new PeerAdapter(origin, this::publish, clock);
     readiness = readiness();
-    upstreams = closer.add(upstreamSide(seed));
-    store = closer.add(storeSide(seed));
-    changes = new ConfigLog(store.configurations(), configuration, scheduler);
+    upstreamModule = closer.add(newUpstreamModule(seed));
+    storeModule = closer.add(newStoreModule(seed));
+    configLog = new ConfigLog(storeModule.configurations(), configuration, scheduler);
     router = new Router(settings.router(), seed);
-    loop = closer.add(reducerLoop());
+    loop = closer.add(newReducerLoop());
     loop.start();
     peers =
         closer.add(
             PeerNode.start(
-                PeerSide.settings(settings, incarnation, seed).setRuns(store.runs()),
+                PeerConversions.peerSettings(settings, incarnation, seed)
+                    .setRuns(storeModule.runs()),
                 peerAdapter,
-                changes));
-    orphans = closer.add(orphans());
-    orders = closer.add(orderSide(seed));
-    listen();
-    drain = new Drain(scheduler, drainSteps(), settings.limits());
+                configLog));
+    orphanSweeper = closer.add(orphanSweeper());
+    orderModule = closer.add(newOrderModule(seed));
+    registerListeners();
+    drain = new Drain(scheduler, newDrainSteps(), settings.limits());
     operations = newOperations(incarnation);
-    operators = closer.add(OperatorListener.start(settings, worker, operations));
-    callers = closer.add(CallerListener.start(callerSettings(), worker, callerServices()));
-    reloadCertificates();
-    orphans.start();
-    orders.start();
-    store.start(peers);
+    operatorListener = closer.add(OperatorListener.start(settings, worker, operations));
+    callerListener = closer.add(CallerListener.start(callerSettings(), worker, callerServices()));
+    startTlsReloads();
+    orphanSweeper.start();
+    orderModule.start();
+    storeModule.start(peers);
     log.info(
         "event=started host={} incarnation={} caller={} operator={} peer={}",
         settings.host(),
         incarnation,
-        callers.address(),
-        operators.address(),
+        callerListener.address(),
+        operatorListener.address(),
         peers.address());
   }
 
@@ -130,20 +131,20 @@
    * Starts a node.
    *
    * @param settings the settings
-   * @return the node, which becomes ready with its first configuration
-   * @throws IOException if an address can not be bound
+   * @return the node; it is ready once its first configuration is in force
+   * @throws IOException if a listener cannot bind its address
    */
   public static Daemon start(Settings settings) throws IOException {
     Closer closer = new Closer();
     try {
       return new Daemon(settings, closer);
     } catch (IOException | RuntimeException e) {
-      closeAfter(closer, e);
+      closeOnFailure(closer, e);
       throw e;
     }
   }
 
-  private static void closeAfter(Closer closer, Exception failure) {
+  private static void closeOnFailure(Closer closer, Exception failure) {
     try {
       closer.close();
     } catch (Exception e) {
@@ -167,25 +168,25 @@
         settings.limits().cutOff().toNanos());
   }
 
-  private UpstreamSide upstreamSide(long seed) {
-    UpstreamSide.Parts parts =
-        new UpstreamSide.Parts(
-            origin, table, configuration, worker, scheduler, this::upstreamSaid, clock);
-    return new UpstreamSide(parts, settings.limits(), seed);
+  private UpstreamModule newUpstreamModule(long seed) {
+    UpstreamModule.Dependencies dependencies =
+        new UpstreamModule.Dependencies(
+            origin, requestTable, configuration, worker, scheduler, this::onUpstreamEvent, clock);
+    return new UpstreamModule(dependencies, settings.limits(), seed);
   }
 
-  private void upstreamSaid(Event event) {
+  private void onUpstreamEvent(Event event) {
     if (event instanceof Event.LoadReported reported) {
-      slots.reported(reported.upstream(), reported.report());
+      slotGrants.updateCapacity(reported.upstream(), reported.report());
     }
     publish(event);
   }
 
-  private SlotGrants.Leases slotLeases() {
-    return new SlotGrants.Leases() {
+  private SlotGrants.LeaseClient newLeaseClient() {
+    return new SlotGrants.LeaseClient() {
       @Override
-      public CompletableFuture<SlotLease> acquire(String key, int priority, Duration patience) {
-        return peers.acquireSlot(key, priority, patience);
+      public CompletableFuture<SlotLease> acquire(String key, int priority, Duration timeout) {
+        return peers.acquireSlot(key, priority, timeout);
       }
 
       @Override
@@ -200,14 +201,14 @@
     };
   }
 
-  private ReducerLoop reducerLoop() {
+  private ReducerLoop newReducerLoop() {
     Timers timers = closer.add(new Timers(threadName("timers"), this::publish, clock));
     EffectPorts ports =
         new EffectPorts(
-            upstreams.executor()::execute,
-            upstreams.executor()::execute,
-            runs(),
-            slots,
+            upstreamModule.executor()::execute,
+            upstreamModule.executor()::execute,
+            newRunAdapter(),
+            slotGrants,
             timers,
             this::report);
     return new ReducerLoop(
@@ -215,26 +216,27 @@
         settings.limits().queuedEvents(),
         router::apply,
         new EffectDispatcher(ports, this::publish, clock),
-        this::refuse);
+        this::refuseOverflow);
   }
 
   private void report(Effect effect) {
     if (effect instanceof Effect.Report report) {
-      facts.record(report.fact());
+      factMeters.record(report.fact());
       FactLog.write(report.fact());
     }
   }
 
-  private RunAdapter runs() {
-    return new RunAdapter(store.runs(), table, writerId(), scheduler, this::publish, clock);
+  private RunAdapter newRunAdapter() {
+    return new RunAdapter(
+        storeModule.runs(), requestTable, writerId(), scheduler, this::publish, clock);
   }
 
   private WriterId writerId() {
     return new WriterId(origin.host(), origin.incarnation());
   }
 
-  private void refuse(Event.RequestArrived arrived) {
-    table
+  private void refuseOverflow(Event.RequestArrived arrived) {
+    requestTable
         .remove(arrived.call().id())
         .ifPresent(
             r ->
@@ -246,42 +248,42 @@
                         RETRY_AFTER_MILLIS)));
   }
 
-  private Orphans orphans() {
-    return new Orphans(
-        upstreams.sweep(),
+  private OrphanSweeper orphanSweeper() {
+    return new OrphanSweeper(
+        upstreamModule.sweep(),
         configuration,
         name -> peers.owns(name.value()),
         peerAdapter::isDead,
         scheduler);
   }
 
-  private OrderSide orderSide(long seed) {
-    OrderSide.Parts parts =
-        new OrderSide.Parts(
+  private OrderModule newOrderModule(long seed) {
+    OrderModule.Dependencies dependencies =
+        new OrderModule.Dependencies(
             writerId(),
-            store.api(),
+            storeModule.api(),
             scheduler,
-            upstreams.engines(),
-            store.weights(),
+            upstreamModule.engines(),
+            storeModule.weights(),
             configuration::current,
             peerAdapter::live,
             meters);
-    return new OrderSide(parts, OrderLimits.DEFAULT, seed);
+    return new OrderModule(dependencies, OrderLimits.DEFAULT, seed);
   }
 
-  /** Lets the parts hear of each other. */
-  private void listen() {
-    configuration.setListener(this::configured);
+  /** Registers the listeners between components that depend on each other in both directions. */
+  private void registerListeners() {
+    configuration.setListener(this::onConfigurationAccepted);
     peerAdapter.setNews(
         new PeerAdapter.PeerNews() {
           @Override
           public void died(EngineRequestId.Origin ended) {
-            orphans.nodeDied();
+            orphanSweeper.nodeDied();
           }
 
           @Override
           public void newerRevision(Member peer, Revision revision) {
-            changes.newerAt(peers, peer, revision);
+            configLog.schedulePull(peers, peer, revision);
           }
 
           @Override
@@ -291,39 +293,39 @@
         });
   }
 
-  private void configured(Configuration accepted) {
-    upstreams.configured(accepted);
+  private void onConfigurationAccepted(Configuration accepted) {
+    upstreamModule.setConfiguration(accepted);
     peers.advertise(accepted.revision());
   }
 
-  private StoreSide storeSide(long seed) {
-    StoreSide.Parts parts =
-        new StoreSide.Parts(
+  private StoreModule newStoreModule(long seed) {
+    StoreModule.Dependencies dependencies =
+        new StoreModule.Dependencies(
             writerId(),
             worker,
             scheduler,
             readiness,
             settings.limits().cutOff(),
-            list -> peers.updateHosts(PeerSide.hosts(list)),
+            list -> peers.updateHosts(PeerConversions.hostEntries(list)),
             configuration::accept,
             id -> !peerAdapter.isDead(new EngineRequestId.Origin(id.host(), id.incarnation())));
-    return new StoreSide(parts, settings.platform(), seed);
+    return new StoreModule(dependencies, settings.platform(), seed);
   }
 
-  private Drain.Steps drainSteps() {
+  private Drain.Steps newDrainSteps() {
     return new Drain.Steps(
         () -> {
           readiness.drain();
-          orders.release();
+          orderModule.release();
           peers.leave();
         },
         () -> publish(new Event.StopRequested(clock.getAsLong())),
-        () -> table.size() == 0);
+        () -> requestTable.size() == 0);
   }
 
   private NodeOperations newOperations(Incarnation incarnation) {
     return new NodeOperations(
-        new NodeOperations.Parts(
+        new NodeOperations.Dependencies(
             settings,
             incarnation,
             router,
@@ -332,7 +334,7 @@
             readiness,
             peerAdapter,
             peers::view,
-            changes,
+            configLog,
             drain::begin));
   }
 
@@ -356,7 +358,7 @@
   private CallerServices callerServices() {
     return new CallerServices(
         origin,
-        table,
+        requestTable,
         this::publish,
         configuration::workspaces,
         readiness::isReady,
@@ -365,45 +367,51 @@
         InstantSource.system());
   }
 
-  private void reloadCertificates() {
-    settings.caller().tls().ifPresent(f -> closer.add(reload(f, callers::reloadTls)).start());
-    settings.operator().tls().ifPresent(f -> closer.add(reload(f, operators::reloadTls)).start());
+  private void startTlsReloads() {
+    settings
+        .caller()
+        .tls()
+        .ifPresent(f -> closer.add(newTlsReload(f, callerListener::reloadTls)).start());
+    settings
+        .operator()
+        .tls()
+        .ifPresent(f -> closer.add(newTlsReload(f, operatorListener::reloadTls)).start());
   }
 
-  private TlsReload reload(org.larkkeel.daemon.settings.TlsFiles files, Runnable reload) {
+  private TlsReload newTlsReload(org.larkkeel.daemon.settings.TlsFiles files, Runnable reload) {
     return new TlsReload(files, reload, scheduler, settings.limits().reload());
   }
 
   /**
-   * Brings a configuration into force, unless that in force is as new.
+   * Brings a configuration into force, unless the one in force has the same or a later revision.
    *
    * @param accepted an accepted configuration
-   * @return true if it is in force now
+   * @return true if it was brought into force
    */
   public boolean accept(Configuration accepted) {
     return configuration.accept(accepted);
   }
 
   /**
-   * Where callers reach the node.
+   * Returns the address of the caller listener.
    *
    * @return IP number and port
    */
   public InetSocketAddress callerAddress() {
-    return callers.address();
+    return callerListener.address();
   }
 
   /**
-   * Where operators reach the node.
+   * Returns the address of the operator listener.
    *
    * @return IP number and port
    */
   public InetSocketAddress operatorAddress() {
-    return operators.address();
+    return operatorListener.address();
   }
 
   /**
-   * Where peers reach the node.
+   * Returns the address of the peer listener.
    *
    * @return IP number and port
    */
@@ -412,7 +420,7 @@
   }
 
   /**
-   * Tells whether the node takes requests.
+   * Returns whether the node accepts requests.
    *
    * @return true if it is ready
    */
@@ -421,7 +429,7 @@
   }
 
   /**
-   * Counts the nodes that this one knows as live.
+   * Returns the number of nodes that this node considers live.
    *
    * @return the number, this node included
    */
@@ -430,7 +438,7 @@
   }
 
   /**
-   * What the node does for operators, as its operators' listener offers it.
+   * Returns the operator service that the operator listener exposes.
    *
    * @return the service
    */
@@ -439,43 +447,43 @@
   }
 
   /**
-   * The state of the router.
+   * Returns the state of the router.
    *
-   * @return the state between two events
+   * @return the state, read between two events
    */
   public CompletableFuture<RouterStatus> routerStatus() {
     return loop.query(router::status);
   }
 
   /**
-   * Begins the graceful stop; repeating the call has no further effect. The node has to be closed
-   * after it.
+   * Starts to drain the node; repeated calls have no further effect. The caller closes the node
+   * afterwards.
    *
-   * @return done when nothing is in progress
+   * @return completes when the drain has ended, see {@link Drain}
    */
   public CompletableFuture<Void> drain() {
     return drain.begin();
   }
 
   /**
-   * Tells when a graceful stop is complete, whoever began it.
+   * Returns a future of the end of the drain, whoever starts it.
    *
-   * @return done then; cancelling it has no effect on the stop
+   * @return completes when the drain has ended; cancelling it does not affect the drain
    */
-  public CompletableFuture<Void> drained() {
+  public CompletableFuture<Void> whenDrained() {
     return drain.done();
   }
 
-  /** Ends a drain at once. */
-  public void hurry() {
-    drain.hurry();
+  /** Ends the drain immediately; requests in progress are cut off when the node is closed. */
+  public void finishDrainNow() {
+    drain.finishNow();
   }
 
   /**
-   * Ends the node as a crash would: connections break, peers and the store are told nothing. For
-   * demos and tests of failures.
+   * Stops the node as a crash would: connections break, and peers and the store receive no notice.
+   * For demos and failure tests.
    *
-   * @throws Exception the first failure of a part
+   * @throws Exception the first failure to close a component
    */
   public void kill() throws Exception {
     loop.abort();
@@ -485,9 +493,9 @@
   }
 
   /**
-   * Closes everything; requests in progress are cut, so drain before.
+   * Closes the node and cuts off requests in progress; call {@link #drain} first to avoid that.
    *
-   * @throws Exception the first failure of a part
+   * @throws Exception the first failure to close a component
    */
   @Override
   public void close() throws Exception {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Drain.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Drain.java
@@ -15,17 +15,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The graceful stop of a node: unready first, then no new requests, then the end of those in
- * progress.
+ * The drain of a node: it turns unready, refuses new requests after a grace period and waits for
+ * those in progress.
  *
- * <p>Invariant: it completes only when nothing is in progress, or after its limit, or if hurried.
- * Safe for use by several threads.
+ * <p>Invariant: the drain ends only when no request is in progress, when its time limit has passed
+ * or when {@link #finishNow} is called. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Drain {
   private static final Logger log = LoggerFactory.getLogger(Drain.class);
-  private static final Duration CHECK = Duration.ofMillis(20);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(20);
 
   private final Scheduler scheduler;
   private final Steps steps;
@@ -33,23 +33,24 @@
   private final Duration limit;
   private final CompletableFuture<Void> done = new CompletableFuture<>();
   private boolean begun;
-  private long end;
+  private long deadlineNanos;
 
   /**
-   * What a node does at each step; must not block.
+   * The actions of a node at each step; they must not block.
    *
-   * @param unready tells the balancer to choose other nodes; requests are still taken
-   * @param refuse refuses new requests and hands ownership over
-   * @param idle whether nothing is in progress
+   * @param markUnready makes the load balancer choose other nodes and hands ownership over;
+   *     requests are still accepted
+   * @param refuseRequests makes the node refuse new requests
+   * @param isIdle whether no request is in progress
    */
-  public record Steps(Runnable unready, Runnable refuse, BooleanSupplier idle) {}
+  public record Steps(Runnable markUnready, Runnable refuseRequests, BooleanSupplier isIdle) {}
 
   /**
-   * Creates a drain that has not begun.
+   * Creates a drain that has not started.
    *
    * @param scheduler runs the steps
-   * @param steps what to do
-   * @param limits how long requests are still taken, and how long the wait is at most
+   * @param steps the actions of the node
+   * @param limits the grace period and the time limit
    */
   public Drain(Scheduler scheduler, Steps steps, LimitSettings limits) {
     this.scheduler = scheduler;
@@ -59,63 +60,64 @@
   }
 
   /**
-   * Tells when the drain is over.
+   * Returns a future of the end of the drain.
    *
-   * @return done then
+   * @return completes when the drain has ended; cancelling it does not affect the drain
    */
   public CompletableFuture<Void> done() {
     return done.copy();
   }
 
   /**
-   * Begins; repeating the call has no further effect.
+   * Starts the drain; repeated calls have no further effect.
    *
-   * @return done when nothing is in progress, when the limit is over or when hurried
+   * @return completes when no request is in progress, when the time limit has passed or when {@link
+   *     #finishNow} is called
    */
   public synchronized CompletableFuture<Void> begin() {
     if (!begun) {
       begun = true;
       log.info("event=drain_begun grace_ms={} limit_ms={}", grace.toMillis(), limit.toMillis());
-      steps.unready.run();
+      steps.markUnready.run();
       scheduler.schedule(grace, this::refuse);
     }
     return done;
   }
 
   /**
-   * Tells whether the drain has begun.
+   * Returns whether the drain has started.
    *
-   * @return true from the first call of {@link #begin}
+   * @return true from the first call of {@link #begin} on
    */
   public synchronized boolean hasBegun() {
     return begun;
   }
 
-  /** Ends the wait at once; requests in progress are cut. */
-  public void hurry() {
+  /** Ends the drain immediately, without waiting for requests in progress. */
+  public void finishNow() {
     if (done.complete(null)) {
       log.warn("event=drain_hurried");
     }
   }
 
   private void refuse() {
-    end = scheduler.nanoTime() + limit.toNanos();
-    steps.refuse.run();
-    scheduler.schedule(CHECK, this::check);
+    deadlineNanos = scheduler.nanoTime() + limit.toNanos();
+    steps.refuseRequests.run();
+    scheduler.schedule(CHECK_INTERVAL, this::check);
   }
 
   private void check() {
     if (done.isDone()) {
       return;
     }
-    if (steps.idle.getAsBoolean()) {
+    if (steps.isIdle.getAsBoolean()) {
       log.info("event=drain_done");
       done.complete(null);
-    } else if (scheduler.nanoTime() - end >= 0) {
+    } else if (scheduler.nanoTime() - deadlineNanos >= 0) {
       log.warn("event=drain_limit_over");
       done.complete(null);
     } else {
-      scheduler.schedule(CHECK, this::check);
+      scheduler.schedule(CHECK_INTERVAL, this::check);
     }
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EffectDispatcher.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EffectDispatcher.java
@@ -20,10 +20,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands each effect to its adapter and turns an adapter's exception into the effect's failure.
+ * Passes each effect to its adapter; if the adapter throws, publishes the failure as an event.
  *
- * <p>Invariant: an effect that expects an outcome gets one, whatever its adapter throws. Safe for
- * use by several threads if the adapters are.
+ * <p>Invariant: an effect that expects an outcome event gets one even if its adapter throws. Safe
+ * for use by several threads if the adapters are.
  *
  * @since 0.1
  */
@@ -38,7 +38,7 @@
    * Creates a dispatcher.
    *
    * @param ports the adapters
-   * @param events takes the failures
+   * @param events receives the failures
    * @param clock the node's monotonic clock, nanoseconds
    */
   public EffectDispatcher(EffectPorts ports, Consumer<Event> events, LongSupplier clock) {
@@ -50,14 +50,14 @@
   @Override
   public void accept(Effect effect) {
     try {
-      port(effect).accept(effect);
+      adapterFor(effect).accept(effect);
     } catch (RuntimeException e) {
       log.error("event=effect_failed type={}", effect.getClass().getSimpleName(), e);
-      fail(effect);
+      publishFailure(effect);
     }
   }
 
-  private EffectSink port(Effect effect) {
+  private EffectSink adapterFor(Effect effect) {
     return switch (effect) {
       case Effect.ClaimRun claim -> ports.runs();
       case Effect.RecordRun result -> ports.runs();
@@ -73,14 +73,17 @@
     };
   }
 
-  /** Publishes the outcome of an effect whose adapter threw; how far it got is not known. */
-  private void fail(Effect effect) {
+  /**
+   * Publishes a failure for an effect whose adapter threw. The adapter may have sent the request
+   * before it threw, so an attempt counts as one that may have run.
+   */
+  private void publishFailure(Effect effect) {
     long now = clock.getAsLong();
     switch (effect) {
-      case Effect.StartPrefill start -> attemptFailed(start, start.resumeFrom(), now);
-      case Effect.StartTransfer start -> attemptFailed(start, 0, now);
-      case Effect.StartDecode start -> attemptFailed(start, start.resumeFrom(), now);
-      case Effect.SendPlain send -> attemptFailed(send, 0, now);
+      case Effect.StartPrefill start -> publishAttemptFailed(start, start.resumeFrom(), now);
+      case Effect.StartTransfer start -> publishAttemptFailed(start, 0, now);
+      case Effect.StartDecode start -> publishAttemptFailed(start, start.resumeFrom(), now);
+      case Effect.SendPlain send -> publishAttemptFailed(send, 0, now);
       case Effect.Cancel cancel ->
           events.accept(new Event.CancelSettled(now, cancel.attempt(), CancelOutcome.FAILED));
       case Effect.ClaimRun claim ->
@@ -98,7 +101,7 @@
     }
   }
 
-  private void attemptFailed(Effect.OfAttempt effect, int tokens, long now) {
+  private void publishAttemptFailed(Effect.OfAttempt effect, int tokens, long now) {
     events.accept(
         new Event.AttemptFailed(
             now, effect.attempt(), FailureCause.BAD_ANSWER, Exposure.MAY_HAVE_RUN, tokens));
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EffectPorts.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EffectPorts.java
@@ -13,12 +13,12 @@
  *
  * <p>Immutable; safe for use by several threads if the adapters are.
  *
- * @param upstreams attempts at upstreams and their cancels
- * @param callers the ends of requests
- * @param runs claims and records of at-most-once runs
- * @param peers wants of slots and limits
- * @param timers wake-ups
- * @param facts metrics and log lines
+ * @param upstreams starts and cancels attempts at upstreams
+ * @param callers completes, replays, refuses and forgets requests
+ * @param runs claims and records at-most-once runs
+ * @param peers requests slots and limits from other nodes
+ * @param timers schedules wake-ups
+ * @param facts records metrics and log lines
  * @since 0.1
  */
 public record EffectPorts(
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EngineOrders.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EngineOrders.java
@@ -37,7 +37,7 @@
 import org.larkkeel.store.order.OrderResult;
 
 /**
- * Speaks the engine protocol about orders.
+ * Reads an engine's state and sends orders to it by the engine's HTTP protocol.
  *
  * <p>Safe for use by several threads.
  */
@@ -71,7 +71,7 @@
 
   private static void complete(CompletableFuture<EngineReport> result, JsonNode body) {
     try {
-      result.complete(report(body));
+      result.complete(parseReport(body));
     } catch (IllegalArgumentException e) {
       result.completeExceptionally(failure(e.getMessage()));
     }
@@ -81,14 +81,14 @@
     return new LarkkeelException(ErrorKind.UPSTREAM_FAILED, detail);
   }
 
-  private static EngineReport report(JsonNode body) {
-    String word = body.path(ROLE).asText();
+  private static EngineReport parseReport(JsonNode body) {
+    String roleText = body.path(ROLE).asText();
     Role role =
-        DeclaredShape.role(word)
+        DeclaredShape.role(roleText)
             .orElseThrow(
                 () ->
                     new IllegalArgumentException(
-                        "role is \"" + word + "\": expected prefill or decode"));
+                        "role is \"" + roleText + "\": expected prefill or decode"));
     ImmutableSet.Builder<ModelName> models = ImmutableSet.builder();
     ImmutableMap.Builder<ModelName, String> versions = ImmutableMap.builder();
     for (JsonNode text : body.path("models")) {
@@ -115,18 +115,18 @@
     CompletableFuture<OrderResult> result = new CompletableFuture<>();
     ObjectNode body = Json.object();
     body.put(FENCING, fencing.value());
-    describe(order, body.putObject(ORDER));
+    writeOrder(order, body.putObject(ORDER));
     engines.order(
         UpstreamAddress.parse(upstream.address()),
         body,
         allowed,
         timeout.toNanos(),
-        answer -> result.complete(result(answer)),
-        failure -> result.complete(result(failure)));
+        answer -> result.complete(toOrderResult(answer)),
+        failure -> result.complete(toOrderResult(failure)));
     return result;
   }
 
-  private static void describe(Order order, ObjectNode json) {
+  private static void writeOrder(Order order, ObjectNode json) {
     switch (order) {
       case Order.LoadModel o -> {
         json.put(TYPE, "load_model").put(MODEL, o.model().model().value());
@@ -141,7 +141,7 @@
     }
   }
 
-  private static OrderResult result(WholeAnswer.Answer answer) {
+  private static OrderResult toOrderResult(WholeAnswer.Answer answer) {
     return switch (answer.status()) {
       case StatusCodes.OK -> OrderResult.IN_FORCE;
       case StatusCodes.CONFLICT -> OrderResult.STALE_FENCING;
@@ -152,7 +152,7 @@
     };
   }
 
-  private static OrderResult result(UpstreamFailure failure) {
+  private static OrderResult toOrderResult(UpstreamFailure failure) {
     return failure.exposure() == Exposure.NOT_SENT ? OrderResult.NOT_SENT : OrderResult.UNKNOWN;
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EventTimes.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EventTimes.java
@@ -8,20 +8,20 @@
 
 import org.larkkeel.event.Event;
 
-/** Changes the times of events. Stateless and safe for use by several threads. */
+/** Adjusts the times of events. Stateless and safe for use by several threads. */
 final class EventTimes {
   private EventTimes() {}
 
-  /** Gives an event that happened before {@code earliest} that time. */
+  /** Returns the event, with its time raised to {@code earliest} if it is before that. */
   static Event notBefore(Event event, long earliest) {
-    return event.at() - earliest >= 0 ? event : at(event, earliest);
+    return event.at() - earliest >= 0 ? event : withTime(event, earliest);
   }
 
-  private static Event at(Event event, long at) {
+  private static Event withTime(Event event, long at) {
     return switch (event) {
       case Event.RequestArrived e -> new Event.RequestArrived(at, e.call());
       case Event.CallerGone e -> new Event.CallerGone(at, e.request());
-      case Event.OfAttempt e -> ofAttempt(e, at);
+      case Event.OfAttempt e -> withTimeOfAttempt(e, at);
       case Event.LoadReported e -> new Event.LoadReported(at, e.upstream(), e.report());
       case Event.LoadUnavailable e -> new Event.LoadUnavailable(at, e.upstream());
       case Event.CacheChanged e ->
@@ -36,7 +36,7 @@
     };
   }
 
-  private static Event ofAttempt(Event.OfAttempt event, long at) {
+  private static Event withTimeOfAttempt(Event.OfAttempt event, long at) {
     return switch (event) {
       case Event.PrefillDone e ->
           new Event.PrefillDone(at, e.attempt(), e.kvBytes(), e.cachedTokens());
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/FactLog.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/FactLog.java
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes one log line of key=value pairs a fact.
+ * Writes one log line of key=value pairs for each fact.
  *
  * <p>Stateless and safe for use by several threads.
  *
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/LineEncoder.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/LineEncoder.java
@@ -14,12 +14,12 @@
 import java.time.LocalDate;
 
 /**
- * Writes a log line as {@code time=... level=... logger=... key=value ...}, the time in UTC and
- * milliseconds, and the stack trace of a failure after it.
+ * Writes a log event as {@code time=... level=... logger=... key=value ...}, with the time in UTC
+ * with milliseconds, followed by the stack trace of its exception if there is one.
  *
- * <p>Stands in for a pattern of Logback, whose parser and converters a node would load, link and
- * run at each start: see {@link LogConfigurator}. Holds no state but the date of the day last
- * written; Logback calls it from one thread at a time.
+ * <p>Replaces a Logback pattern, whose parser and converters would have to be loaded, linked and
+ * run at each start of a node: see {@link LogConfigurator}. The only state is the formatted date of
+ * the previous event; Logback calls the encoder from one thread at a time.
  *
  * @since 0.1
  */
@@ -31,17 +31,17 @@
   private static final int TENS = 10;
   private static final int HUNDREDS = 100;
 
-  /** The room of a line when it is begun, in characters; most need no more. */
-  private static final int USUAL_CHARS = 256;
+  /** The initial capacity of a line, in characters; enough for most lines. */
+  private static final int INITIAL_CHARS = 256;
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
 
-  private long day = Long.MIN_VALUE;
-  private String date = "";
+  private long lastDay = Long.MIN_VALUE;
+  private String lastDate = "";
 
   @Override
   public byte[] encode(ILoggingEvent event) {
-    StringBuilder line = new StringBuilder(USUAL_CHARS).append("time=");
+    StringBuilder line = new StringBuilder(INITIAL_CHARS).append("time=");
     appendTime(line, event.getTimeStamp());
     line.append(" level=").append(event.getLevel());
     line.append(" logger=").append(simpleName(event.getLoggerName()));
@@ -55,25 +55,25 @@
 
   private void appendTime(StringBuilder line, long millis) {
     long today = Math.floorDiv(millis, DAY_MILLIS);
-    if (today != day) {
-      date = LocalDate.ofEpochDay(today).toString();
-      day = today;
+    if (today != lastDay) {
+      lastDate = LocalDate.ofEpochDay(today).toString();
+      lastDay = today;
     }
-    int rest = Math.floorMod(millis, DAY_MILLIS);
-    line.append(date).append('T');
-    appendDigits(line, rest / HOUR_MILLIS, TENS);
+    int millisOfDay = Math.floorMod(millis, DAY_MILLIS);
+    line.append(lastDate).append('T');
+    appendDigits(line, millisOfDay / HOUR_MILLIS, TENS);
     line.append(':');
-    appendDigits(line, rest / MINUTE_MILLIS % 60, TENS);
+    appendDigits(line, millisOfDay / MINUTE_MILLIS % 60, TENS);
     line.append(':');
-    appendDigits(line, rest / SECOND_MILLIS % 60, TENS);
+    appendDigits(line, millisOfDay / SECOND_MILLIS % 60, TENS);
     line.append('.');
-    appendDigits(line, rest % SECOND_MILLIS, HUNDREDS);
+    appendDigits(line, millisOfDay % SECOND_MILLIS, HUNDREDS);
     line.append('Z');
   }
 
-  /** Appends the digits of a number from those of a unit, ten or a hundred, downwards. */
-  private static void appendDigits(StringBuilder line, int number, int largest) {
-    for (int unit = largest; unit > 0; unit /= 10) {
+  /** Appends the decimal digits of a number, zero-padded, from the highest unit down to ones. */
+  private static void appendDigits(StringBuilder line, int number, int highestUnit) {
+    for (int unit = highestUnit; unit > 0; unit /= 10) {
       line.append((char) ('0' + number / unit % 10));
     }
   }
@@ -84,11 +84,11 @@
 
   @Override
   public byte[] headerBytes() {
-    return NOTHING;
+    return EMPTY;
   }
 
   @Override
   public byte[] footerBytes() {
-    return NOTHING;
+    return EMPTY;
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/LogConfigurator.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/LogConfigurator.java
@@ -16,64 +16,65 @@
 import ch.qos.logback.core.status.Status;
 
 /**
- * Sets up the log of a process: one line of key=value pairs an event to standard output, as hosts
- * have no disks, written by another thread and bounded in rate ({@link BoundedAppender}).
+ * Configures logging of the process: one line of key=value pairs per event to standard output, as
+ * hosts have no disks, written asynchronously with a rate limit ({@link BoundedAppender}).
  *
- * <p>In code, not in Logback's XML: a start without that file's reader, its XML parser and its
- * pattern's converters loads some 650 classes less, and a node that starts again serves nobody
- * meanwhile. A file named by {@code -Dlogback.configurationFile} takes its place. Logback makes and
- * calls it once, by the entry under {@code META-INF/services}.
+ * <p>Configured in code rather than in Logback's XML: without the XML parser and the pattern
+ * converters a start loads some 650 classes fewer, and a restarting node serves no requests until
+ * it is up. A file named by {@code -Dlogback.configurationFile} replaces this configuration.
+ * Logback finds the class by its entry under {@code META-INF/services} and calls it once.
  *
  * @since 0.1
  */
 public final class LogConfigurator extends ContextAwareBase implements Configurator {
-  /** Logback's own property that names a file of its settings. */
+  /** Logback's system property that names a configuration file. */
   static final String FILE_PROPERTY = "logback.configurationFile";
 
   private static final int QUEUE_LINES = 2048;
   private static final int LINES_PER_SECOND = 150;
   private static final int BURST_LINES = 600;
-  private static final String[] LIBRARIES = {"io.undertow", "org.jboss", "org.xnio"};
+  private static final String[] LIBRARY_LOGGERS = {"io.undertow", "org.jboss", "org.xnio"};
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
     if (System.getProperty(FILE_PROPERTY) != null) {
       return ExecutionStatus.INVOKE_NEXT_IF_ANY;
     }
-    context.getStatusManager().add(LogConfigurator::tell);
-    for (String library : LIBRARIES) {
+    context.getStatusManager().add(LogConfigurator::printStatus);
+    for (String library : LIBRARY_LOGGERS) {
       context.getLogger(library).setLevel(Level.WARN);
     }
     Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.INFO);
-    root.addAppender(bounded(context));
+    root.addAppender(boundedAppender(context));
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
   /**
-   * Tells what Logback has to say of itself on standard error.
+   * Prints Logback's internal warnings and errors to standard error.
    *
-   * <p>Without a listener Logback loads its own printer at the start, and all time zones with it.
+   * <p>Without a status listener Logback would load its own printer at the start, and all time
+   * zones with it.
    */
-  private static void tell(Status status) {
+  private static void printStatus(Status status) {
     if (status.getEffectiveLevel() >= Status.WARN) {
       System.err.println("larkkeel: the log: " + status.getMessage());
     }
   }
 
-  private static BoundedAppender bounded(LoggerContext context) {
+  private static BoundedAppender boundedAppender(LoggerContext context) {
     BoundedAppender bounded = new BoundedAppender();
     bounded.setContext(context);
     bounded.setName("BOUNDED");
     bounded.setQueueSize(QUEUE_LINES);
     bounded.setLinesPerSecond(LINES_PER_SECOND);
     bounded.setBurst(BURST_LINES);
-    bounded.addAppender(console(context));
+    bounded.addAppender(consoleAppender(context));
     bounded.start();
     return bounded;
   }
 
-  private static ConsoleAppender<ILoggingEvent> console(LoggerContext context) {
+  private static ConsoleAppender<ILoggingEvent> consoleAppender(LoggerContext context) {
     LineEncoder encoder = new LineEncoder();
     encoder.setContext(context);
     encoder.start();
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Main.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Main.java
@@ -23,8 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The process {@code larkkeeld}: exit 0 after a graceful stop, 1 after a failure, 2 for wrong
- * options or settings.
+ * The process {@code larkkeeld}. Exit status: 0 after a graceful stop, 1 after a failure, 2 for
+ * invalid options or settings.
  *
  * <p>Used by one thread.
  *
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Runs the daemon until it is stopped, and ends the process.
+   * Runs the daemon until it is stopped, then exits the process.
    *
    * @param args the options
    */
@@ -67,11 +67,11 @@
   }
 
   /**
-   * Runs the daemon until it is stopped.
+   * Runs the daemon until it is stopped, or does what the options ask for instead.
    *
    * @param args the options
-   * @param out for what was asked for
-   * @param err for what is wrong
+   * @param out receives the requested output
+   * @param err receives errors and usage
    * @return the exit status
    */
   public static int run(String[] args, PrintStream out, PrintStream err) {
@@ -100,7 +100,7 @@
       usage(parser, err);
       return USAGE;
     }
-    return configured();
+    return runConfigured();
   }
 
   private void usage(CmdLineParser parser, PrintStream stream) {
@@ -116,11 +116,11 @@
               Resources.getResource(Settings.class, DEFAULTS), StandardCharsets.UTF_8));
       return OK;
     } catch (IOException e) {
-      throw new IllegalStateException("the resource " + DEFAULTS + " is a part of the program", e);
+      throw new IllegalStateException("the bundled resource " + DEFAULTS + " is not readable", e);
     }
   }
 
-  private int configured() {
+  private int runConfigured() {
     String text;
     try {
       text = Files.readString(config.toPath());
@@ -128,7 +128,7 @@
       err.println(
           "larkkeeld: the settings file "
               + config
-              + " can not be read as UTF-8 text: "
+              + " cannot be read as UTF-8 text: "
               + e
               + "; name a file that exists and that this user may read");
       return USAGE;
@@ -138,11 +138,11 @@
         err.println(invalid.problems());
         yield USAGE;
       }
-      case Checked.Valid<Settings> valid -> check ? checked() : serve(valid.value());
+      case Checked.Valid<Settings> valid -> check ? reportValid() : serve(valid.value());
     };
   }
 
-  private int checked() {
+  private int reportValid() {
     out.println(config + ": ok");
     return OK;
   }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/NodeConfiguration.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/NodeConfiguration.java
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration in force on this node, whichever way it came.
+ * The configuration in force on this node, received from the store or from a peer.
  *
  * <p>Invariant: the revision never decreases. Safe for use by several threads.
  *
@@ -35,7 +35,7 @@
   private volatile View view = View.of(Configuration.EMPTY);
   private volatile Consumer<Configuration> listener = c -> {};
 
-  /** One configuration with what is looked up in it. */
+  /** A configuration with its lookup indexes. */
   private record View(
       Configuration configuration, ConfiguredUpstreams upstreams, Workspaces workspaces) {
     static View of(Configuration configuration) {
@@ -45,9 +45,9 @@
   }
 
   /**
-   * Creates the empty configuration.
+   * Creates a holder of the empty configuration.
    *
-   * @param events told of each configuration that comes into force
+   * @param events receives an event for each configuration that comes into force
    * @param clock the node's monotonic clock, nanoseconds
    */
   public NodeConfiguration(Consumer<Event> events, LongSupplier clock) {
@@ -56,19 +56,20 @@
   }
 
   /**
-   * Sets who else is told of each configuration that comes into force.
+   * Sets the listener that is notified of each configuration that comes into force.
    *
-   * @param told called in the order of revisions, under the lock; must not block
+   * @param newListener called in ascending order of revision, while the lock is held; must not
+   *     block
    */
-  public void setListener(Consumer<Configuration> told) {
-    listener = told;
+  public void setListener(Consumer<Configuration> newListener) {
+    listener = newListener;
   }
 
   /**
-   * Brings a configuration into force, unless that in force is as new.
+   * Brings a configuration into force, unless the one in force has the same or a later revision.
    *
-   * @param configuration the configuration, accepted before
-   * @return true if it is in force now
+   * @param configuration a configuration that was accepted
+   * @return true if it was brought into force
    */
   public synchronized boolean accept(Configuration configuration) {
     if (!configuration.revision().isAfter(revision())) {
@@ -82,7 +83,7 @@
   }
 
   /**
-   * The configuration in force.
+   * Returns the configuration in force.
    *
    * @return the configuration, never null
    */
@@ -91,18 +92,18 @@
   }
 
   /**
-   * The revision in force.
+   * Returns the revision in force.
    *
-   * @return the revision, {@link Revision#NONE} before the first
+   * @return the revision; {@link Revision#NONE} before the first configuration
    */
   public Revision revision() {
     return view.configuration.revision();
   }
 
   /**
-   * The workspaces in force.
+   * Returns the index of the workspaces in force.
    *
-   * @return the index of workspaces
+   * @return the index, never null
    */
   public Workspaces workspaces() {
     return view.workspaces;
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/NodeOperations.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/NodeOperations.java
@@ -39,7 +39,7 @@
 import org.larkkeel.router.RouterStatus;
 
 /**
- * What a node does for operators.
+ * The operator service of a node.
  *
  * <p>Safe for use by several threads; no method blocks.
  */
@@ -47,10 +47,10 @@
   private static final double NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   private static final RequestId NO_REQUEST = new RequestId(0);
 
-  private final Parts parts;
+  private final Dependencies dependencies;
 
-  /** The parts of the node that operators see. */
-  record Parts(
+  /** The components of the node that operator calls read or control. */
+  record Dependencies(
       Settings settings,
       Incarnation incarnation,
       Router router,
@@ -62,31 +62,32 @@
       ChangeLog changes,
       Supplier<CompletableFuture<Void>> drain) {}
 
-  NodeOperations(Parts parts) {
-    this.parts = parts;
+  NodeOperations(Dependencies dependencies) {
+    this.dependencies = dependencies;
   }
 
   @Override
   public CompletableFuture<ProposalOutcome> propose(Change change, DryRun dryRun) {
-    return parts.changes.propose(change, dryRun);
+    return dependencies.changes.propose(change, dryRun);
   }
 
   @Override
   public CompletableFuture<Configuration> configuration() {
-    return CompletableFuture.completedFuture(parts.configuration.current());
+    return CompletableFuture.completedFuture(dependencies.configuration.current());
   }
 
   @Override
   public CompletableFuture<AuditPage> audit(Revision from, int limit) {
-    return parts.changes.audit(from, limit);
+    return dependencies.changes.audit(from, limit);
   }
 
   @Override
   public CompletableFuture<RouteExplanation> explain(ExplainRequest request) {
-    return parts.loop.query(() -> explanation(parts.router.explain(call(request))));
+    return dependencies.loop.query(
+        () -> toRouteExplanation(dependencies.router.explain(toCall(request))));
   }
 
-  private static Call call(ExplainRequest request) {
+  private static Call toCall(ExplainRequest request) {
     if (request.model().isPresent()) {
       return new Call.Completion(
           NO_REQUEST,
@@ -108,7 +109,7 @@
         : RouteExplanation.Verdict.valueOf(candidate.verdict().name());
   }
 
-  private RouteExplanation explanation(Explanation e) {
+  private RouteExplanation toRouteExplanation(Explanation e) {
     List<RouteExplanation.Candidate> candidates = new ArrayList<>();
     for (Explanation.Candidate c : e.candidates()) {
       candidates.add(
@@ -130,18 +131,18 @@
 
   @Override
   public CompletableFuture<NodeStatus> status() {
-    return parts.loop.query(parts.router::status).thenApply(this::nodeStatus);
+    return dependencies.loop.query(dependencies.router::status).thenApply(this::nodeStatus);
   }
 
   private NodeStatus nodeStatus(RouterStatus router) {
     return new NodeStatus(
-        parts.settings.host(),
-        parts.settings.dataCentre(),
-        parts.incarnation,
-        parts.readiness.phase(),
-        parts.configuration.revision(),
-        parts.readiness.store(),
-        parts.peers.live().size(),
+        dependencies.settings.host(),
+        dependencies.settings.dataCentre(),
+        dependencies.incarnation,
+        dependencies.readiness.phase(),
+        dependencies.configuration.revision(),
+        dependencies.readiness.store(),
+        dependencies.peers.live().size(),
         router.requests(),
         router.queued(),
         router.upstreams().stream().map(this::upstreamStatus).toList());
@@ -169,37 +170,37 @@
   }
 
   private boolean isLeaving(UpstreamName name) {
-    Upstream upstream = parts.configuration.current().upstreams().get(name);
+    Upstream upstream = dependencies.configuration.current().upstreams().get(name);
     return upstream != null && upstream.isLeaving();
   }
 
   @Override
   public CompletableFuture<RolloutStatus> rollout(Revision revision) {
-    Revision own = parts.configuration.revision();
-    Map<HostName, Revision> known = parts.view.get().revisions();
-    Revision asked = revision;
+    Revision own = dependencies.configuration.revision();
+    Map<HostName, Revision> known = dependencies.view.get().revisions();
+    Revision target = revision;
     if (revision.equals(Revision.NONE)) {
-      asked =
+      target =
           known.values().stream().max(Revision::compareTo).filter(r -> r.isAfter(own)).orElse(own);
     }
     ImmutableList.Builder<RolloutStatus.NodeRevision> behind = ImmutableList.builder();
     int inForce = 0;
-    for (HostName host : parts.peers.live()) {
-      Revision there =
-          host.equals(parts.settings.host()) ? own : known.getOrDefault(host, Revision.NONE);
-      if (asked.isAfter(there)) {
-        behind.add(new RolloutStatus.NodeRevision(host, there));
+    for (HostName host : dependencies.peers.live()) {
+      Revision hostRevision =
+          host.equals(dependencies.settings.host()) ? own : known.getOrDefault(host, Revision.NONE);
+      if (target.isAfter(hostRevision)) {
+        behind.add(new RolloutStatus.NodeRevision(host, hostRevision));
       } else {
         inForce++;
       }
     }
     return CompletableFuture.completedFuture(
-        new RolloutStatus(asked, parts.peers.live().size(), inForce, behind.build()));
+        new RolloutStatus(target, dependencies.peers.live().size(), inForce, behind.build()));
   }
 
   @Override
   public CompletableFuture<Void> drain() {
-    CompletableFuture<Void> unused = parts.drain.get();
+    CompletableFuture<Void> unused = dependencies.drain.get();
     return CompletableFuture.completedFuture(null);
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/ObservedObjectApi.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/ObservedObjectApi.java
@@ -22,7 +22,10 @@
 import org.larkkeel.store.Watch;
 import org.larkkeel.store.WatchEvent;
 
-/** Tells the readiness whether the store answers. Safe for use by several threads. */
+/**
+ * An object API that reports to {@link Readiness} whether the store answers. Safe for use by
+ * several threads.
+ */
 final class ObservedObjectApi implements ObjectApi {
   private final ObjectApi target;
   private final Readiness readiness;
@@ -80,15 +83,15 @@
   }
 
   private <T> CompletableFuture<T> observe(CompletableFuture<T> call) {
-    return call.whenComplete((value, failure) -> settled(failure));
+    return call.whenComplete((value, failure) -> onCompleted(failure));
   }
 
-  private void settled(Throwable failure) {
+  private void onCompleted(Throwable failure) {
     ObjectApiFailure kind =
         failure == null ? null : ObjectApiException.failureOf(failure).orElse(null);
     switch (kind) {
-      case ObjectApiFailure.Unavailable f -> readiness.storeSilent();
-      case ObjectApiFailure.OutcomeUnknown f -> readiness.storeSilent();
+      case ObjectApiFailure.Unavailable f -> readiness.storeUnreachable();
+      case ObjectApiFailure.OutcomeUnknown f -> readiness.storeUnreachable();
       case null, default -> readiness.storeAnswered();
     }
   }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OperatorListener.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OperatorListener.java
@@ -21,7 +21,7 @@
 import org.larkkeel.http.operator.Principal;
 
 /**
- * Listens for operators.
+ * The HTTP listener of the operator API, with or without TLS.
  *
  * <p>Safe for use by several threads.
  *
@@ -37,11 +37,11 @@
   }
 
   /**
-   * Starts to listen.
+   * Starts the listener.
    *
    * @param settings the settings of the node
    * @param worker the I/O threads, which must outlive the listener
-   * @param service what the node does for operators
+   * @param service handles the operator calls
    * @return the listener
    */
   public static OperatorListener start(
@@ -71,7 +71,7 @@
   }
 
   /**
-   * The address in use.
+   * Returns the bound address.
    *
    * @return IP number and port
    */
@@ -79,7 +79,7 @@
     return (InetSocketAddress) server.getListenerInfo().getFirst().getAddress();
   }
 
-  /** Takes the certificate anew; without TLS a no-op. */
+  /** Reloads the certificate from its files; does nothing without TLS. */
   public void reloadTls() {
     if (settings.tls().isPresent()) {
       SSLContext context = PemTls.context(settings.tls().get());
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OrderLog.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OrderLog.java
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs and counts orders.
+ * Logs and counts orders to engines and pulls of weights.
  *
  * <p>Safe for use by several threads.
  */
@@ -37,9 +37,9 @@
       UpstreamName upstream, Order order, FencingNumber fencing, OrderResult result) {
     log.info(
         "event={} upstream={} order={} fencing={} result={}",
-        event(result),
+        eventName(result),
         upstream,
-        text(order),
+        toText(order),
         fencing,
         Slugs.of(result));
     meters.counter("larkkeel.orders", "result", Slugs.of(result)).increment();
@@ -47,17 +47,17 @@
 
   @Override
   public void pulled(UpstreamName upstream, ModelVersion model, PullResult result) {
-    String word =
+    String resultName =
         switch (result) {
           case PullResult.Started s -> "started";
           case PullResult.Throttled t -> "throttled";
           case PullResult.Failed f -> "failed";
         };
-    log.info("event=weights_pull upstream={} model={} result={}", upstream, model, word);
-    meters.counter("larkkeel.weights.pulls", "result", word).increment();
+    log.info("event=weights_pull upstream={} model={} result={}", upstream, model, resultName);
+    meters.counter("larkkeel.weights.pulls", "result", resultName).increment();
   }
 
-  private static String event(OrderResult result) {
+  private static String eventName(OrderResult result) {
     return switch (result) {
       case IN_FORCE -> "ordered";
       case STALE_FENCING, REFUSED -> "order_refused";
@@ -66,7 +66,7 @@
     };
   }
 
-  private static String text(Order order) {
+  private static String toText(Order order) {
     return switch (order) {
       case Order.LoadModel o -> "load_model:" + o.model();
       case Order.UnloadModel o -> "unload_model:" + o.model();
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OrderSide.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OrderModule.java
@@ -23,15 +23,15 @@
 import org.larkkeel.store.order.WeightStore;
 
 /**
- * Everything of a node that gives orders to engines.
+ * The components of a node that send orders to engines.
  *
  * <p>Safe for use by several threads.
  */
-final class OrderSide implements AutoCloseable {
+final class OrderModule implements AutoCloseable {
   private final OrderController controller;
 
-  /** What this side needs from the rest of the node. */
-  record Parts(
+  /** The components of the rest of the node that this module uses. */
+  record Dependencies(
       WriterId self,
       ObjectApi api,
       Scheduler scheduler,
@@ -41,29 +41,32 @@
       Supplier<ImmutableSortedSet<HostName>> live,
       MeterRegistry meters) {}
 
-  OrderSide(Parts parts, OrderLimits limits, long seed) {
+  OrderModule(Dependencies dependencies, OrderLimits limits, long seed) {
     Lease lease =
         new Lease(
-            parts.api(),
+            dependencies.api(),
             OrderController.LEASE,
-            parts.self(),
-            parts.scheduler(),
+            dependencies.self(),
+            dependencies.scheduler(),
             new SplittableRandom(seed),
             limits.leaseDuration());
     controller =
         new OrderController(
             new OrderController.Parts(
                 lease,
-                parts.scheduler(),
-                new EngineOrders(parts.engines()),
-                parts.weights(),
-                parts.configuration(),
-                () -> isCandidate(parts.live().get(), parts.self().host()),
-                new OrderLog(parts.meters())),
+                dependencies.scheduler(),
+                new EngineOrders(dependencies.engines()),
+                dependencies.weights(),
+                dependencies.configuration(),
+                () -> isCandidate(dependencies.live().get(), dependencies.self().host()),
+                new OrderLog(dependencies.meters())),
             limits);
   }
 
-  /** Few hosts seek the lease, so that the store's load does not grow with the fleet. */
+  /**
+   * Returns whether a host competes for the order controller's lease. Only a few hosts do, so that
+   * the load on the store does not grow with the size of the cluster.
+   */
   static boolean isCandidate(ImmutableSortedSet<HostName> live, HostName self) {
     return new Ownership(live)
         .ownersOf(OrderController.LEASE, OrderController.CANDIDATES)
@@ -74,7 +77,7 @@
     controller.start();
   }
 
-  /** Hands the lease over; nothing is ordered any more. */
+  /** Releases the lease to the other candidates and sends no further orders. */
   void release() {
     controller.release();
   }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerAdapter.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerAdapter.java
@@ -24,10 +24,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Turns what peers say into events of this node.
+ * Translates notifications of the peer node into events of this node, and records which node
+ * incarnations have ended.
  *
- * <p>Called on the core thread of the peer node, but for {@link #isDead}. Safe for use by several
- * threads.
+ * <p>Notifications arrive on the core thread of the peer node. {@link #live}, {@link #hasPeers} and
+ * {@link #isDead} are safe for use by several threads.
  *
  * @since 0.1
  */
@@ -37,90 +38,90 @@
   private final HostName self;
   private final Consumer<Event> events;
   private final LongSupplier clock;
-  private final Set<HostName> present = ConcurrentHashMap.newKeySet();
+  private final Set<HostName> liveHosts = ConcurrentHashMap.newKeySet();
   private final Set<EngineRequestId.Origin> dead = ConcurrentHashMap.newKeySet();
-  private final Map<HostName, Incarnation> newest = new ConcurrentHashMap<>();
-  private volatile PeerNews news = new PeerNews() {};
+  private final Map<HostName, Incarnation> latestIncarnations = new ConcurrentHashMap<>();
+  private volatile PeerNews listener = new PeerNews() {};
 
-  /** What the node does besides when its view of the peers changes. */
+  /** Callbacks for changes among the peers that other components of the node react to. */
   public interface PeerNews {
     /**
-     * The set of live nodes changed.
+     * Called when the set of live nodes has changed.
      *
-     * @param live names of the live nodes, this one included
+     * @param live names of the live nodes, this node included
      */
     default void liveChanged(ImmutableSortedSet<HostName> live) {}
 
     /**
-     * A start of a node has ended for certain.
+     * Called when a node incarnation is known to have ended.
      *
-     * @param origin that start
+     * @param origin the incarnation
      */
     default void died(EngineRequestId.Origin origin) {}
 
     /**
-     * A peer has a newer configuration.
+     * Called when a peer has a newer configuration.
      *
      * @param peer the peer
-     * @param revision its revision
+     * @param revision the peer's revision
      */
     default void newerRevision(Member peer, Revision revision) {}
 
-    /** Another process runs under the name of this host; this one must stop. */
+    /** Called when a later process runs under the name of this host, so that this one must stop. */
     default void superseded() {}
   }
 
   /**
    * Creates an adapter that knows this node only.
    *
-   * @param origin this start of this node
-   * @param events takes the events
+   * @param origin the incarnation of this node
+   * @param events receives the events
    * @param clock the node's monotonic clock, nanoseconds
    */
   public PeerAdapter(EngineRequestId.Origin origin, Consumer<Event> events, LongSupplier clock) {
     this.self = origin.host();
     this.events = events;
     this.clock = clock;
-    present.add(self);
-    newest.put(self, origin.incarnation());
+    liveHosts.add(self);
+    latestIncarnations.put(self, origin.incarnation());
   }
 
   /**
-   * Sets who else is told.
+   * Sets the callbacks.
    *
-   * @param told called on the core thread of the peer node; must not block
+   * @param newListener called on the core thread of the peer node; must not block
    */
-  public void setNews(PeerNews told) {
-    news = told;
+  public void setNews(PeerNews newListener) {
+    listener = newListener;
   }
 
   /**
-   * The nodes that are known as live.
+   * Returns the nodes that this node considers live.
    *
-   * @return their names, this one included
+   * @return their names, this node included
    */
   public ImmutableSortedSet<HostName> live() {
-    return ImmutableSortedSet.copyOf(present);
+    return ImmutableSortedSet.copyOf(liveHosts);
   }
 
   /**
-   * Tells whether another node is in reach.
+   * Returns whether another node is reachable.
    *
-   * @return true if the view has a live node besides this one
+   * @return true if a node besides this one is considered live
    */
   public boolean hasPeers() {
-    return present.size() > 1;
+    return liveHosts.size() > 1;
   }
 
   /**
-   * Tells whether a start of a node has ended for certain: it was found dead, or a later start of
-   * the same host is known.
+   * Returns whether a node incarnation is known to have ended: it was declared dead, or a later
+   * incarnation of the same host is known.
    *
-   * @param origin the start
-   * @return true if it is known as dead
+   * @param origin the incarnation
+   * @return true if it is known to have ended
    */
   public boolean isDead(EngineRequestId.Origin origin) {
-    Incarnation last = newest.get(origin.host());
+    Incarnation last = latestIncarnations.get(origin.host());
     boolean replaced = last != null && last.compareTo(origin.incarnation()) > 0;
     return replaced || dead.contains(origin);
   }
@@ -130,55 +131,58 @@
     HostName host = member.id().host();
     boolean changed = false;
     if (!host.equals(self)) {
-      changed = member.state().isPresent() ? present.add(host) : present.remove(host);
-      noteStart(host, member.id().incarnation());
+      changed = member.state().isPresent() ? liveHosts.add(host) : liveHosts.remove(host);
+      recordIncarnation(host, member.id().incarnation());
       EngineRequestId.Origin origin = new EngineRequestId.Origin(host, member.id().incarnation());
       if (member.state().isPresent()) {
-        revived(origin);
+        markLive(origin);
       } else {
-        died(origin);
+        markDead(origin);
       }
     }
     if (changed) {
       ImmutableSortedSet<HostName> live = live();
       events.accept(new Event.PeersChanged(clock.getAsLong(), live));
-      news.liveChanged(live);
+      listener.liveChanged(live);
     }
   }
 
-  /** A later start of a host is the end of the start before. */
-  private void noteStart(HostName host, Incarnation incarnation) {
-    Incarnation before = newest.get(host);
-    if (before == null || incarnation.compareTo(before) > 0) {
-      newest.put(host, incarnation);
-      if (before != null) {
-        died(new EngineRequestId.Origin(host, before));
+  /** Records an incarnation; a new incarnation of a host means that the previous one has ended. */
+  private void recordIncarnation(HostName host, Incarnation incarnation) {
+    Incarnation previous = latestIncarnations.get(host);
+    if (previous == null || incarnation.compareTo(previous) > 0) {
+      latestIncarnations.put(host, incarnation);
+      if (previous != null) {
+        markDead(new EngineRequestId.Origin(host, previous));
       }
     }
   }
 
-  /** A start that was found dead by mistake, paused or cut off for a time, has refuted it. */
-  private void revived(EngineRequestId.Origin origin) {
+  /**
+   * Revokes the death of an incarnation that was declared dead while it was paused or partitioned
+   * and has since refuted it.
+   */
+  private void markLive(EngineRequestId.Origin origin) {
     if (dead.remove(origin)) {
       log.info("event=node_revived host={} incarnation={}", origin.host(), origin.incarnation());
     }
   }
 
-  private void died(EngineRequestId.Origin origin) {
+  private void markDead(EngineRequestId.Origin origin) {
     if (dead.add(origin)) {
       log.info("event=node_ended host={} incarnation={}", origin.host(), origin.incarnation());
-      news.died(origin);
+      listener.died(origin);
     }
   }
 
   @Override
   public void newerRevision(Member peer, Revision revision) {
-    news.newerRevision(peer, revision);
+    listener.newerRevision(peer, revision);
   }
 
   @Override
   public void superseded(NodeId later) {
     log.error("event=superseded later={}", later);
-    news.superseded();
+    listener.superseded();
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerSide.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerConversions.java
@@ -18,16 +18,19 @@
 import org.larkkeel.peer.membership.NodeId;
 import org.larkkeel.store.HostPhase;
 
-/** Translates settings and hosts for the peers. Stateless and safe for use by several threads. */
-final class PeerSide {
-  private PeerSide() {}
+/**
+ * Converts settings and host lists to the types of the peer package. Stateless and safe for use by
+ * several threads.
+ */
+final class PeerConversions {
+  private PeerConversions() {}
 
   /**
-   * The settings of the peer node.
+   * Returns the settings of the peer node.
    *
-   * @throws IOException if the secret can not be read
+   * @throws IOException if the secret cannot be read
    */
-  static PeerSettings settings(Settings settings, Incarnation incarnation, long seed)
+  static PeerSettings peerSettings(Settings settings, Incarnation incarnation, long seed)
       throws IOException {
     NodeId id = new NodeId(settings.host(), incarnation);
     ListenerSettings listener = settings.peer();
@@ -40,8 +43,8 @@
     return result;
   }
 
-  /** The platform's host list as peers see it. */
-  static ImmutableList<HostEntry> hosts(List<org.larkkeel.store.HostEntry> list) {
+  /** Converts the platform's host list to entries of the peer node. */
+  static ImmutableList<HostEntry> hostEntries(List<org.larkkeel.store.HostEntry> list) {
     return list.stream()
         .map(
             h ->
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerSecret.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerSecret.java
@@ -11,17 +11,17 @@
 import java.nio.file.Path;
 import org.larkkeel.peer.transport.DatagramKey;
 
-/** Reads the secret that peers share. Stateless and safe for use by several threads. */
+/** Reads the shared secret of the peers. Stateless and safe for use by several threads. */
 final class PeerSecret {
   private static final int KEY_ID = 1;
 
   private PeerSecret() {}
 
   /**
-   * Reads the key.
+   * Reads the secret as a key for datagrams.
    *
-   * @throws IOException if the file can not be read
-   * @throws IllegalArgumentException if it is too short
+   * @throws IOException if the file cannot be read
+   * @throws IllegalArgumentException if the secret is too short
    */
   static DatagramKey read(Path file) throws IOException {
     return new DatagramKey(KEY_ID, Files.readAllBytes(file));
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PemTls.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PemTls.java
@@ -32,7 +32,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes TLS contexts from PEM files, which are only read.
+ * Creates TLS contexts from PEM files.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -49,12 +49,13 @@
   private PemTls() {}
 
   /**
-   * Reads the files.
+   * Creates a context from the files of a listener, which are read and never written.
    *
    * @param files the paths
-   * @return a context with the certificate, and with the authority's if there is one
-   * @throws IllegalArgumentException if a file is not what it should be; it names the file
-   * @throws UncheckedIOException if a file can not be read
+   * @return a context with the node's certificate; it trusts the authority's certificates if there
+   *     are any, else those of the platform
+   * @throws IllegalArgumentException if a file has invalid content; the message names the file
+   * @throws UncheckedIOException if a file cannot be read
    */
   public static SSLContext context(TlsFiles files) {
     try {
@@ -65,7 +66,12 @@
       return context;
     } catch (GeneralSecurityException e) {
       throw new IllegalArgumentException(
-          files.certificate() + " with " + files.key() + " can not be used: " + e.getMessage(), e);
+          files.certificate()
+              + " with "
+              + files.key()
+              + " cannot be used for TLS: "
+              + e.getMessage(),
+          e);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -104,7 +110,8 @@
     Collection<? extends Certificate> found =
         factory.generateCertificates(new ByteArrayInputStream(Files.readAllBytes(file)));
     if (found.isEmpty()) {
-      throw new IllegalArgumentException(file + " has no certificate: write PEM");
+      throw new IllegalArgumentException(
+          file + " contains no certificate: use a PEM file with at least one");
     }
     return found;
   }
@@ -115,7 +122,7 @@
     int end = text.indexOf(END_KEY);
     if (begin < 0 || end < begin) {
       throw new IllegalArgumentException(
-          file + " has no unencrypted PKCS #8 key: write PEM that begins with " + BEGIN_KEY);
+          file + " contains no unencrypted PKCS #8 key: use a PEM file with " + BEGIN_KEY);
     }
     byte[] der = Base64.getMimeDecoder().decode(text.substring(begin + BEGIN_KEY.length(), end));
     PKCS8EncodedKeySpec spec = new PKCS8EncodedKeySpec(der);
@@ -127,6 +134,8 @@
       }
     }
     throw new IllegalArgumentException(
-        file + " has a key of another kind: use " + String.join(", ", KEY_ALGORITHMS));
+        file
+            + " has a key of an unsupported algorithm: use one of "
+            + String.join(", ", KEY_ALGORITHMS));
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Readiness.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Readiness.java
@@ -12,60 +12,61 @@
 import org.larkkeel.http.operator.NodeStatus.StoreState;
 
 /**
- * Whether the node takes requests.
+ * Decides whether the node accepts requests.
  *
- * <p>A node that reaches the store or a peer is not cut off; while the store alone is down it keeps
- * serving. Safe for use by several threads.
+ * <p>A node that reaches neither the store nor a peer for a time counts as partitioned and turns
+ * unready. While only the store is down it stays ready. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Readiness {
-  private final BooleanSupplier configured;
+  private final BooleanSupplier hasConfiguration;
   private final BooleanSupplier peersReachable;
   private final LongSupplier clock;
-  private final long cutOffNanos;
-  private volatile long lastContact;
+  private final long partitionTimeoutNanos;
+  private volatile long lastContactNanos;
   private volatile boolean storeReachable = true;
   private volatile boolean draining;
 
   /**
-   * Creates the readiness of a node that starts.
+   * Creates the readiness of a starting node.
    *
-   * @param configured whether a configuration is in force
-   * @param peersReachable whether another node answers
+   * @param hasConfiguration whether a configuration is in force
+   * @param peersReachable whether another node is reachable
    * @param clock the node's monotonic clock, nanoseconds
-   * @param cutOffNanos how long a node may reach nobody
+   * @param partitionTimeoutNanos the time without contact to the store or a peer after which the
+   *     node turns unready, nanoseconds
    */
   public Readiness(
-      BooleanSupplier configured,
+      BooleanSupplier hasConfiguration,
       BooleanSupplier peersReachable,
       LongSupplier clock,
-      long cutOffNanos) {
-    this.configured = configured;
+      long partitionTimeoutNanos) {
+    this.hasConfiguration = hasConfiguration;
     this.peersReachable = peersReachable;
     this.clock = clock;
-    this.cutOffNanos = cutOffNanos;
-    this.lastContact = clock.getAsLong();
+    this.partitionTimeoutNanos = partitionTimeoutNanos;
+    this.lastContactNanos = clock.getAsLong();
   }
 
-  /** The store answered. */
+  /** Records that the store answered. */
   public void storeAnswered() {
     storeReachable = true;
-    lastContact = clock.getAsLong();
+    lastContactNanos = clock.getAsLong();
   }
 
-  /** The store did not answer. */
-  public void storeSilent() {
+  /** Records that the store did not answer. */
+  public void storeUnreachable() {
     storeReachable = false;
   }
 
-  /** The node is to stop; it does not become ready again. */
+  /** Marks the node as draining; it does not become ready again. */
   public void drain() {
     draining = true;
   }
 
   /**
-   * Whether the store answered last.
+   * Returns whether the store answered the last call.
    *
    * @return the state
    */
@@ -74,34 +75,34 @@
   }
 
   /**
-   * How long nobody was in reach.
+   * Returns the time since the last contact with the store or a peer.
    *
-   * @return nanoseconds since the last sign of the store or of a peer
+   * @return the time in nanoseconds
    */
-  public long silentNanos() {
+  public long nanosSinceContact() {
     if (peersReachable.getAsBoolean()) {
-      lastContact = clock.getAsLong();
+      lastContactNanos = clock.getAsLong();
     }
-    return clock.getAsLong() - lastContact;
+    return clock.getAsLong() - lastContactNanos;
   }
 
   /**
-   * Tells whether the node takes requests.
+   * Returns the phase of the node.
    *
-   * @return the phase
+   * @return the phase, never null
    */
   public Phase phase() {
     if (draining) {
       return Phase.DRAINING;
     }
-    if (silentNanos() >= cutOffNanos) {
+    if (nanosSinceContact() >= partitionTimeoutNanos) {
       return Phase.UNREADY;
     }
-    return configured.getAsBoolean() ? Phase.READY : Phase.STARTING;
+    return hasConfiguration.getAsBoolean() ? Phase.READY : Phase.STARTING;
   }
 
   /**
-   * Tells whether the node takes requests.
+   * Returns whether the node accepts requests.
    *
    * @return true if it is ready
    */
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Reducer.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Reducer.java
@@ -10,7 +10,7 @@
 import org.larkkeel.event.Event;
 
 /**
- * The step from one event to its effects, as the router makes it.
+ * Applies an event to the state of the router and decides the effects.
  *
  * <p>Called on one thread only.
  *
@@ -21,8 +21,8 @@
   /**
    * Applies one event.
    *
-   * @param event the event; its time is not before that of the event applied last
-   * @param effects takes the effects in order
+   * @param event the event; its time is not before that of the previous event
+   * @param effects receives the effects in order
    */
   void apply(Event event, EffectSink effects);
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/ReducerLoop.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/ReducerLoop.java
@@ -30,41 +30,43 @@
 /**
  * Runs the reducer over all events on one thread.
  *
- * <p>Events wait in a bounded ring. A request that arrives while the ring is nearly full is handed
- * to the overflow handler; every other event waits for room, so that no outcome is lost. An event
- * that is published on the loop's own thread, by an effect that fails at once, is applied next,
- * without the ring, so that the loop never waits for itself.
+ * <p>Events are queued in a bounded ring buffer. A request that arrives while the ring is nearly
+ * full is passed to the overflow handler; the publisher of any other event waits for free space, so
+ * that no outcome is lost. An event that an effect publishes on the loop's own thread, because it
+ * fails immediately, bypasses the ring and is applied next, so that the loop never waits for
+ * itself.
  *
- * <p>Invariants: events are applied one at a time; their times never decrease; effects are executed
- * in the order decided, before the next event. Safe for use by several threads.
+ * <p>Invariants: events are applied one at a time; their times never decrease; the effects of an
+ * event are executed in the order decided, before the next event. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class ReducerLoop implements AutoCloseable {
-  /** The share of the ring, one in this many, that is kept free of arriving requests. */
-  private static final int RESERVED_SHARE = 4;
+  /** One entry in this many is reserved for events other than arriving requests. */
+  private static final int RESERVED_DIVISOR = 4;
 
   private static final long CLOSE_TIMEOUT_SECONDS = 5;
-  private static final long FULL_PAUSE_NANOS = 50_000;
+  private static final long FULL_RING_PARK_NANOS = 50_000;
   private static final Logger log = LoggerFactory.getLogger(ReducerLoop.class);
-  private static final EventTranslatorOneArg<Slot, Event> EVENT = (slot, seq, e) -> slot.event = e;
-  private static final EventTranslatorOneArg<Slot, Runnable> QUERY =
-      (slot, seq, q) -> slot.query = q;
+  private static final EventTranslatorOneArg<RingEntry, Event> EVENT_TRANSLATOR =
+      (entry, seq, e) -> entry.event = e;
+  private static final EventTranslatorOneArg<RingEntry, Runnable> QUERY_TRANSLATOR =
+      (entry, seq, q) -> entry.query = q;
 
   private final Reducer reducer;
   private final EffectSink effects;
   private final Consumer<Event.RequestArrived> overflow;
-  private final Disruptor<Slot> disruptor;
-  private final RingBuffer<Slot> ring;
-  private final long reserved;
-  private final Deque<Event> own = new ArrayDeque<>();
+  private final Disruptor<RingEntry> disruptor;
+  private final RingBuffer<RingEntry> ring;
+  private final long reservedEntries;
+  private final Deque<Event> ownEvents = new ArrayDeque<>();
   private volatile Thread thread;
   private volatile boolean closed;
-  private boolean timed;
-  private long last;
+  private boolean hasLastTime;
+  private long lastTime;
 
-  /** One place of the ring: an event or a query. */
-  private static final class Slot {
+  /** An entry of the ring buffer: an event or a query. */
+  private static final class RingEntry {
     private Event event;
     private Runnable query;
   }
@@ -73,10 +75,11 @@
    * Creates a loop that does not run yet.
    *
    * @param name the name of its thread
-   * @param size the number of events that may wait, a power of 2
+   * @param size the capacity of the ring buffer in events, a power of 2
    * @param reducer the reducer
-   * @param effects executes effects on the loop's thread; must neither block nor throw
-   * @param overflow takes requests that found no room, on the thread that published them
+   * @param effects executes effects, on the loop's thread; must neither block nor throw
+   * @param overflow receives the requests that the ring has no space for, on the thread that
+   *     published them
    */
   public ReducerLoop(
       String name,
@@ -87,16 +90,16 @@
     this.reducer = reducer;
     this.effects = effects;
     this.overflow = overflow;
-    this.reserved = size / RESERVED_SHARE;
+    this.reservedEntries = size / RESERVED_DIVISOR;
     this.disruptor =
         new Disruptor<>(
-            Slot::new,
+            RingEntry::new,
             size,
             task -> newThread(name, task),
             ProducerType.MULTI,
             new BlockingWaitStrategy());
-    this.disruptor.setDefaultExceptionHandler(new Failures());
-    this.disruptor.handleEventsWith((slot, sequence, endOfBatch) -> consume(slot));
+    this.disruptor.setDefaultExceptionHandler(new FailureLogger());
+    this.disruptor.handleEventsWith((entry, sequence, endOfBatch) -> consume(entry));
     this.ring = disruptor.getRingBuffer();
   }
 
@@ -107,14 +110,14 @@
     return created;
   }
 
-  /** Starts the loop; events published before are applied first. */
+  /** Starts the loop; events that were published earlier are applied first. */
   public void start() {
     disruptor.start();
   }
 
   /**
-   * Publishes an event. Waits for room, unless it is a request that arrives or the calling thread
-   * is the loop's own. After the loop is closed events are dropped.
+   * Publishes an event. Blocks while the ring is full, unless the event is an arriving request or
+   * the calling thread is the loop's own. Events published after the loop was closed are dropped.
    *
    * @param event the event, never null
    */
@@ -123,7 +126,7 @@
       return;
     }
     if (Thread.currentThread() == thread) {
-      own.add(event);
+      ownEvents.add(event);
     } else if (event instanceof Event.RequestArrived arrived) {
       publishArrival(arrived);
     } else {
@@ -132,17 +135,17 @@
   }
 
   private void publishOutcome(Event event) {
-    while (!ring.tryPublishEvent(EVENT, event)) {
+    while (!ring.tryPublishEvent(EVENT_TRANSLATOR, event)) {
       if (closed) {
         return;
       }
-      LockSupport.parkNanos(FULL_PAUSE_NANOS);
+      LockSupport.parkNanos(FULL_RING_PARK_NANOS);
     }
   }
 
   private void publishArrival(Event.RequestArrived arrived) {
-    boolean room = ring.remainingCapacity() > reserved;
-    if (!room || !ring.tryPublishEvent(EVENT, arrived)) {
+    boolean hasSpace = ring.remainingCapacity() > reservedEntries;
+    if (!hasSpace || !ring.tryPublishEvent(EVENT_TRANSLATOR, arrived)) {
       overflow.accept(arrived);
     }
   }
@@ -150,22 +153,24 @@
   /**
    * Reads the state of the reducer between two events.
    *
-   * @param query reads on the loop's thread; must not change anything
+   * @param query runs on the loop's thread; must not change the state
    * @param <T> the type of the result
-   * @return what was read; fails with {@link ErrorKind#NOT_READY} if the loop is closed or full
+   * @return the result; fails with {@link ErrorKind#NOT_READY} if the loop is closed or the ring is
+   *     full
    */
   public <T> CompletableFuture<T> query(Supplier<T> query) {
     CompletableFuture<T> result = new CompletableFuture<>();
     if (Thread.currentThread() == thread) {
-      answer(query, result);
-    } else if (closed || !ring.tryPublishEvent(QUERY, () -> answer(query, result))) {
+      completeQuery(query, result);
+    } else if (closed
+        || !ring.tryPublishEvent(QUERY_TRANSLATOR, () -> completeQuery(query, result))) {
       result.completeExceptionally(
           new LarkkeelException(ErrorKind.NOT_READY, "The node is too busy or stops."));
     }
     return result;
   }
 
-  private static <T> void answer(Supplier<T> query, CompletableFuture<T> result) {
+  private static <T> void completeQuery(Supplier<T> query, CompletableFuture<T> result) {
     try {
       result.complete(query.get());
     } catch (RuntimeException e) {
@@ -174,34 +179,34 @@
   }
 
   /**
-   * Counts the events that wait.
+   * Returns the number of events and queries in the ring buffer.
    *
-   * @return events in the ring
+   * @return the number of used entries
    */
-  public long waiting() {
+  public long queuedEvents() {
     return ring.getBufferSize() - ring.remainingCapacity();
   }
 
-  private void consume(Slot slot) {
-    Event event = slot.event;
-    Runnable query = slot.query;
-    slot.event = null;
-    slot.query = null;
+  private void consume(RingEntry entry) {
+    Event event = entry.event;
+    Runnable query = entry.query;
+    entry.event = null;
+    entry.query = null;
     if (query != null) {
       query.run();
     }
     if (event != null) {
       apply(event);
     }
-    for (Event next = own.poll(); next != null; next = own.poll()) {
+    for (Event next = ownEvents.poll(); next != null; next = ownEvents.poll()) {
       apply(next);
     }
   }
 
   private void apply(Event event) {
-    Event inOrder = timed ? EventTimes.notBefore(event, last) : event;
-    timed = true;
-    last = inOrder.at();
+    Event inOrder = hasLastTime ? EventTimes.notBefore(event, lastTime) : event;
+    hasLastTime = true;
+    lastTime = inOrder.at();
     try {
       reducer.apply(inOrder, effects);
     } catch (RuntimeException e) {
@@ -209,13 +214,13 @@
     }
   }
 
-  /** Ends the thread without applying what waits, as a crash would. */
+  /** Ends the thread without applying the queued events, as a crash would. */
   void abort() {
     closed = true;
     disruptor.halt();
   }
 
-  /** Applies what waits, for a bounded time, and ends the thread. */
+  /** Applies the queued events for a bounded time, then ends the thread. */
   @Override
   public void close() {
     if (closed) {
@@ -225,15 +230,15 @@
     try {
       disruptor.shutdown(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (TimeoutException e) {
-      log.warn("event=loop_closed_early waiting={}", waiting());
+      log.warn("event=loop_closed_early waiting={}", queuedEvents());
       disruptor.halt();
     }
   }
 
-  /** Logs what escapes the reducer and the queries; the loop goes on. */
-  private static final class Failures implements ExceptionHandler<Slot> {
+  /** Logs exceptions that the loop's own handling did not catch; the loop continues. */
+  private static final class FailureLogger implements ExceptionHandler<RingEntry> {
     @Override
-    public void handleEventException(Throwable e, long sequence, Slot slot) {
+    public void handleEventException(Throwable e, long sequence, RingEntry entry) {
       log.error("event=loop_failed sequence={}", sequence, e);
     }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunAdapter.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunAdapter.java
@@ -35,24 +35,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Claims and records at-most-once runs at whichever node owns the records.
+ * Claims and records at-most-once runs at the node that owns their records.
  *
- * <p>Invariants: {@code CLAIMED} is told only if the owner said that the claim of this very token
- * is durable; each effect brings exactly one event. A claim may be asked for again, since its token
- * names it. Safe for use by several threads.
+ * <p>Invariants: {@code CLAIMED} is published only after the owner confirmed that the claim with
+ * exactly this token is durable; each effect results in exactly one event. A claim is safe to
+ * retry, since its token identifies it. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class RunAdapter implements EffectSink {
   private static final Logger log = LoggerFactory.getLogger(RunAdapter.class);
-  private static final Duration CLAIM_PATIENCE = Duration.ofSeconds(3);
-  private static final Duration RECORD_PATIENCE = Duration.ofSeconds(10);
-  private static final Duration PAUSE = Duration.ofMillis(50);
+  private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(3);
+  private static final Duration RECORD_TIMEOUT = Duration.ofSeconds(10);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(50);
   private static final int MAX_ANSWER_BYTES = 32 << 10;
   private static final int SERVER_ERROR = 500;
   private static final String ANSWER_TYPE = "application/vnd.larkkeel.answer+json";
 
-  private final RunOwners records;
+  private final RunOwners runOwners;
   private final RequestTable table;
   private final WriterId self;
   private final Scheduler scheduler;
@@ -63,21 +63,22 @@
   /**
    * Creates an adapter.
    *
-   * @param records finds the owner of records and asks it
-   * @param table gives the answers to record and takes those recorded
-   * @param self this start of this node
-   * @param scheduler runs what is tried again
-   * @param events takes the outcomes
+   * @param runOwners sends claims and records to the owner
+   * @param table the requests in progress: holds the answers to record and receives recorded
+   *     answers
+   * @param self the incarnation of this node
+   * @param scheduler runs retries
+   * @param events receives the outcomes
    * @param clock the node's monotonic clock, nanoseconds
    */
   public RunAdapter(
-      RunOwners records,
+      RunOwners runOwners,
       RequestTable table,
       WriterId self,
       Scheduler scheduler,
       Consumer<Event> events,
       LongSupplier clock) {
-    this.records = records;
+    this.runOwners = runOwners;
     this.table = table;
     this.self = self;
     this.scheduler = scheduler;
@@ -90,7 +91,8 @@
     switch (effect) {
       case Effect.ClaimRun claim -> claim(claim);
       case Effect.RecordRun end -> record(end);
-      default -> throw new IllegalArgumentException("not an effect of the run log: " + effect);
+      default ->
+          throw new IllegalArgumentException("expected ClaimRun or RecordRun, not " + effect);
     }
   }
 
@@ -100,40 +102,45 @@
     tokens.put(effect.request(), token);
     String digest = Long.toHexString(effect.key().bodyDigest());
     tryClaim(
-        effect, new ClaimRequest(key, digest, token), clock.getAsLong() + CLAIM_PATIENCE.toNanos());
+        effect, new ClaimRequest(key, digest, token), clock.getAsLong() + CLAIM_TIMEOUT.toNanos());
   }
 
-  private void tryClaim(Effect.ClaimRun effect, ClaimRequest request, long end) {
+  private void tryClaim(Effect.ClaimRun effect, ClaimRequest request, long deadlineNanos) {
     CompletableFuture<?> unused =
-        records
+        runOwners
             .claim(request)
             .handle((result, failure) -> failure == null ? result : new ClaimResult.Unavailable())
-            .thenAccept(result -> claimed(effect, request, end, result));
+            .thenAccept(result -> onClaimResult(effect, request, deadlineNanos, result));
   }
 
-  private void claimed(Effect.ClaimRun effect, ClaimRequest request, long end, ClaimResult result) {
-    boolean again =
+  private void onClaimResult(
+      Effect.ClaimRun effect, ClaimRequest request, long deadlineNanos, ClaimResult result) {
+    boolean isRetryable =
         result instanceof ClaimResult.Unavailable || result instanceof ClaimResult.NotOwner;
-    if (again && clock.getAsLong() - end < 0) {
-      scheduler.schedule(PAUSE, () -> tryClaim(effect, request, end));
+    if (isRetryable && clock.getAsLong() - deadlineNanos < 0) {
+      scheduler.schedule(RETRY_DELAY, () -> tryClaim(effect, request, deadlineNanos));
       return;
     }
-    if (again) {
-      giveBack(request);
+    if (isRetryable) {
+      releaseClaim(request);
     }
-    settle(effect, outcome(effect.request(), result));
+    publishClaimOutcome(effect, outcome(effect.request(), result));
   }
 
-  /** An answer may have been lost, so the claim may be there; nothing was sent under it. */
-  private void giveBack(ClaimRequest request) {
-    long end = clock.getAsLong() + RECORD_PATIENCE.toNanos();
-    var unused = recordUntil(request.key(), request.token(), new RunOutcome.NotRun(), end);
+  /**
+   * Records an abandoned claim as not run. The claim may be durable, as only its answer may have
+   * been lost, but no request was sent under it.
+   */
+  private void releaseClaim(ClaimRequest request) {
+    long deadlineNanos = clock.getAsLong() + RECORD_TIMEOUT.toNanos();
+    var unused =
+        recordUntil(request.key(), request.token(), new RunOutcome.NotRun(), deadlineNanos);
   }
 
   private ClaimOutcome outcome(RequestId request, ClaimResult result) {
     return switch (result) {
       case ClaimResult.Claimed r -> ClaimOutcome.CLAIMED;
-      case ClaimResult.AlreadyDone r -> alreadyDone(request, r);
+      case ClaimResult.AlreadyDone r -> alreadyDoneOutcome(request, r);
       case ClaimResult.InProgress r -> ClaimOutcome.IN_PROGRESS;
       case ClaimResult.Unknown r -> ClaimOutcome.UNKNOWN;
       case ClaimResult.KeyReused r -> ClaimOutcome.KEY_REUSED;
@@ -142,8 +149,10 @@
     };
   }
 
-  /** Without its answer a run that is done can not be told from one with an unknown outcome. */
-  private ClaimOutcome alreadyDone(RequestId request, ClaimResult.AlreadyDone result) {
+  /**
+   * Keeps the recorded answer for replay; a done run without it counts as one of unknown outcome.
+   */
+  private ClaimOutcome alreadyDoneOutcome(RequestId request, ClaimResult.AlreadyDone result) {
     try {
       if (result.answer().isPresent()) {
         table.keepRecorded(request, RecordedAnswer.fromBytes(result.answer().get().body()));
@@ -155,7 +164,7 @@
     return ClaimOutcome.UNKNOWN;
   }
 
-  private void settle(Effect.ClaimRun effect, ClaimOutcome outcome) {
+  private void publishClaimOutcome(Effect.ClaimRun effect, ClaimOutcome outcome) {
     if (outcome != ClaimOutcome.CLAIMED) {
       tokens.remove(effect.request());
     }
@@ -165,26 +174,26 @@
   private void record(Effect.RecordRun effect) {
     RunToken token = tokens.remove(effect.request());
     if (token == null) {
-      recorded(effect.attempt(), RecordResult.NO_SUCH_RUN);
+      onRecordResult(effect.attempt(), RecordResult.NO_SUCH_RUN);
       return;
     }
     RunId key = new RunId(effect.workspace(), effect.key().key());
-    long end = clock.getAsLong() + RECORD_PATIENCE.toNanos();
+    long deadlineNanos = clock.getAsLong() + RECORD_TIMEOUT.toNanos();
     CompletableFuture<?> unused =
-        recordUntil(key, token, runOutcome(effect), end)
-            .thenAccept(result -> recorded(effect.attempt(), result));
+        recordUntil(key, token, runOutcome(effect), deadlineNanos)
+            .thenAccept(result -> onRecordResult(effect.attempt(), result));
   }
 
   private RunOutcome runOutcome(Effect.RecordRun effect) {
     return switch (effect.result()) {
-      case DONE -> answered(effect);
+      case DONE -> answeredOutcome(effect);
       case NOT_RUN -> new RunOutcome.NotRun();
       case UNKNOWN -> new RunOutcome.Unknown();
     };
   }
 
-  /** An answer that is too large to keep leaves the run as one that is never run again. */
-  private RunOutcome answered(Effect.RecordRun effect) {
+  /** An answer too large to record is recorded as an unknown outcome, so it is never run again. */
+  private RunOutcome answeredOutcome(Effect.RecordRun effect) {
     Optional<byte[]> answer =
         table.answer(effect.request(), effect.attempt()).map(RecordedAnswer::toBytes);
     return answer
@@ -197,29 +206,30 @@
   }
 
   private CompletableFuture<RecordResult> recordUntil(
-      RunId key, RunToken token, RunOutcome outcome, long end) {
-    return records
+      RunId key, RunToken token, RunOutcome outcome, long deadlineNanos) {
+    return runOwners
         .record(key, token, outcome)
         .handle((result, failure) -> failure == null ? result : RecordResult.UNAVAILABLE)
-        .thenCompose(result -> recordAgain(key, token, outcome, end, result));
+        .thenCompose(result -> retryRecord(key, token, outcome, deadlineNanos, result));
   }
 
-  private CompletableFuture<RecordResult> recordAgain(
-      RunId key, RunToken token, RunOutcome outcome, long end, RecordResult result) {
-    boolean again = result == RecordResult.UNAVAILABLE || result == RecordResult.NOT_OWNER;
-    if (!again || clock.getAsLong() - end >= 0) {
+  private CompletableFuture<RecordResult> retryRecord(
+      RunId key, RunToken token, RunOutcome outcome, long deadlineNanos, RecordResult result) {
+    boolean isRetryable = result == RecordResult.UNAVAILABLE || result == RecordResult.NOT_OWNER;
+    if (!isRetryable || clock.getAsLong() - deadlineNanos >= 0) {
       return CompletableFuture.completedFuture(result);
     }
-    CompletableFuture<RecordResult> later = new CompletableFuture<>();
+    CompletableFuture<RecordResult> retried = new CompletableFuture<>();
     scheduler.schedule(
-        PAUSE,
+        RETRY_DELAY,
         () -> {
-          var unused = recordUntil(key, token, outcome, end).thenAccept(later::complete);
+          var unused =
+              recordUntil(key, token, outcome, deadlineNanos).thenAccept(retried::complete);
         });
-    return later;
+    return retried;
   }
 
-  private void recorded(AttemptId attempt, RecordResult result) {
+  private void onRecordResult(AttemptId attempt, RecordResult result) {
     RecordOutcome outcome =
         result == RecordResult.RECORDED ? RecordOutcome.RECORDED : RecordOutcome.FAILED;
     if (outcome == RecordOutcome.FAILED) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunMessages.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunMessages.java
@@ -26,8 +26,8 @@
 import org.larkkeel.store.run.RunToken;
 
 /**
- * Translates between the run log and the messages of peers. Stateless and safe for use by several
- * threads.
+ * Converts between the types of the run log and the messages of peers. Stateless and safe for use
+ * by several threads.
  */
 final class RunMessages {
   private RunMessages() {}
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Reads a claim.
+   * Converts a claim.
    *
-   * @throws IllegalArgumentException if a part is malformed
+   * @throws IllegalArgumentException if a field is malformed
    */
   static ClaimRequest claim(WireRunClaim wire) {
     return new ClaimRequest(
@@ -92,14 +92,14 @@
   static WireRunRecord record(RunId key, RunToken token, RunOutcome outcome) {
     WireRunRecord wire =
         new WireRunRecord(
-            key.workspace().value(), key.key().value(), token.toString(), end(outcome));
+            key.workspace().value(), key.key().value(), token.toString(), wireEnd(outcome));
     if (outcome instanceof RunOutcome.Answered answered) {
       wire.setAnswer(answer(answered.answer()));
     }
     return wire;
   }
 
-  private static WireRunEnd end(RunOutcome outcome) {
+  private static WireRunEnd wireEnd(RunOutcome outcome) {
     return switch (outcome) {
       case RunOutcome.Answered o -> WireRunEnd.ANSWERED;
       case RunOutcome.NotRun o -> WireRunEnd.NOT_RUN;
@@ -112,7 +112,7 @@
   }
 
   /**
-   * Reads how a run ended.
+   * Converts the outcome of a run.
    *
    * @throws IllegalArgumentException if the answer is missing
    */
@@ -120,7 +120,7 @@
     return switch (wire.getOutcome()) {
       case ANSWERED -> {
         if (wire.getAnswer() == null) {
-          throw new IllegalArgumentException("a run that was answered comes without its answer");
+          throw new IllegalArgumentException("the record of an answered run has no answer");
         }
         yield new RunOutcome.Answered(answer(wire.getAnswer()));
       }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunOwners.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunOwners.java
@@ -15,10 +15,11 @@
 import org.larkkeel.store.run.RunToken;
 
 /**
- * The run records of all nodes, each asked at its owner.
+ * The run records of all nodes; each call is sent to the node that owns the record.
  *
- * <p>Calls may be repeated: a token names its attempt. A future that fails tells nothing of what
- * the owner did. Implementations are safe for use by several threads and do not block.
+ * <p>Calls are safe to retry, since the token identifies the attempt. A failed future does not
+ * reveal whether the owner carried out the call. Implementations are safe for use by several
+ * threads and do not block.
  *
  * @since 0.1
  */
@@ -32,12 +33,12 @@
   CompletableFuture<ClaimResult> claim(ClaimRequest request);
 
   /**
-   * Records how an attempt ended.
+   * Records the outcome of an attempt.
    *
-   * @param key the key
-   * @param token the attempt
-   * @param outcome how it ended
-   * @return what became of it
+   * @param key the run
+   * @param token identifies the attempt that claimed the run
+   * @param outcome the outcome of the attempt
+   * @return the owner's answer
    */
   CompletableFuture<RecordResult> record(RunId key, RunToken token, RunOutcome outcome);
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunRecords.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunRecords.java
@@ -30,16 +30,18 @@
 import org.larkkeel.store.run.RunToken;
 
 /**
- * The run records of all nodes: those of this node, and those that peers own.
+ * The run records of all nodes: serves those that this node owns and forwards calls for others to
+ * the peers that own them.
  *
- * <p>The members are told to the run log again and again, since a shard that another node took by
- * mistake comes back only then. Safe for use by several threads.
+ * <p>The members are passed to the run log periodically, also when they have not changed, since
+ * only then does it take back a shard that another node took over by mistake. Safe for use by
+ * several threads.
  */
 final class RunRecords implements RunOwners, RunService, AutoCloseable {
-  private static final Duration ADJUST = Duration.ofMillis(250);
+  private static final Duration MEMBER_UPDATE_INTERVAL = Duration.ofMillis(250);
 
-  /** A node that nobody has answered by then is taken to be alone. */
-  private static final Duration JOIN_PATIENCE = Duration.ofMillis(1_500);
+  /** A node that no peer has answered within this time considers itself the only one. */
+  private static final Duration JOIN_TIMEOUT = Duration.ofMillis(1_500);
 
   private final HostName self;
   private final RunLog log;
@@ -53,22 +55,22 @@
     this.scheduler = scheduler;
   }
 
-  /** Begins to own records and to ask peers. */
+  /** Starts to own records and to call peers. */
   void start(PeerNode node) {
     peers = Optional.of(node);
-    long alone = scheduler.nanoTime() + JOIN_PATIENCE.toNanos();
-    scheduler.schedule(ADJUST, () -> adjust(node, alone));
+    long joinDeadlineNanos = scheduler.nanoTime() + JOIN_TIMEOUT.toNanos();
+    scheduler.schedule(MEMBER_UPDATE_INTERVAL, () -> updateMembers(node, joinDeadlineNanos));
   }
 
-  private void adjust(PeerNode node, long alone) {
+  private void updateMembers(PeerNode node, long joinDeadlineNanos) {
     if (closed) {
       return;
     }
     PeerView view = node.view();
-    if (view.joined() || scheduler.nanoTime() - alone >= 0) {
+    if (view.joined() || scheduler.nanoTime() - joinDeadlineNanos >= 0) {
       log.setMembers(ImmutableSet.copyOf(view.owners()));
     }
-    scheduler.schedule(ADJUST, () -> adjust(node, alone));
+    scheduler.schedule(MEMBER_UPDATE_INTERVAL, () -> updateMembers(node, joinDeadlineNanos));
   }
 
   @Override
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Shutdown.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Shutdown.java
@@ -13,10 +13,11 @@
 import sun.misc.Signal;
 
 /**
- * Stops a daemon by signals: the first SIGTERM or SIGINT drains it, a second one hurries.
+ * Stops a daemon on signals: the first SIGTERM or SIGINT starts a drain, a second one ends it
+ * immediately.
  *
- * <p>The JVM's own shutdown hooks run once and can not tell a second signal, so the signals are
- * handled here. Safe for use by several threads.
+ * <p>Signal handlers are used because the JVM's shutdown hooks run only once and cannot detect a
+ * second signal. Safe for use by several threads.
  */
 final class Shutdown {
   private static final Logger log = LoggerFactory.getLogger(Shutdown.class);
@@ -30,12 +31,12 @@
     this.daemon = daemon;
   }
 
-  /** Waits for a signal or for an operator's drain, and returns the exit status. */
+  /** Waits for the end of a drain, started by a signal or an operator; returns the exit status. */
   int awaitEnd() {
     for (String name : SIGNALS) {
-      Signal.handle(new Signal(name), signal -> signalled(signal.getName()));
+      Signal.handle(new Signal(name), signal -> onSignal(signal.getName()));
     }
-    var unused = daemon.drained().thenRun(drained::countDown);
+    var unused = daemon.whenDrained().thenRun(drained::countDown);
     try {
       drained.await();
       daemon.close();
@@ -49,12 +50,12 @@
     }
   }
 
-  private void signalled(String name) {
+  private void onSignal(String name) {
     log.info("event=signal name={}", name);
     if (signals.incrementAndGet() == 1) {
       var unused = daemon.drain();
     } else {
-      daemon.hurry();
+      daemon.finishDrainNow();
     }
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/SlotGrants.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/SlotGrants.java
@@ -22,44 +22,44 @@
 import org.larkkeel.peer.SlotLease;
 
 /**
- * Holds slot leases of other nodes' upstreams for the router, as many as it wants.
+ * Holds the slot leases that the router requests, obtained from the nodes that own the upstreams.
  *
- * <p>Invariant: the grant told to the router is never above the number of leases held. A grant ends
- * by itself soon after the router's last want, so that a router whose owner is silent falls back to
- * its equal share. Safe for use by several threads.
+ * <p>Invariant: a grant to the router never exceeds the number of leases held. A grant expires soon
+ * after the router's last request, so that a router falls back to its equal share of the slots if
+ * the owner is unresponsive. Safe for use by several threads.
  *
  * @since 0.1
  */
 final class SlotGrants implements EffectSink {
-  private static final Duration PATIENCE = Duration.ofSeconds(1);
-  private static final long VALID_NANOS = Duration.ofSeconds(2).toNanos();
+  private static final Duration ACQUIRE_TIMEOUT = Duration.ofSeconds(1);
+  private static final long GRANT_VALIDITY_NANOS = Duration.ofSeconds(2).toNanos();
   private static final int PRIORITY = 0;
 
-  /** Leases slots from their owners. */
-  interface Leases {
-    /** Asks for one slot; fails if none came free in time. */
-    CompletableFuture<SlotLease> acquire(String key, int priority, Duration patience);
+  /** Acquires slot leases from the owners of upstreams. */
+  interface LeaseClient {
+    /** Acquires one slot; the future fails if no slot becomes free before the timeout. */
+    CompletableFuture<SlotLease> acquire(String key, int priority, Duration timeout);
 
-    /** Gives a slot back. */
+    /** Releases a slot. */
     void release(SlotLease lease);
 
-    /** Tells the owner, if this node is the owner, what the upstream has. */
+    /** Updates the slots and running requests of an upstream, if this node is its owner. */
     void updateCapacity(String key, int slots, int running);
   }
 
-  private static final class Holding {
+  private static final class UpstreamLeases {
     private final Deque<SlotLease> leases = new ArrayDeque<>();
     private int wanted;
-    private int asked;
+    private int pending;
   }
 
-  private final Leases leases;
+  private final LeaseClient leaseClient;
   private final Consumer<Event> events;
   private final LongSupplier clock;
-  private final Map<UpstreamName, Holding> holdings = new HashMap<>();
+  private final Map<UpstreamName, UpstreamLeases> leasesByUpstream = new HashMap<>();
 
-  SlotGrants(Leases leases, Consumer<Event> events, LongSupplier clock) {
-    this.leases = leases;
+  SlotGrants(LeaseClient leaseClient, Consumer<Event> events, LongSupplier clock) {
+    this.leaseClient = leaseClient;
     this.events = events;
     this.clock = clock;
   }
@@ -67,55 +67,58 @@
   @Override
   public void accept(Effect effect) {
     if (effect instanceof Effect.WantSlots want) {
-      wanted(want.upstream(), want.wanted());
+      setWanted(want.upstream(), want.wanted());
     }
   }
 
-  /** Passes an upstream's report on to the owner of its slots. */
-  void reported(UpstreamName upstream, LoadReport report) {
-    leases.updateCapacity(upstream.value(), report.slots(), report.running() + report.waiting());
+  /** Updates the capacity of an upstream from its load report, if this node is its owner. */
+  void updateCapacity(UpstreamName upstream, LoadReport report) {
+    leaseClient.updateCapacity(
+        upstream.value(), report.slots(), report.running() + report.waiting());
   }
 
-  private synchronized void wanted(UpstreamName upstream, int wanted) {
-    Holding holding = holdings.computeIfAbsent(upstream, name -> new Holding());
-    holding.wanted = wanted;
-    while (holding.leases.size() > wanted) {
-      leases.release(holding.leases.removeLast());
+  private synchronized void setWanted(UpstreamName upstream, int wanted) {
+    UpstreamLeases held = leasesByUpstream.computeIfAbsent(upstream, name -> new UpstreamLeases());
+    held.wanted = wanted;
+    while (held.leases.size() > wanted) {
+      leaseClient.release(held.leases.removeLast());
     }
-    int missing = wanted - holding.leases.size() - holding.asked;
+    int missing = wanted - held.leases.size() - held.pending;
     for (int i = 0; i < missing; i++) {
-      ask(upstream, holding);
+      requestLease(upstream, held);
     }
-    if (!holding.leases.isEmpty()) {
-      tell(upstream, holding);
-    } else if (wanted == 0 && holding.asked == 0) {
-      holdings.remove(upstream);
+    if (!held.leases.isEmpty()) {
+      publishGrant(upstream, held);
+    } else if (wanted == 0 && held.pending == 0) {
+      leasesByUpstream.remove(upstream);
     }
   }
 
-  private void ask(UpstreamName upstream, Holding holding) {
-    holding.asked++;
+  private void requestLease(UpstreamName upstream, UpstreamLeases held) {
+    held.pending++;
     var unused =
-        leases
-            .acquire(upstream.value(), PRIORITY, PATIENCE)
-            .whenComplete((lease, failure) -> answered(upstream, holding, lease));
+        leaseClient
+            .acquire(upstream.value(), PRIORITY, ACQUIRE_TIMEOUT)
+            .whenComplete((lease, failure) -> onLeaseAnswer(upstream, held, lease));
   }
 
-  private synchronized void answered(UpstreamName upstream, Holding holding, SlotLease lease) {
-    holding.asked--;
+  private synchronized void onLeaseAnswer(
+      UpstreamName upstream, UpstreamLeases held, SlotLease lease) {
+    held.pending--;
     if (lease == null) {
       return;
     }
-    if (holding.leases.size() >= holding.wanted) {
-      leases.release(lease);
+    if (held.leases.size() >= held.wanted) {
+      leaseClient.release(lease);
       return;
     }
-    holding.leases.addLast(lease);
-    tell(upstream, holding);
+    held.leases.addLast(lease);
+    publishGrant(upstream, held);
   }
 
-  private void tell(UpstreamName upstream, Holding holding) {
+  private void publishGrant(UpstreamName upstream, UpstreamLeases held) {
     long now = clock.getAsLong();
-    events.accept(new Event.SlotsGranted(now, upstream, holding.leases.size(), now + VALID_NANOS));
+    events.accept(
+        new Event.SlotsGranted(now, upstream, held.leases.size(), now + GRANT_VALIDITY_NANOS));
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/StoreSide.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/StoreModule.java
@@ -43,22 +43,22 @@
 import org.xnio.ssl.XnioSsl;
 
 /**
- * Everything of a node that talks to the platform.
+ * The components of a node that use the platform's object API and weight store.
  *
  * <p>Safe for use by several threads.
  */
-final class StoreSide implements AutoCloseable {
+final class StoreModule implements AutoCloseable {
   private final Closer closer = new Closer();
   private final ObjectApi api;
-  private final Parts parts;
+  private final Dependencies dependencies;
   private final HttpWeightStore weights;
   private final HostList hosts;
   private final ConfigStore configurations;
   private final RunRecords runs;
   private volatile boolean closed;
 
-  /** What this side needs from the rest of the node. */
-  record Parts(
+  /** The components of the rest of the node that this module uses. */
+  record Dependencies(
       WriterId self,
       HttpWorker worker,
       Scheduler scheduler,
@@ -66,25 +66,31 @@
       Duration cutOff,
       Consumer<ImmutableList<HostEntry>> hosts,
       Consumer<Configuration> configuration,
-      Predicate<WriterId> alive) {}
+      Predicate<WriterId> isAlive) {}
 
-  StoreSide(Parts parts, PlatformSettings settings, long seed) {
-    this.parts = parts;
+  StoreModule(Dependencies dependencies, PlatformSettings settings, long seed) {
+    this.dependencies = dependencies;
     HttpObjectApi http =
         closer.add(
-            new HttpObjectApi(options(settings), parts.worker().worker(), parts.scheduler()));
+            new HttpObjectApi(
+                options(settings), dependencies.worker().worker(), dependencies.scheduler()));
     api =
         new BudgetedObjectApi(
-            new ObservedObjectApi(http, parts.readiness()),
+            new ObservedObjectApi(http, dependencies.readiness()),
             budget(settings),
-            parts.scheduler(),
+            dependencies.scheduler(),
             new SplittableRandom(seed));
     weights =
         closer.add(
-            new HttpWeightStore(options(settings), parts.worker().worker(), parts.scheduler()));
+            new HttpWeightStore(
+                options(settings), dependencies.worker().worker(), dependencies.scheduler()));
     hosts =
         closer.add(
-            new HostList(api, parts.scheduler(), new SplittableRandom(seed + 1), parts.hosts()));
+            new HostList(
+                api,
+                dependencies.scheduler(),
+                new SplittableRandom(seed + 1),
+                dependencies.hosts()));
     configurations = closer.add(newConfigurations(new SplittableRandom(seed + 2)));
     runs = closer.add(newRuns(new SplittableRandom(seed + 3)));
   }
@@ -94,25 +100,30 @@
         new ObjectLog(
             api,
             new LogName(ConfigStore.LOG_NAME),
-            parts.self(),
-            parts.scheduler(),
+            dependencies.self(),
+            dependencies.scheduler(),
             random,
             LogOptions.DEFAULT);
-    return new ConfigStore(log, parts.scheduler(), parts.configuration());
+    return new ConfigStore(log, dependencies.scheduler(), dependencies.configuration());
   }
 
   private RunRecords newRuns(SplittableRandom random) {
     RunLog log =
         new RunLog(
-            api, parts.self(), parts.scheduler(), random, RunLogOptions.DEFAULT, parts.alive());
-    return new RunRecords(parts.self().host(), log, parts.scheduler());
+            api,
+            dependencies.self(),
+            dependencies.scheduler(),
+            random,
+            RunLogOptions.DEFAULT,
+            dependencies.isAlive());
+    return new RunRecords(dependencies.self().host(), log, dependencies.scheduler());
   }
 
   void start(PeerNode peers) {
     hosts.start();
     configurations.start();
     runs.start(peers);
-    probeLater();
+    scheduleProbe();
   }
 
   ObjectApi api() {
@@ -132,48 +143,51 @@
   }
 
   private static HttpClientOptions options(PlatformSettings settings) {
-    HttpClientOptions usual = HttpClientOptions.of(settings.url());
+    HttpClientOptions defaults = HttpClientOptions.of(settings.url());
     return new HttpClientOptions(
         settings.url(),
         new TokenFile(settings.token()),
         settings.url().getScheme().equals("https") ? Optional.of(ssl()) : Optional.empty(),
-        usual.maxConnections(),
+        defaults.maxConnections(),
         settings.timeout(),
-        usual.maxBodyBytes());
+        defaults.maxBodyBytes());
   }
 
   private static XnioSsl ssl() {
     try {
       return new UndertowXnioSsl(Xnio.getInstance(), OptionMap.EMPTY, SSLContext.getDefault());
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has a default TLS context", e);
+      throw new IllegalStateException("the Java platform has no default TLS context", e);
     }
   }
 
   private static CallBudget budget(PlatformSettings settings) {
-    CallBudget usual = CallBudget.DEFAULT;
+    CallBudget defaults = CallBudget.DEFAULT;
     return new CallBudget(
         settings.readsPerSecond(),
         settings.writesPerSecond(),
-        usual.burst(),
-        usual.longestWait(),
-        usual.firstProbe(),
-        usual.longestProbe());
+        defaults.burst(),
+        defaults.longestWait(),
+        defaults.firstProbe(),
+        defaults.longestProbe());
   }
 
-  /** Asks the store for something small if nothing else has reached anybody for a while. */
+  /**
+   * Reads a small object from the store if the node has had no contact for a third of the cut-off
+   * time, so that an idle node does not turn unready.
+   */
   private void probe() {
     if (closed) {
       return;
     }
-    if (parts.readiness().silentNanos() > parts.cutOff().toNanos() / 3) {
-      var unused = api.get(new ObjectKey(HostList.COLLECTION, parts.self().host().value()));
+    if (dependencies.readiness().nanosSinceContact() > dependencies.cutOff().toNanos() / 3) {
+      var unused = api.get(new ObjectKey(HostList.COLLECTION, dependencies.self().host().value()));
     }
-    probeLater();
+    scheduleProbe();
   }
 
-  private void probeLater() {
-    parts.scheduler().schedule(parts.cutOff().dividedBy(6), this::probe);
+  private void scheduleProbe() {
+    dependencies.scheduler().schedule(dependencies.cutOff().dividedBy(6), this::probe);
   }
 
   @Override
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Timers.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Timers.java
@@ -16,7 +16,7 @@
 import org.larkkeel.event.Event;
 
 /**
- * Delivers {@code Ticked} at the times that the reducer asks for.
+ * Publishes {@code Ticked} events at the times that the reducer requests.
  *
  * <p>Safe for use by several threads.
  *
@@ -31,7 +31,7 @@
    * Starts the thread.
    *
    * @param name the name of the thread
-   * @param events takes the events
+   * @param events receives the events
    * @param clock the node's monotonic clock, nanoseconds
    */
   public Timers(String name, Consumer<Event> events, LongSupplier clock) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/TlsReload.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/TlsReload.java
@@ -20,10 +20,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes the certificates of a listener anew when a file changes.
+ * Reloads the certificate of a listener when the certificate or key file changes.
  *
- * <p>Files that can not be used leave the listener as it is, and are tried again. Safe for use by
- * several threads; its state is confined to the scheduler.
+ * <p>If the files are unusable, the listener keeps its certificate and the reload is retried after
+ * the next period. Safe for use by several threads; its state is confined to the scheduler.
  */
 final class TlsReload implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(TlsReload.class);
@@ -32,7 +32,7 @@
   private final Runnable reload;
   private final Scheduler scheduler;
   private final Duration period;
-  private Optional<List<FileTime>> loaded;
+  private Optional<List<FileTime>> loadedTimes;
   private volatile boolean closed;
 
   TlsReload(TlsFiles files, Runnable reload, Scheduler scheduler, Duration period) {
@@ -40,7 +40,7 @@
     this.reload = reload;
     this.scheduler = scheduler;
     this.period = period;
-    this.loaded = times();
+    this.loadedTimes = modificationTimes();
   }
 
   void start() {
@@ -51,24 +51,24 @@
     if (closed) {
       return;
     }
-    Optional<List<FileTime>> now = times();
-    if (now.isPresent() && !now.equals(loaded)) {
-      tryReload(now);
+    Optional<List<FileTime>> current = modificationTimes();
+    if (current.isPresent() && !current.equals(loadedTimes)) {
+      tryReload(current);
     }
     start();
   }
 
-  private void tryReload(Optional<List<FileTime>> now) {
+  private void tryReload(Optional<List<FileTime>> current) {
     try {
       reload.run();
-      loaded = now;
+      loadedTimes = current;
       log.info("event=certificate_reloaded file={}", files.certificate());
     } catch (IllegalArgumentException | UncheckedIOException e) {
       log.warn("event=certificate_refused cause=\"{}\"", e.getMessage());
     }
   }
 
-  private Optional<List<FileTime>> times() {
+  private Optional<List<FileTime>> modificationTimes() {
     try {
       FileTime certificate = Files.getLastModifiedTime(files.certificate());
       FileTime key = Files.getLastModifiedTime(files.key());
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/TokenFile.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/TokenFile.java
@@ -14,8 +14,8 @@
 import java.util.function.Supplier;
 
 /**
- * Reads a bearer token from a file each time, so that it may be replaced. Safe for use by several
- * threads.
+ * Supplies a bearer token that is read from its file on each call, so that the file may be
+ * replaced. Safe for use by several threads.
  */
 final class TokenFile implements Supplier<Optional<String>> {
   private final Optional<Path> file;
@@ -33,7 +33,7 @@
     try {
       return Files.readString(path).strip();
     } catch (IOException e) {
-      throw new UncheckedIOException("the token file " + path + " can not be read", e);
+      throw new UncheckedIOException("the token file " + path + " cannot be read", e);
     }
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/UpstreamSide.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/UpstreamModule.java
@@ -31,12 +31,12 @@
 import org.larkkeel.store.Scheduler;
 
 /**
- * Everything of a node that talks to upstreams.
+ * The components of a node that communicate with upstreams.
  *
  * <p>Safe for use by several threads.
  */
-final class UpstreamSide implements AutoCloseable {
-  private static final int IDLE_STRETCH = 8;
+final class UpstreamModule implements AutoCloseable {
+  private static final int IDLE_POLL_FACTOR = 8;
   private static final long SWEEP_TIMEOUT_NANOS = Duration.ofSeconds(2).toNanos();
 
   private final Closer closer = new Closer();
@@ -45,8 +45,8 @@
   private final UpstreamPoller poller;
   private final OrphanSweep sweep;
 
-  /** What this side needs from the rest of the node. */
-  record Parts(
+  /** The components of the rest of the node that this module uses. */
+  record Dependencies(
       EngineRequestId.Origin origin,
       RequestTable table,
       NodeConfiguration configuration,
@@ -55,44 +55,47 @@
       Consumer<Event> events,
       LongSupplier clock) {}
 
-  UpstreamSide(Parts parts, LimitSettings limits, long seed) {
+  UpstreamModule(Dependencies dependencies, LimitSettings limits, long seed) {
     UpstreamClient client =
         closer.add(
-            new UpstreamClient(parts.worker(), UpstreamClientSettings.DEFAULT, parts.clock()));
+            new UpstreamClient(
+                dependencies.worker(), UpstreamClientSettings.DEFAULT, dependencies.clock()));
     engines = new EngineClient(client);
     executor =
         new EffectExecutor(
-            parts.origin(),
-            parts.table(),
+            dependencies.origin(),
+            dependencies.table(),
             client,
-            parts.configuration(),
-            parts.events()::accept,
-            parts.clock());
+            dependencies.configuration(),
+            dependencies.events()::accept,
+            dependencies.clock());
     poller =
         closer.add(
             new UpstreamPoller(
                 engines,
                 pollSettings(limits),
                 (nanos, task) ->
-                    parts.scheduler().schedule(pollDelay(nanos, parts.table().size()), task),
-                parts.clock(),
+                    dependencies
+                        .scheduler()
+                        .schedule(pollDelay(nanos, dependencies.table().size()), task),
+                dependencies.clock(),
                 jitter(seed),
-                parts.events()));
+                dependencies.events()));
     sweep = new OrphanSweep(engines, SWEEP_TIMEOUT_NANOS);
   }
 
   /**
-   * The time to the next poll: a node without requests asks seldom, since its next request is
-   * placed by grants and its first answers bring the reports up to date.
+   * Returns the time to the next poll. A node without requests polls less often, since its next
+   * request is placed by granted slots and its first answers update the load reports.
    *
-   * @param nanos the time of a node with requests
-   * @param inProgress requests in progress at this node
+   * @param nanos the interval of a node with requests, nanoseconds
+   * @param inProgress the number of requests in progress at this node
    */
   static Duration pollDelay(long nanos, int inProgress) {
-    return Duration.ofNanos(inProgress == 0 ? IDLE_STRETCH * nanos : nanos);
+    return Duration.ofNanos(inProgress == 0 ? IDLE_POLL_FACTOR * nanos : nanos);
   }
 
-  /** Numbers from a seed, for pollers that share one scheduler thread. */
+  /** Returns a seeded random number source, synchronized for use by several threads. */
   private static java.util.function.DoubleSupplier jitter(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     return () -> {
@@ -103,9 +106,9 @@
   }
 
   private static PollSettings pollSettings(LimitSettings limits) {
-    PollSettings usual = PollSettings.DEFAULT;
+    PollSettings defaults = PollSettings.DEFAULT;
     return new PollSettings(
-        limits.poll().toNanos(), usual.cacheNanos(), usual.timeoutNanos(), usual.jitter());
+        limits.poll().toNanos(), defaults.cacheNanos(), defaults.timeoutNanos(), defaults.jitter());
   }
 
   EffectExecutor executor() {
@@ -120,8 +123,8 @@
     return sweep;
   }
 
-  /** Polls the engines of a configuration; services have no load to ask for. */
-  void configured(Configuration configuration) {
+  /** Sets the engines to poll from a configuration; services report no load. */
+  void setConfiguration(Configuration configuration) {
     ImmutableSet.Builder<PollTarget> targets = ImmutableSet.builder();
     for (Upstream upstream : configuration.upstreams().values()) {
       if (isEngine(upstream)) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/package-info.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The daemon {@code larkkeeld}: settings, the reducer's loop, the wiring of all adapters. */
+/** The daemon {@code larkkeeld}: the reducer loop and the adapters of a node, and their wiring. */
 package org.larkkeel.daemon;
