--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/IdleTrial.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/IdleTrial.java
@@ -14,10 +14,10 @@
 import org.larkkeel.peer.membership.MembershipSettings;
 
 /**
- * Measures processor time, memory and bytes of idle nodes with real sockets and default periods,
+ * Measures processor time, memory and traffic of idle nodes with real sockets and default periods,
  * all in one process.
  *
- * <p>Arguments: sizes, such as {@code 8 16 32}.
+ * <p>Arguments: cluster sizes, such as {@code 8 16 32}.
  */
 public final class IdleTrial {
   private static final int SECONDS = 20;
@@ -27,7 +27,7 @@
   /**
    * Runs the trials.
    *
-   * @param args sizes
+   * @param args cluster sizes
    * @throws Exception if a node can not start
    */
   public static void main(String[] args) throws Exception {
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/TestNodes.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/TestNodes.java
@@ -32,7 +32,10 @@
         .setMembership(fast());
   }
 
-  /** Everything ten times as fast as by default. */
+  /**
+   * Settings with shorter periods than the defaults, such as ten times as many probes, so that
+   * tests run fast.
+   */
   static MembershipSettings fast() {
     return new MembershipSettings(
         TimeUnit.MILLISECONDS.toNanos(50),
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/membership/MembershipTest.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/membership/MembershipTest.java
@@ -25,26 +25,29 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Membership} in virtual time. */
+/**
+ * Tests of {@link Membership} in virtual time, with message loss, duplication, pauses and
+ * partitions.
+ */
 public class MembershipTest {
   private static final int SIZE = 8;
 
   private static SimCluster joined(int size, long seed) {
     SimCluster cluster = new SimCluster(MembershipSettings.defaults(), seed);
     cluster.start(size);
-    cluster.runUntil(cluster::hasConverged, 40 * SECOND, "no convergence");
+    cluster.runUntil(cluster::hasConverged, 40 * SECOND, "the nodes did not converge");
     return cluster;
   }
 
-  private static boolean allHold(SimCluster cluster, Node subject, MemberState state) {
+  private static boolean allOthersSee(SimCluster cluster, Node subject, MemberState state) {
     return cluster.running().stream()
         .filter(node -> node != subject)
         .allMatch(node -> node.stateOf(subject) == state);
   }
 
-  /** Joining, leaving, and failing. */
+  /** Nodes join, leave, restart and fail. */
   public static class Lifecycle {
-    /** Shares of messages lost. */
+    /** Returns the fractions of messages that are lost. */
     @DataProvider
     public Object[][] losses() {
       return new Object[][] {{0.0}, {0.05}, {0.2}};
@@ -60,24 +63,30 @@
       Node victim = cluster.nodes.get(3);
       victim.killed = true;
       cluster.runUntil(
-          () -> allHold(cluster, victim, MemberState.DEAD), 15 * SECOND, "death not seen");
+          () -> allOthersSee(cluster, victim, MemberState.DEAD),
+          15 * SECOND,
+          "not all nodes declared the killed node dead");
       for (Node node : cluster.running()) {
         assertFalse(node.membership.owners().contains(victim.host()));
       }
     }
 
     @Test
-    public void restartNamesEarlierIncarnationAsDead() {
+    public void restartDeclaresEarlierIncarnationDead() {
       SimCluster cluster = joined(SIZE, 2);
       Node old = cluster.nodes.get(2);
       old.killed = true;
       Node restarted = cluster.start(old.host().value(), 2);
       cluster.listHosts(Set.of());
       cluster.runUntil(
-          () -> allHold(cluster, restarted, MemberState.LIVE), 10 * SECOND, "restart not seen");
+          () -> allOthersSee(cluster, restarted, MemberState.LIVE),
+          10 * SECOND,
+          "not all nodes see the restarted node as live");
       for (Node node : cluster.running()) {
         if (node != restarted) {
-          assertTrue(node.changes.stream().anyMatch(c -> isDeath(c, old)), "no death of " + old);
+          assertTrue(
+              node.changes.stream().anyMatch(c -> isDeath(c, old)),
+              "the earlier incarnation was not declared dead: " + old);
         }
       }
       assertEquals(cluster.falseDeaths(), 0);
@@ -85,11 +94,11 @@
 
     private static boolean isDeath(Change change, Node node) {
       return change.member().state() == MemberState.DEAD
-          && change.member().id().equals(node.first.id());
+          && change.member().id().equals(node.initialRecord.id());
     }
 
     @Test
-    public void leavingNodeOwnsNothingThenIsGoneWithoutDeath() {
+    public void leavingNodeLosesOwnershipAndEndsAsLeft() {
       SimCluster cluster = joined(SIZE, 3);
       Node leaver = cluster.nodes.get(5);
       leaver.on(new Event.Leave(cluster.now));
@@ -98,12 +107,14 @@
               cluster.running().stream()
                   .noneMatch(node -> node.membership.owners().contains(leaver.host())),
           3 * SECOND,
-          "still an owner");
-      assertTrue(allHold(cluster, leaver, MemberState.LIVE));
+          "the leaving node is still an owner");
+      assertTrue(allOthersSee(cluster, leaver, MemberState.LIVE));
       leaver.on(new Event.Stop(cluster.now));
       leaver.killed = true;
       cluster.runUntil(
-          () -> allHold(cluster, leaver, MemberState.LEFT), 3 * SECOND, "stop not seen");
+          () -> allOthersSee(cluster, leaver, MemberState.LEFT),
+          3 * SECOND,
+          "not all nodes received the stop");
     }
 
     @Test
@@ -118,41 +129,46 @@
     }
 
     @Test
-    public void earlierProcessOfHostIsToldToStop() {
+    public void earlierProcessOfHostIsSuperseded() {
       SimCluster cluster = joined(SIZE, 5);
       Node old = cluster.nodes.get(0);
       cluster.start(old.host().value(), 2, SIZE);
       cluster.listHosts(Set.of());
-      cluster.runUntil(() -> old.superseded, 10 * SECOND, "not superseded");
+      cluster.runUntil(() -> old.superseded, 10 * SECOND, "the earlier process was not superseded");
     }
   }
 
-  /** Faults that must not cost a live node its place. */
+  /** Faults of the network or of a process after which no live node may stay declared dead. */
   public static class Faults {
     @Test
-    public void lossOfFivePercentKillsNobody() {
+    public void fivePercentLossCausesNoFalseDeath() {
       SimCluster cluster = joined(SIZE, 11);
       cluster.loss = 0.05;
       cluster.run(600 * SECOND);
       assertEquals(cluster.falseDeaths(), 0);
     }
 
+    /**
+     * A node that missed a refutation which is no longer disseminated would declare a live node
+     * dead; therefore the ack of the suspected node must carry the refutation again.
+     */
     @Test
-    public void answerToLateAccuserCarriesRefutation() {
+    public void ackToStaleSuspicionCarriesRefutation() {
       NodeAddress address = NodeAddress.parse("10.0.0.1:7400");
-      DataCentreName place = new DataCentreName("dc-1");
-      Member self = Member.live(id("host-1"), address, place);
-      Member accuser = Member.live(id("host-2"), NodeAddress.parse("10.0.0.2:7400"), place);
+      DataCentreName dataCentre = new DataCentreName("dc-1");
+      Member self = Member.live(id("host-1"), address, dataCentre);
+      Member suspecting = Member.live(id("host-2"), NodeAddress.parse("10.0.0.2:7400"), dataCentre);
       Membership node = new Membership(MembershipSettings.defaults(), self, List.of(), 1, 0);
-      Member accusation = self.withState(MemberState.SUSPECT);
-      assertEquals(answer(node, accuser, 0, List.of(accuser, accusation)).refutation(), 1);
-      // By then the refutation is no longer disseminated.
+      Member suspicion = self.withState(MemberState.SUSPECT);
+      assertEquals(
+          selfRecordInAck(node, suspecting, 0, List.of(suspecting, suspicion)).refutation(), 1);
+      // The refutation is no longer disseminated after this many messages.
       for (int i = 1; i <= 50; i++) {
-        answer(node, accuser, i * SECOND, List.of());
+        selfRecordInAck(node, suspecting, i * SECOND, List.of());
       }
-      assertNull(answer(node, accuser, 60 * SECOND, List.of()));
-      Member late = answer(node, accuser, 61 * SECOND, List.of(accusation));
-      assertNotNull(late, "the answer does not contradict the accuser");
+      assertNull(selfRecordInAck(node, suspecting, 60 * SECOND, List.of()));
+      Member late = selfRecordInAck(node, suspecting, 61 * SECOND, List.of(suspicion));
+      assertNotNull(late, "the ack does not contain the refutation");
       assertEquals(late.refutation(), 1);
     }
 
@@ -160,8 +176,12 @@
       return new NodeId(new HostName(host), new Incarnation(1));
     }
 
-    /** Pings a node, and returns its own record from the answer, null if it is not there. */
-    private static Member answer(Membership node, Member from, long now, List<Member> records) {
+    /**
+     * Pings a node and returns the node's own record from the ack, or null if the ack does not
+     * contain it.
+     */
+    private static Member selfRecordInAck(
+        Membership node, Member from, long now, List<Member> records) {
       Message.Header header = new Message.Header(from.id(), Revision.NONE, records, List.of());
       Message ping = new Message.Ping(header, 7, node.self().id());
       for (Effect effect : node.on(new Event.Received(now, from.address(), ping))) {
@@ -172,7 +192,7 @@
               .orElse(null);
         }
       }
-      throw new AssertionError("no answer");
+      throw new AssertionError("the node did not answer the ping");
     }
 
     @Test
@@ -180,51 +200,67 @@
       SimCluster cluster = joined(SIZE, 8);
       cluster.loss = 0.2;
       cluster.run(1_200 * SECOND);
-      assertTrue(cluster.falseDeaths() < SIZE, "false verdicts: " + cluster.falseDeaths());
+      assertTrue(
+          cluster.falseDeaths() < SIZE, "live nodes declared dead: " + cluster.falseDeaths());
     }
 
+    /**
+     * After a pause of its own process, a node finds its probes unanswered; it must not suspect its
+     * peers because of that.
+     */
     @Test
-    public void pausedNodeDoesNotAccuseOthers() {
+    public void pausedNodeDoesNotSuspectOthers() {
       SimCluster cluster = joined(SIZE, 12);
       Node paused = cluster.nodes.get(4);
       final int before = paused.changes.size();
       cluster.pause(paused, 30 * SECOND);
       cluster.run(40 * SECOND);
-      assertTrue(cluster.hasConverged(), "the paused node is not back");
+      assertTrue(cluster.hasConverged(), "the nodes do not see each other as live after the pause");
       List<Change> since = paused.changes.subList(before, paused.changes.size());
       assertTrue(
           since.stream().allMatch(change -> change.member().state() == MemberState.LIVE),
-          "the paused node accused " + since);
+          "the paused node suspected others: " + since);
     }
 
+    /**
+     * After a partition both sides consider the other dead; rejoin attempts and refutations must
+     * merge them.
+     */
     @Test
     public void partitionHealsWithoutRestart() {
       SimCluster cluster = joined(SIZE, 13);
       for (int i = 0; i < 3; i++) {
-        cluster.cutOff.add(cluster.nodes.get(i).host());
+        cluster.partitioned.add(cluster.nodes.get(i).host());
       }
       cluster.run(120 * SECOND);
       assertEquals(cluster.nodes.get(0).membership.owners().size(), 3);
       assertEquals(cluster.nodes.get(7).membership.owners().size(), 5);
-      cluster.cutOff.clear();
+      cluster.partitioned.clear();
       cluster.listHosts(Set.of());
-      cluster.runUntil(cluster::hasConverged, 30 * SECOND, "not healed");
+      cluster.runUntil(
+          cluster::hasConverged, 30 * SECOND, "the nodes did not converge after the partition");
     }
 
+    /**
+     * Duplicated and late messages with older records must not change the record of a dead node.
+     */
     @Test
-    public void isolatedNodeIsNotResurrectedByOldRecords() {
+    public void deadNodeIsNotRevivedByDuplicatedRecords() {
       SimCluster cluster = joined(SIZE, 14);
       Node victim = cluster.nodes.get(6);
       victim.killed = true;
       cluster.duplication = 0.5;
       cluster.run(15 * SECOND);
-      int dead = (int) cluster.nodes.get(0).changes.stream().count();
+      int changesBefore = (int) cluster.nodes.get(0).changes.stream().count();
       cluster.run(120 * SECOND);
-      assertEquals(cluster.nodes.get(0).changes.size(), dead, "records about a dead node changed");
+      assertEquals(
+          cluster.nodes.get(0).changes.size(),
+          changesBefore,
+          "records about the dead node changed");
     }
   }
 
-  /** What rides on the probes. */
+  /** Records that are piggybacked on probes and their answers. */
   public static class Piggyback {
     @Test
     public void revisionAndLoadReachEveryNode() {
@@ -236,12 +272,12 @@
           () ->
               cluster.running().stream()
                   .filter(node -> node != source)
-                  .allMatch(node -> heard(node)),
+                  .allMatch(node -> hasRevisionAndLoad(node)),
           5 * SECOND,
-          "revision or load not heard");
+          "not all nodes received the revision and the load record");
     }
 
-    private static boolean heard(Node node) {
+    private static boolean hasRevisionAndLoad(Node node) {
       return node.loads.containsKey("u1")
           && node.revisions.stream().anyMatch(newer -> newer.revision().value() == 42);
     }
@@ -257,10 +293,11 @@
         }
         cluster.run(100 * MILLI);
       }
-      // The codec of the cluster refuses longer datagrams; the sum stays within the budget too.
+      // The codec of the simulated cluster refuses datagrams that are too long; the total must stay
+      // within the limit per second, too.
       long sent = cluster.nodes.stream().mapToLong(node -> node.bytesSent).sum();
       long seconds = cluster.now / SECOND;
-      assertTrue(sent / 32 / seconds < 2_500, "bytes a second: " + sent / 32 / seconds);
+      assertTrue(sent / 32 / seconds < 2_500, "bytes per second and node: " + sent / 32 / seconds);
     }
   }
 }
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/membership/MembershipTrial.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/membership/MembershipTrial.java
@@ -16,9 +16,11 @@
 import org.larkkeel.peer.membership.SimCluster.Node;
 
 /**
- * Measures the membership protocol in virtual time and prints one line for each size and loss.
+ * Measures the membership protocol in virtual time and prints one line for each cluster size and
+ * message loss.
  *
- * <p>Arguments: sizes, such as {@code 8 16 32 330}. Bytes count IP and UDP headers, both ways.
+ * <p>Arguments: cluster sizes, such as {@code 8 16 32 330}. Byte counts include IP and UDP headers
+ * in both directions.
  */
 public final class MembershipTrial {
   private static final long SECOND = SimCluster.SECOND;
@@ -32,7 +34,7 @@
   /**
    * Runs the trials.
    *
-   * @param args sizes
+   * @param args cluster sizes
    */
   public static void main(String[] args) {
     System.out.println(
@@ -49,7 +51,7 @@
     final long before = usedMemory();
     SimCluster cluster = new SimCluster(MembershipSettings.defaults(), size);
     cluster.start(size);
-    cluster.runUntil(cluster::hasConverged, 300 * SECOND, "no convergence");
+    cluster.runUntil(cluster::hasConverged, 300 * SECOND, "the nodes did not converge");
     cluster.run(SETTLE_SECONDS * SECOND);
     cluster.loss = loss;
     final long memory = Math.max(0, usedMemory() - before) / size / 1_024;
@@ -110,7 +112,9 @@
     return new Rate(sum / start.length / seconds, max / seconds);
   }
 
-  /** The share of (node, key) pairs where the node knows the newest record of the key. */
+  /**
+   * Returns the fraction of (node, key) pairs where the node holds the newest record of the key.
+   */
   private static double coverage(SimCluster cluster) {
     Map<String, Long> newest = new HashMap<>();
     for (Node node : cluster.nodes) {
@@ -122,7 +126,7 @@
         known += newest.get(load.key()) == load.version() ? 1 : 0;
       }
     }
-    // The source of a record is not told of it.
+    // The source of a record receives no effect for it, so it is not counted.
     return (double) known / newest.size() / (cluster.nodes.size() - 1);
   }
 
@@ -132,13 +136,13 @@
     cluster.runUntil(
         () -> cluster.running().stream().allMatch(n -> n.stateOf(victim) == MemberState.DEAD),
         120 * SECOND,
-        "death not seen");
+        "not all nodes declared the killed node dead");
     all.add(cluster.now - start);
     long seen =
         cluster.running().stream()
             .flatMap(node -> node.changes.stream())
             .filter(change -> change.member().state() == MemberState.DEAD)
-            .filter(change -> change.member().id().equals(victim.first.id()))
+            .filter(change -> change.member().id().equals(victim.initialRecord.id()))
             .mapToLong(SimCluster.Change::at)
             .filter(at -> at >= start)
             .min()
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/membership/SimCluster.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/membership/SimCluster.java
@@ -23,13 +23,14 @@
 import org.larkkeel.peer.transport.DatagramKey;
 
 /**
- * Memberships that talk in virtual time over a network with seeded faults. Every message passes
- * through the codec, so that the bytes are those of the wire.
+ * A simulated cluster: memberships that exchange messages in virtual time over a network with
+ * seeded faults. Every message passes through the codec, so that the byte counts are those on the
+ * wire. Times are nanoseconds. Not safe for use by several threads.
  */
 final class SimCluster {
   static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-  private static final int IP_AND_UDP_HEADER = 28;
+  private static final int IP_AND_UDP_HEADER_BYTES = 28;
   private static final int PORT = 7400;
   private static final int[] DATA_CENTRES = {0, 1, 2};
 
@@ -41,7 +42,7 @@
       new DatagramCodec(
           List.of(new DatagramKey(1, "0123456789abcdef".getBytes(StandardCharsets.UTF_8))));
   final List<Node> nodes = new ArrayList<>();
-  final Set<HostName> cutOff = new HashSet<>();
+  final Set<HostName> partitioned = new HashSet<>();
   double loss;
   double duplication;
   long now;
@@ -52,9 +53,9 @@
     this.random = new Random(seed);
   }
 
-  /** What one node runs and has told its listener. */
+  /** One node with its membership and the effects that it produced. */
   final class Node {
-    final Member first;
+    final Member initialRecord;
     final Membership membership;
     final List<Change> changes = new ArrayList<>();
     final Map<String, LoadRecord> loads = new HashMap<>();
@@ -64,16 +65,16 @@
     long pausedUntil;
     long bytesSent;
     long bytesReceived;
-    long messages;
+    long messagesSent;
     private final List<Runnable> delayed = new ArrayList<>();
 
-    Node(Member first, Membership membership) {
-      this.first = first;
+    Node(Member initialRecord, Membership membership) {
+      this.initialRecord = initialRecord;
       this.membership = membership;
     }
 
     HostName host() {
-      return first.id().host();
+      return initialRecord.id().host();
     }
 
     void on(Event event) {
@@ -82,7 +83,7 @@
 
     MemberState stateOf(Node other) {
       for (Member member : membership.members()) {
-        if (member.id().equals(other.first.id())) {
+        if (member.id().equals(other.initialRecord.id())) {
           return member.state();
         }
       }
@@ -101,7 +102,7 @@
     }
   }
 
-  /** A change told to the listener. */
+  /** A change of a member, with the time of its effect. */
   record Change(long at, Member member, boolean leaving) {}
 
   private record Scheduled(long at, long order, Runnable action) implements Comparable<Scheduled> {
@@ -119,12 +120,12 @@
     listHosts(Set.of());
   }
 
-  /** Starts a process on a host; a later one takes over the address. */
+  /** Starts a process on a host; a later process of the same host takes over its address. */
   Node start(String host, long incarnation) {
     return start(host, incarnation, Integer.parseInt(host.substring(host.lastIndexOf('-') + 1)));
   }
 
-  /** Starts a process on a host under the address with the given number. */
+  /** Starts a process on a host, with the address of the given number. */
   Node start(String host, long incarnation, int number) {
     byte[] ip = {10, 0, (byte) (number >> 8), (byte) number};
     NodeAddress address = NodeAddress.of(ip, PORT);
@@ -142,7 +143,8 @@
   void listHosts(Set<HostName> leaving) {
     List<HostEntry> entries = new ArrayList<>();
     for (Node node : byAddress.values()) {
-      entries.add(new HostEntry(node.host(), node.first.address(), leaving.contains(node.host())));
+      entries.add(
+          new HostEntry(node.host(), node.initialRecord.address(), leaving.contains(node.host())));
     }
     for (Node node : nodes) {
       node.whenRunning(() -> node.on(new Event.HostList(now, entries)));
@@ -199,8 +201,8 @@
 
   private void send(Node from, Effect.Send send) {
     byte[] datagram = codec.encode(send.message());
-    from.bytesSent += datagram.length + IP_AND_UDP_HEADER;
-    from.messages++;
+    from.bytesSent += datagram.length + IP_AND_UDP_HEADER_BYTES;
+    from.messagesSent++;
     int copies = random.nextDouble() < duplication ? 2 : 1;
     for (int i = 0; i < copies; i++) {
       if (random.nextDouble() < loss) {
@@ -214,15 +216,15 @@
   private void deliver(Node from, NodeAddress to, byte[] datagram) {
     Node node = byAddress.get(to);
     boolean separated =
-        node == null || cutOff.contains(node.host()) != cutOff.contains(from.host());
+        node == null || partitioned.contains(node.host()) != partitioned.contains(from.host());
     if (separated) {
       return;
     }
     node.whenRunning(
         () -> {
-          node.bytesReceived += datagram.length + IP_AND_UDP_HEADER;
+          node.bytesReceived += datagram.length + IP_AND_UDP_HEADER_BYTES;
           Message message = codec.decode(datagram, datagram.length).orElseThrow();
-          node.on(new Event.Received(now, from.first.address(), message));
+          node.on(new Event.Received(now, from.initialRecord.address(), message));
         });
   }
 
@@ -230,7 +232,7 @@
     return nodes.stream().filter(node -> !node.killed).toList();
   }
 
-  /** True once all running nodes hold each other as live. */
+  /** Returns whether all running nodes see each other as live. */
   boolean hasConverged() {
     List<Node> running = running();
     for (Node node : running) {
@@ -245,7 +247,10 @@
     return true;
   }
 
-  /** Runs until a condition holds; fails with the given message after the limit. */
+  /**
+   * Runs until a condition holds and returns the time that it took; fails with the given message
+   * after the limit.
+   */
   long runUntil(java.util.function.BooleanSupplier condition, long limit, String message) {
     long start = now;
     while (!condition.getAsBoolean()) {
@@ -257,10 +262,10 @@
     return now - start;
   }
 
-  /** Verdicts of death about nodes that run, over all nodes. */
+  /** Returns the number of times that any node declared a running node dead. */
   long falseDeaths() {
     Set<NodeId> alive = new HashSet<>();
-    running().forEach(node -> alive.add(node.first.id()));
+    running().forEach(node -> alive.add(node.initialRecord.id()));
     return nodes.stream()
         .flatMap(node -> node.changes.stream())
         .filter(change -> change.member().state() == MemberState.DEAD)
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/transport/TransportTest.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/transport/TransportTest.java
@@ -49,12 +49,17 @@
 import org.larkkeel.peer.membership.NodeId;
 import org.testng.annotations.Test;
 
-/** Tests of calls and datagrams, with faults, on loopback. */
+/**
+ * Tests of calls and datagrams on the loopback address, with malformed input, broken connections
+ * and untrusted peers.
+ */
 public class TransportTest {
-  private static final long PATIENCE_SECONDS = 30;
+  private static final long TIMEOUT_SECONDS = 30;
   private static final char[] PASSWORD = "changeit".toCharArray();
 
-  /** Answers with the sender of the batch, and with a page as large as the revision. */
+  /**
+   * Replies to a batch with its sender, and to a pull with a page of as many bytes as the revision.
+   */
   private static final class Echo implements PeerService.Iface {
     @Override
     public Batch exchange(Batch batch) {
@@ -102,7 +107,7 @@
 
   private static void assertAnswers(PeerClient client, PeerServer server) throws Exception {
     Batch batch = new Batch(new WireNode("host-1", 7));
-    Batch reply = client.exchange(addressOf(server), batch).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    Batch reply = client.exchange(addressOf(server), batch).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertEquals(reply.getSender(), batch.getSender());
   }
 
@@ -123,7 +128,7 @@
     }
 
     @Test
-    public void hostileFramesDoNoHarm() throws Exception {
+    public void malformedFramesEndOnlyTheirConnection() throws Exception {
       Random random = new Random(5);
       try (PeerServer server = serve(Optional.empty());
           PeerClient client = new PeerClient(settings(), Optional.empty(), NameCheck.OFF)) {
@@ -142,7 +147,7 @@
             socket.shutdownOutput();
             socket.getInputStream().readAllBytes();
           } catch (IOException e) {
-            // The server may reset the connection; only the next call matters.
+            // The server may reset the connection; the test only requires that the next call works.
           }
         }
         assertAnswers(client, server);
@@ -154,7 +159,7 @@
       try (PeerServer server = serve(Optional.empty());
           PeerClient client = new PeerClient(settings(), Optional.empty(), NameCheck.OFF)) {
         var large = client.pullConfig(addressOf(server), 100_000);
-        assertThrows(ExecutionException.class, () -> large.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertThrows(ExecutionException.class, () -> large.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertAnswers(client, server);
       }
     }
@@ -174,7 +179,10 @@
       }
     }
 
-    /** The address is free once a server is closed, also while its acceptor was waiting. */
+    /**
+     * The address can be bound again once a server is closed, although its acceptor thread was
+     * waiting. Without waiting for that thread, the operating system may still hold the listener.
+     */
     @Test
     public void addressIsFreeOnceClosed() throws Exception {
       try (PeerServer first = serve(Optional.empty())) {
@@ -188,8 +196,8 @@
     }
 
     @Test
-    public void silentPeerTimesOut() throws Exception {
-      TransportSettings hasty =
+    public void unresponsivePeerTimesOut() throws Exception {
+      TransportSettings shortTimeouts =
           new TransportSettings(
               Duration.ofMillis(200),
               Duration.ofMillis(200),
@@ -198,16 +206,16 @@
               64,
               4_096,
               65_536);
-      try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-          PeerClient client = new PeerClient(hasty, Optional.empty(), NameCheck.OFF)) {
-        NodeAddress address = NodeAddress.parse("127.0.0.1:" + silent.getLocalPort());
+      try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+          PeerClient client = new PeerClient(shortTimeouts, Optional.empty(), NameCheck.OFF)) {
+        NodeAddress address = NodeAddress.parse("127.0.0.1:" + unresponsive.getLocalPort());
         var call = client.exchange(address, new Batch(new WireNode("host-1", 7)));
-        assertThrows(ExecutionException.class, () -> call.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertThrows(ExecutionException.class, () -> call.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
       }
     }
   }
 
-  /** Mutual authentication. */
+  /** Mutual authentication over TLS. */
   public static class Tls {
     private static KeyStore store(String name) throws GeneralSecurityException, IOException {
       KeyStore store = KeyStore.getInstance("PKCS12");
@@ -230,7 +238,7 @@
     }
 
     @Test
-    public void nodesWithCertificateTalk() throws Exception {
+    public void nodesWithTrustedCertificatesExchangeBatches() throws Exception {
       try (PeerServer server = serve(context("node.p12"));
           PeerClient client = new PeerClient(settings(), context("node.p12"), NameCheck.OFF)) {
         assertAnswers(client, server);
@@ -238,20 +246,24 @@
     }
 
     @Test
-    public void strangersAreRefusedOnBothSides() throws Exception {
+    public void untrustedPeersAreRefusedOnBothSides() throws Exception {
       try (PeerServer server = serve(context("node.p12"));
-          PeerServer stranger = serve(context("stranger.p12"));
-          PeerClient unknown = new PeerClient(settings(), context("stranger.p12"), NameCheck.OFF);
+          PeerServer untrustedServer = serve(context("stranger.p12"));
+          PeerClient untrustedClient =
+              new PeerClient(settings(), context("stranger.p12"), NameCheck.OFF);
           PeerClient plain = new PeerClient(settings(), Optional.empty(), NameCheck.OFF);
           PeerClient client = new PeerClient(settings(), context("node.p12"), NameCheck.OFF)) {
-        assertThrows(ExecutionException.class, () -> assertAnswers(unknown, server));
+        assertThrows(ExecutionException.class, () -> assertAnswers(untrustedClient, server));
         assertThrows(ExecutionException.class, () -> assertAnswers(plain, server));
-        assertThrows(ExecutionException.class, () -> assertAnswers(client, stranger));
+        assertThrows(ExecutionException.class, () -> assertAnswers(client, untrustedServer));
       }
     }
   }
 
-  /** The name that a peer claims, against its certificate, which says "node". */
+  /**
+   * The node name that a peer sends is checked against its certificate, which contains the name
+   * "node".
+   */
   public static class Names {
     private static String exchange(NameCheck ofServer, NameCheck ofClient, String name)
         throws Exception {
@@ -259,7 +271,7 @@
           PeerClient client = new PeerClient(settings(), Tls.context("node.p12"), ofClient)) {
         Batch batch = new Batch(new WireNode(name, 7));
         var reply = client.exchange(addressOf(server), batch);
-        return reply.get(PATIENCE_SECONDS, TimeUnit.SECONDS).getSender().getHost();
+        return reply.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).getSender().getHost();
       }
     }
 
@@ -276,13 +288,13 @@
     }
 
     @Test
-    public void callerThatClaimsAnothersNameIsRefused() throws Exception {
+    public void callerClaimingNameOfAnotherNodeIsRefused() throws Exception {
       assertEquals(exchange(NameCheck.OFF, NameCheck.OFF, "host-1"), "host-1");
       assertRefused(NameCheck.REQUIRED, NameCheck.OFF);
     }
 
     @Test
-    public void answerInAnothersNameIsRefused() {
+    public void replyUnderNameOfAnotherNodeIsRefused() {
       assertRefused(NameCheck.OFF, NameCheck.REQUIRED);
     }
   }
@@ -318,13 +330,13 @@
         byte[] changed = data.clone();
         changed[i] ^= 1;
         assertEquals(codec.decode(changed, changed.length), Optional.empty(), "byte " + i);
-        assertEquals(codec.decode(data, i), Optional.empty(), "cut at " + i);
+        assertEquals(codec.decode(data, i), Optional.empty(), "truncated to length " + i);
       }
       assertEquals(new DatagramCodec(List.of(NEW)).decode(data, data.length), Optional.empty());
     }
 
     @Test
-    public void noiseWithoutKeyDoesNoHarm() {
+    public void malformedDatagramsAreDropped() {
       DatagramCodec codec = new DatagramCodec(List.of());
       Random random = new Random(9);
       byte[] valid = codec.encode(message());
@@ -337,7 +349,7 @@
           refused++;
         }
       }
-      assertTrue(refused > 1_000, "refused: " + refused);
+      assertTrue(refused > 1_000, "datagrams refused: " + refused);
       assertNotEquals(valid[0], (byte) 1);
     }
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/ConfigSource.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/ConfigSource.java
@@ -9,7 +9,7 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * Where peers pull the configuration from: what this node holds.
+ * Provides the configuration that this node holds to peers that pull it.
  *
  * <p>Called by several threads at once.
  *
@@ -19,10 +19,10 @@
 public interface ConfigSource {
 
   /**
-   * The configuration after a revision.
+   * Returns the configuration that follows a revision.
    *
-   * @param from what the peer holds
-   * @return the next page; with the same revision and no content if there is nothing newer
+   * @param from the revision that the peer holds
+   * @return the next page; an empty page with the same revision if there is nothing newer
    */
   ConfigContent after(Revision from);
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/CoreThread.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/CoreThread.java
@@ -17,30 +17,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that runs the state machines of a node, and the bounded queue of its commands.
+ * The single thread that runs the state machines of a node, with a bounded queue of commands.
  *
- * <p>It sleeps until the next command or deadline. Safe for use by several threads.
+ * <p>The thread waits until the next command or deadline. Safe for use by several threads.
  */
 final class CoreThread {
   private static final Logger LOG = LoggerFactory.getLogger(CoreThread.class);
   private static final int MAX_QUEUED = 8_192;
-  private static final long JOIN_MILLIS = 1_000;
+  private static final long JOIN_TIMEOUT_MILLIS = 1_000;
 
   private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
   private final LongSupplier nextDeadline;
-  private final Runnable due;
+  private final Runnable dueWork;
   private final Thread thread;
   private volatile boolean stopped;
 
   /**
    * Creates a thread that does not run yet.
    *
-   * @param nextDeadline when something is due, in nanoseconds; called on the thread
-   * @param due does what is due; called on the thread, also after each command
+   * @param nextDeadline returns the time when work is due, in nanoseconds; called on the thread
+   * @param dueWork does the work that is due; called on the thread at each deadline and after each
+   *     command
    */
-  CoreThread(LongSupplier nextDeadline, Runnable due) {
+  CoreThread(LongSupplier nextDeadline, Runnable dueWork) {
     this.nextDeadline = nextDeadline;
-    this.due = due;
+    this.dueWork = dueWork;
     this.thread = Thread.ofPlatform().daemon().name("peer-core").unstarted(this::run);
   }
 
@@ -52,19 +53,25 @@
     return stopped;
   }
 
-  /** Queues a command that may get lost without harm, as a datagram may. */
+  /**
+   * Queues a command, or drops it if the queue is full; for commands that may be lost, such as
+   * datagrams.
+   */
   void offer(Runnable command) {
     var unused = queue.offer(command);
   }
 
-  /** Queues a command, or logs that it is dropped. */
+  /** Queues a command, or drops it and logs a warning if the queue is full. */
   void submit(Runnable command) {
     if (!queue.offer(command)) {
       LOG.warn("event=peer_command_dropped queued={}", queue.size());
     }
   }
 
-  /** Queues a command that completes a result, or fails the result. */
+  /**
+   * Queues a command that completes a result, or fails the result with {@link ErrorKind#NOT_READY}
+   * if the thread is stopped or the queue is full.
+   */
   void submitOrFail(CompletableFuture<?> result, Runnable command) {
     if (stopped || !queue.offer(command)) {
       result.completeExceptionally(
@@ -86,24 +93,26 @@
   }
 
   private void step() throws InterruptedException {
-    long wait = nextDeadline.getAsLong() - BootClock.SYSTEM.nanoTime();
-    Runnable command = queue.poll(Math.max(0, wait), TimeUnit.NANOSECONDS);
+    long waitNanos = nextDeadline.getAsLong() - BootClock.SYSTEM.nanoTime();
+    Runnable command = queue.poll(Math.max(0, waitNanos), TimeUnit.NANOSECONDS);
     if (command != null) {
       command.run();
     }
-    due.run();
+    dueWork.run();
   }
 
-  /** Ends the thread; commands that are queued stay so. Repeated calls do nothing. */
+  /** Stops the thread; queued commands stay in the queue. Repeated calls do nothing. */
   void stop() {
     stopped = true;
     thread.interrupt();
   }
 
-  /** Runs what is still queued after the stop, so that no caller waits for ever. */
-  void runRest() {
+  /**
+   * Runs the commands that are still queued after {@link #stop}, so that no caller waits for ever.
+   */
+  void runRemaining() {
     try {
-      thread.join(JOIN_MILLIS);
+      thread.join(JOIN_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LeaseSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LeaseSettings.java
@@ -10,19 +10,19 @@
 import org.larkkeel.peer.slots.SlotSettings;
 
 /**
- * Times of leases and limits between nodes.
+ * Time settings of slot leases and rate limits between nodes.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param slots times of slot leases
- * @param flush nanoseconds between two batches to one peer
- * @param failurePause nanoseconds without a batch after a failed one
+ * @param slots settings of slot leases
+ * @param flushPeriodNanos interval between two batches to one peer, in nanoseconds
+ * @param retryDelayNanos time without batches to a peer after a failed one, in nanoseconds
  * @since 0.1
  */
-public record LeaseSettings(SlotSettings slots, long flush, long failurePause) {
+public record LeaseSettings(SlotSettings slots, long flushPeriodNanos, long retryDelayNanos) {
 
   /**
-   * For a few nodes: a slot lease for each request.
+   * Returns the settings for a few nodes: a slot lease for each request.
    *
    * @return the settings
    */
@@ -34,11 +34,11 @@
   }
 
   /**
-   * For hundreds of nodes: slots that follow demand.
+   * Returns the settings for hundreds of nodes: the slots of a node follow its demand.
    *
    * @return the settings
    */
-  public static LeaseSettings standing() {
+  public static LeaseSettings followingDemand() {
     return new LeaseSettings(
         SlotSettings.standing(),
         TimeUnit.MILLISECONDS.toNanos(200),
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LimitDecision.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LimitDecision.java
@@ -9,12 +9,12 @@
 import java.time.Duration;
 
 /**
- * Whether a request is within the limits of its workspace.
+ * The decision whether a request is within the rate limits of its workspace.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param admitted true if it may run
- * @param retryAfter if not, when it may be repeated
+ * @param admitted true if the request may run
+ * @param retryAfter the delay after which a request that was not admitted may be retried
  * @since 0.1
  */
 public record LimitDecision(boolean admitted, Duration retryAfter) {}
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/Outbox.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/Outbox.java
@@ -10,25 +10,27 @@
 import java.util.Map;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.peer.membership.NodeId;
-import org.larkkeel.peer.transport.Leases;
+import org.larkkeel.peer.transport.LeaseBatch;
 
 /**
- * What waits to be sent to each peer. At most one batch is on its way to a peer; the next one
- * gathers all that is said in the meantime. Not safe for use by several threads.
+ * The batches that wait to be sent, by peer.
+ *
+ * <p>Invariant: at most one batch is in flight to a peer; messages added in the meantime are
+ * collected in the next batch. Times are nanoseconds. Not safe for use by several threads.
  */
 final class Outbox {
   private final NodeId self;
-  private final long failurePause;
+  private final long retryDelayNanos;
   private final Map<HostName, Entry> entries = new HashMap<>();
 
-  Outbox(NodeId self, long failurePause) {
+  Outbox(NodeId self, long retryDelayNanos) {
     this.self = self;
-    this.failurePause = failurePause;
+    this.retryDelayNanos = retryDelayNanos;
   }
 
   private static final class Entry {
-    private Leases pending;
-    private boolean onItsWay;
+    private LeaseBatch pending;
+    private boolean inFlight;
     private long notBefore = Long.MIN_VALUE;
   }
 
@@ -38,26 +40,26 @@
 
   boolean isReady(HostName peer, long now) {
     Entry entry = entries.get(peer);
-    return entry == null || (!entry.onItsWay && entry.notBefore <= now);
+    return entry == null || (!entry.inFlight && entry.notBefore <= now);
   }
 
-  Leases pending(HostName peer) {
+  LeaseBatch pending(HostName peer) {
     Entry entry = entry(peer);
     if (entry.pending == null) {
-      entry.pending = Leases.of(self);
+      entry.pending = LeaseBatch.empty(self);
     }
     return entry.pending;
   }
 
-  /** Takes the batches that can be sent now; each counts as on its way. */
-  Map<HostName, Leases> take(long now) {
-    Map<HostName, Leases> batches = new HashMap<>();
+  /** Removes and returns the batches that can be sent now; each counts as in flight from now on. */
+  Map<HostName, LeaseBatch> takeReady(long now) {
+    Map<HostName, LeaseBatch> batches = new HashMap<>();
     entries.forEach(
         (peer, entry) -> {
           if (entry.pending != null && isReady(peer, now)) {
             batches.put(peer, entry.pending);
             entry.pending = null;
-            entry.onItsWay = true;
+            entry.inFlight = true;
           }
         });
     return batches;
@@ -72,17 +74,17 @@
     return false;
   }
 
-  void delivered(HostName peer) {
-    entry(peer).onItsWay = false;
+  void onDelivered(HostName peer) {
+    entry(peer).inFlight = false;
   }
 
-  void failed(HostName peer, long now) {
+  void onFailure(HostName peer, long now) {
     Entry entry = entry(peer);
-    entry.onItsWay = false;
-    entry.notBefore = now + failurePause;
+    entry.inFlight = false;
+    entry.notBefore = now + retryDelayNanos;
   }
 
-  void forget(HostName peer) {
+  void remove(HostName peer) {
     entries.remove(peer);
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/Owners.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/Owners.java
@@ -12,7 +12,7 @@
 import org.larkkeel.peer.membership.NodeId;
 import org.larkkeel.peer.ownership.Ownership;
 
-/** Who owns what is leased, as this node sees it now. Not safe for use by several threads. */
+/** The current owners of keys, as known to this node. Not safe for use by several threads. */
 final class Owners {
   private final HostName self;
   private Ownership ownership;
@@ -23,12 +23,12 @@
     this.ownership = new Ownership(Set.of(this.self));
   }
 
-  /** The owner of a key; this node if there is no other. */
-  HostName of(String key) {
+  /** Returns the owner of a key, or this node if no node owns it. */
+  HostName ownerOf(String key) {
     return ownership.ownerOf(key).orElse(self);
   }
 
-  boolean isSelf(String key) {
+  boolean isOwnedBySelf(String key) {
     return isOwner(self, key);
   }
 
@@ -36,17 +36,17 @@
     return ownership.ownerOf(key).filter(host::equals).isPresent();
   }
 
-  /** The number of owners, at least one. */
+  /** Returns the number of owners, at least one. */
   int count() {
     return count;
   }
 
   /**
-   * Takes a new set of owners.
+   * Replaces the set of owners.
    *
-   * @return tells of a key whether its owner changed
+   * @return a predicate that is true for keys whose owner changed
    */
-  Predicate<String> change(Set<HostName> owners) {
+  Predicate<String> replace(Set<HostName> owners) {
     Ownership before = ownership;
     Ownership after = new Ownership(owners);
     ownership = after;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerCallHandler.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerCallHandler.java
@@ -21,14 +21,14 @@
 import org.larkkeel.peer.gen.WireRecordAnswer;
 import org.larkkeel.peer.gen.WireRunClaim;
 import org.larkkeel.peer.gen.WireRunRecord;
-import org.larkkeel.peer.transport.Leases;
+import org.larkkeel.peer.transport.LeaseBatch;
 
-/** Answers the calls of peers, each within a bound of time. Safe for use by several threads. */
+/** Answers the calls of peers, each within a timeout. Safe for use by several threads. */
 final class PeerCallHandler implements PeerService.Iface {
-  private static final long EXCHANGE_SECONDS = 2;
-  private static final long RUN_SECONDS = 5;
+  private static final long EXCHANGE_TIMEOUT_SECONDS = 2;
+  private static final long RUN_TIMEOUT_SECONDS = 5;
 
-  private final Function<Leases, CompletableFuture<Leases>> exchange;
+  private final Function<LeaseBatch, CompletableFuture<LeaseBatch>> exchange;
   private final ConfigSource configuration;
   private final RunService runs;
 
@@ -37,10 +37,10 @@
    *
    * @param exchange answers batches
    * @param configuration answers pulls of the configuration
-   * @param runs answers what is asked about runs
+   * @param runs answers claims and records of runs
    */
   PeerCallHandler(
-      Function<Leases, CompletableFuture<Leases>> exchange,
+      Function<LeaseBatch, CompletableFuture<LeaseBatch>> exchange,
       ConfigSource configuration,
       RunService runs) {
     this.exchange = exchange;
@@ -50,8 +50,9 @@
 
   @Override
   public Batch exchange(Batch batch) throws TException {
-    CompletableFuture<Leases> reply = exchange.apply(Leases.fromWire(batch));
-    return await(reply, EXCHANGE_SECONDS, "the core did not answer").toWire();
+    CompletableFuture<LeaseBatch> reply = exchange.apply(LeaseBatch.fromWire(batch));
+    return await(reply, EXCHANGE_TIMEOUT_SECONDS, "the core thread failed to answer the batch")
+        .toWire();
   }
 
   @Override
@@ -63,12 +64,12 @@
 
   @Override
   public WireClaimReply claimRun(WireRunClaim claim) throws TException {
-    return await(runs.claim(claim), RUN_SECONDS, "the run log did not answer");
+    return await(runs.claim(claim), RUN_TIMEOUT_SECONDS, "the run log failed to answer the claim");
   }
 
   @Override
   public WireRecordAnswer recordRun(WireRunRecord end) throws TException {
-    return await(runs.record(end), RUN_SECONDS, "the run log did not answer");
+    return await(runs.record(end), RUN_TIMEOUT_SECONDS, "the run log failed to answer the record");
   }
 
   private static <T> T await(CompletableFuture<T> answer, long seconds, String failure)
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerListener.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerListener.java
@@ -12,9 +12,9 @@
 import org.larkkeel.peer.membership.NodeId;
 
 /**
- * Told what this node learns from its peers.
+ * Is notified of changes that this node receives from its peers.
  *
- * <p>All methods are called on the one thread of the node's core, in order, and must not block. An
+ * <p>All methods are called in order on the core thread of the node and must not block. An
  * exception is logged and otherwise ignored.
  *
  * @since 0.1
@@ -22,33 +22,34 @@
 public interface PeerListener {
 
   /**
-   * The view of a member changed.
+   * Called when the view of a member changed.
    *
-   * @param member the record in force; dead means that requests of exactly this incarnation are
+   * @param member the current record; if it is dead, the requests of exactly this incarnation are
    *     orphans
    * @param leaving true if the member takes no new ownership
    */
   default void memberChanged(Member member, boolean leaving) {}
 
   /**
-   * A peer holds a newer configuration, to be pulled with {@link PeerNode#pullConfig}.
+   * Called when a peer holds a newer configuration, to be pulled with {@link PeerNode#pullConfig}.
    *
-   * @param peer a node that holds it
-   * @param revision what it holds
+   * @param peer the peer that holds the configuration
+   * @param revision the revision that the peer holds
    */
   default void newerRevision(Member peer, Revision revision) {}
 
   /**
-   * A load record arrived from another node.
+   * Called when a load record arrived from another node that is newer than the one known.
    *
    * @param load the record
    */
-  default void loadLearned(LoadRecord load) {}
+  default void loadReceived(LoadRecord load) {}
 
   /**
-   * A later process runs under the name of this host; this node must stop.
+   * Called when a process with a greater incarnation runs under the name of this host; this node
+   * must stop.
    *
-   * @param later the other process
+   * @param successor the process with the greater incarnation
    */
-  default void superseded(NodeId later) {}
+  default void superseded(NodeId successor) {}
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerNode.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerNode.java
@@ -35,16 +35,16 @@
 import org.larkkeel.peer.membership.Message;
 import org.larkkeel.peer.membership.NodeAddress;
 import org.larkkeel.peer.transport.DatagramTransport;
-import org.larkkeel.peer.transport.Leases;
+import org.larkkeel.peer.transport.LeaseBatch;
 import org.larkkeel.peer.transport.PeerClient;
 import org.larkkeel.time.BootClock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * This node among its peers.
+ * A node of the cluster: its membership, its slot leases and rate limits, and its calls to peers.
  *
- * <p>One core thread runs the state machines and calls the listener; it sleeps until the next event
+ * <p>One core thread runs the state machines and calls the listener; it waits until the next event
  * or deadline. Two further threads receive datagrams and accept connections. Safe for use by
  * several threads; no method blocks on the network.
  *
@@ -52,26 +52,26 @@
  */
 public final class PeerNode implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PeerNode.class);
-  private static final long VIEW_PERIOD = TimeUnit.MILLISECONDS.toNanos(250);
-  private static final long IDLE_PERIOD = TimeUnit.SECONDS.toNanos(1);
+  private static final long VIEW_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  private static final long IDLE_CHECK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final PeerListener listener;
   private final PeerSockets sockets;
   private final PeerClient client;
   private final Membership membership;
-  private final LeaseDesk desk;
-  private final BatchSender batches;
+  private final LeaseManager leases;
+  private final BatchSender batchSender;
   private final AtomicLong requestIds = new AtomicLong();
   private final CoreThread core;
   private volatile PeerView view;
   private boolean viewChanged;
-  private long nextView;
-  private long nextIdleCheck;
+  private long nextViewAt;
+  private long nextIdleCheckAt;
 
   private PeerNode(PeerSettings settings, PeerListener listener, ConfigSource configuration)
       throws IOException {
     this.listener = listener;
-    this.core = new CoreThread(this::nextDeadline, this::doDue);
+    this.core = new CoreThread(this::nextDeadline, this::runDue);
     PeerCallHandler handler =
         new PeerCallHandler(this::answerBatch, configuration, settings.runs());
     this.sockets = PeerSockets.open(settings, handler, this::received);
@@ -85,16 +85,16 @@
             settings.seed(),
             BootClock.SYSTEM.nanoTime());
     publishView();
-    this.desk = new LeaseDesk(settings.id(), settings.leases());
-    this.batches = new BatchSender(core, client, desk);
+    this.leases = new LeaseManager(settings.id(), settings.leases());
+    this.batchSender = new BatchSender(core, client, leases);
   }
 
   /**
    * Opens the sockets and joins the cluster in the background.
    *
    * @param settings the settings
-   * @param listener told of changes
-   * @param configuration where peers pull the configuration from
+   * @param listener notified of changes
+   * @param configuration provides the configuration that peers pull
    * @return the node
    * @throws IOException if the address can not be bound
    */
@@ -108,17 +108,17 @@
   }
 
   /**
-   * Where this node listens.
+   * Returns the address on which this node listens.
    *
-   * @return the address, with the port that was chosen
+   * @return the address with the bound port
    */
   public NodeAddress address() {
     return view.self().address();
   }
 
   /**
-   * What this node knows of the cluster. The owners are up to date; all else is refreshed a few
-   * times a second.
+   * Returns the view that this node has of the cluster. The owners are up to date; everything else
+   * is refreshed a few times a second.
    *
    * @return the newest view
    */
@@ -127,7 +127,7 @@
   }
 
   /**
-   * The transport of datagrams, for its counters.
+   * Returns the transport of datagrams, for its counters.
    *
    * @return the transport
    */
@@ -136,33 +136,33 @@
   }
 
   /**
-   * Takes the platform's host list.
+   * Sets the host list of the platform.
    *
-   * @param hosts the whole list
+   * @param hosts the complete list
    */
   public void updateHosts(List<HostEntry> hosts) {
     core.submit(() -> apply(new Event.HostList(BootClock.SYSTEM.nanoTime(), List.copyOf(hosts))));
   }
 
   /**
-   * Tells peers which configuration this node holds.
+   * Announces to peers which configuration this node holds.
    *
-   * @param revision what {@link ConfigSource} now returns
+   * @param revision the revision that {@link ConfigSource} returns from now on
    */
   public void advertise(Revision revision) {
     core.submit(() -> apply(new Event.RevisionHeld(BootClock.SYSTEM.nanoTime(), revision)));
   }
 
   /**
-   * Spreads a load record to all nodes.
+   * Publishes a load record to all nodes.
    *
    * @param load the record
    */
-  public void spread(LoadRecord load) {
+  public void publishLoad(LoadRecord load) {
     core.submit(() -> apply(new Event.LoadChanged(BootClock.SYSTEM.nanoTime(), load)));
   }
 
-  /** Announces that this node takes no new ownership; it goes on to answer until closed. */
+  /** Announces that this node takes no new ownership; it continues to answer until it is closed. */
   public void leave() {
     core.submit(() -> apply(new Event.Leave(BootClock.SYSTEM.nanoTime())));
   }
@@ -171,7 +171,7 @@
    * Pulls configuration from a peer.
    *
    * @param peer a member, such as one named by {@link PeerListener#newerRevision}
-   * @param from what this node holds
+   * @param from the revision that this node holds
    * @return the next page; fails with {@link LarkkeelException}
    */
   public CompletableFuture<ConfigContent> pullConfig(NodeAddress peer, Revision from) {
@@ -184,10 +184,10 @@
   }
 
   /**
-   * Tells whether this node owns a key, as far as it knows. The owner of an upstream tells {@link
-   * #updateCapacity} of its load and cancels its orphans.
+   * Returns whether this node owns a key, according to its current view. The owner of an upstream
+   * reports the upstream's capacity with {@link #updateCapacity} and cancels its orphans.
    *
-   * @param key names what is owned
+   * @param key the name of the owned resource
    * @return true if this node is the owner
    */
   public boolean owns(String key) {
@@ -196,55 +196,57 @@
   }
 
   /**
-   * Takes the load of something leased; ignored unless this node owns it.
+   * Updates the capacity of a leased resource; ignored unless this node owns the resource.
    *
-   * @param key names what is leased, such as an upstream
-   * @param slots how many slots there are
-   * @param running how many were in use when the report was made
+   * @param key the name of the resource, such as an upstream
+   * @param slots the number of slots of the resource
+   * @param running the number of slots in use when the report was made
    */
   public void updateCapacity(String key, int slots, int running) {
-    core.submit(() -> desk.updateCapacity(BootClock.SYSTEM.nanoTime(), key, slots, running));
+    core.submit(() -> leases.updateCapacity(BootClock.SYSTEM.nanoTime(), key, slots, running));
   }
 
   /**
-   * Takes the limits of all workspaces, as configured.
+   * Sets the configured limits of all workspaces.
    *
-   * @param rates the rate limits by workspace; workspaces that are absent have none
-   * @param capacities slots of keys with a fixed number of them, such as concurrency limits
+   * @param rates the rate limits by workspace; absent workspaces are not limited
+   * @param capacities the number of slots by key, for keys with a fixed number such as concurrency
+   *     limits
    */
   public void setLimits(Map<WorkspaceName, RateLimit> rates, Map<String, Integer> capacities) {
     Map<String, RateLimit> byName = new HashMap<>();
     rates.forEach((workspace, limit) -> byName.put(workspace.value(), limit));
-    core.submit(() -> desk.setLimits(BootClock.SYSTEM.nanoTime(), byName, capacities));
+    core.submit(() -> leases.setLimits(BootClock.SYSTEM.nanoTime(), byName, capacities));
   }
 
   /**
-   * Asks for a slot.
+   * Requests a slot.
    *
-   * @param key names what is leased
-   * @param priority greater goes first
-   * @param patience how long to wait
-   * @return the lease; fails with {@link LarkkeelException} of kind OVERLOADED if none became free
+   * @param key the name of the resource
+   * @param priority requests with a greater priority are granted first
+   * @param timeout the maximum time to wait
+   * @return the lease; fails with {@link LarkkeelException} of kind OVERLOADED if no slot became
+   *     free in time
    */
-  public CompletableFuture<SlotLease> acquireSlot(String key, int priority, Duration patience) {
+  public CompletableFuture<SlotLease> acquireSlot(String key, int priority, Duration timeout) {
     CompletableFuture<SlotLease> result = new CompletableFuture<>();
     SlotLease lease = new SlotLease(key, requestIds.incrementAndGet());
     core.submitOrFail(
         result,
         () -> {
           long now = BootClock.SYSTEM.nanoTime();
-          desk.acquireSlot(now, lease, priority, now + patience.toNanos(), result);
+          leases.acquireSlot(now, lease, priority, now + timeout.toNanos(), result);
         });
     return result;
   }
 
   /**
-   * Gives a slot back. Repeated calls do nothing.
+   * Releases a slot. Repeated calls do nothing.
    *
    * @param lease the lease
    */
   public void releaseSlot(SlotLease lease) {
-    core.submit(() -> desk.releaseSlot(BootClock.SYSTEM.nanoTime(), lease));
+    core.submit(() -> leases.releaseSlot(BootClock.SYSTEM.nanoTime(), lease));
   }
 
   /**
@@ -252,19 +254,19 @@
    *
    * @param workspace the workspace
    * @param promptTokens the prompt tokens of the request
-   * @param patience how long to wait
-   * @return whether it may run
+   * @param timeout the maximum time to wait
+   * @return the decision whether the request may run
    */
   public CompletableFuture<LimitDecision> acquireLimit(
-      WorkspaceName workspace, long promptTokens, Duration patience) {
+      WorkspaceName workspace, long promptTokens, Duration timeout) {
     CompletableFuture<LimitDecision> result = new CompletableFuture<>();
     long id = requestIds.incrementAndGet();
     core.submitOrFail(
         result,
         () -> {
           long now = BootClock.SYSTEM.nanoTime();
-          long until = now + patience.toNanos();
-          desk.acquireLimit(now, workspace.value(), id, promptTokens, until, result);
+          long deadline = now + timeout.toNanos();
+          leases.acquireLimit(now, workspace.value(), id, promptTokens, deadline, result);
         });
     return result;
   }
@@ -292,36 +294,36 @@
   }
 
   private void received(NodeAddress source, Message message) {
-    // A full queue drops the datagram, as the network may do as well.
+    // If the queue is full, the datagram is dropped, which the protocol tolerates like a loss.
     core.offer(() -> apply(new Event.Received(BootClock.SYSTEM.nanoTime(), source, message)));
   }
 
-  private CompletableFuture<Leases> answerBatch(Leases batch) {
-    CompletableFuture<Leases> reply = new CompletableFuture<>();
+  private CompletableFuture<LeaseBatch> answerBatch(LeaseBatch batch) {
+    CompletableFuture<LeaseBatch> reply = new CompletableFuture<>();
     core.submitOrFail(
-        reply, () -> reply.complete(desk.received(BootClock.SYSTEM.nanoTime(), batch)));
+        reply, () -> reply.complete(leases.answer(BootClock.SYSTEM.nanoTime(), batch)));
     return reply;
   }
 
   private long nextDeadline() {
-    return Math.min(membership.nextDeadline(), desk.nextDeadline());
+    return Math.min(membership.nextDeadline(), leases.nextDeadline());
   }
 
-  private void doDue() {
+  private void runDue() {
     long now = BootClock.SYSTEM.nanoTime();
     if (membership.nextDeadline() - now <= 0) {
       apply(new Event.Tick(now));
     }
-    if (desk.nextDeadline() <= now) {
-      desk.tick(now).forEach((peer, batch) -> batches.send(view, peer, batch));
+    if (leases.nextDeadline() <= now) {
+      leases.tick(now).forEach((peer, batch) -> batchSender.send(view, peer, batch));
     }
-    if (viewChanged || nextView - now <= 0) {
+    if (viewChanged || nextViewAt - now <= 0) {
       publishView();
-      nextView = now + VIEW_PERIOD;
+      nextViewAt = now + VIEW_PERIOD_NANOS;
     }
-    if (nextIdleCheck - now <= 0) {
+    if (nextIdleCheckAt - now <= 0) {
       client.closeIdle();
-      nextIdleCheck = now + IDLE_PERIOD;
+      nextIdleCheckAt = now + IDLE_CHECK_NANOS;
     }
   }
 
@@ -334,7 +336,7 @@
       case Effect.Send send -> sockets.datagrams().send(send.to(), send.message());
       case Effect.MemberChanged change -> memberChanged(change);
       case Effect.NewerRevision newer -> listener.newerRevision(newer.peer(), newer.revision());
-      case Effect.LoadLearned learned -> listener.loadLearned(learned.load());
+      case Effect.LoadLearned learned -> listener.loadReceived(learned.load());
       case Effect.Superseded superseded -> {
         LOG.error("event=peer_superseded later={}", superseded.later());
         listener.superseded(superseded.later());
@@ -353,9 +355,9 @@
     viewChanged = true;
     publishView();
     long now = BootClock.SYSTEM.nanoTime();
-    desk.ownersChanged(now, view.owners());
+    leases.ownersChanged(now, view.owners());
     if (!member.state().isPresent()) {
-      desk.nodeGone(now, member.id());
+      leases.removeNode(now, member.id());
     }
     listener.memberChanged(member, change.leaving());
   }
@@ -365,33 +367,33 @@
     view = PeerView.of(membership, Optional.ofNullable(view));
   }
 
-  /** Tells peers that this node stops, and closes its sockets. Repeated calls do nothing. */
+  /** Announces to peers that this node stops, and closes its sockets. Repeated calls do nothing. */
   @Override
   public void close() {
     if (core.isStopped()) {
       return;
     }
-    CompletableFuture<Void> said = new CompletableFuture<>();
+    CompletableFuture<Void> stopSent = new CompletableFuture<>();
     core.submit(
         () -> {
           apply(new Event.Stop(BootClock.SYSTEM.nanoTime()));
-          desk.close();
-          said.complete(null);
+          leases.close();
+          stopSent.complete(null);
         });
     try {
-      said.get(1, TimeUnit.SECONDS);
+      stopSent.get(1, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException e) {
       LOG.warn("event=peer_stop_not_told error=\"{}\"", e.toString());
     }
     core.stop();
-    core.runRest();
+    core.runRemaining();
     sockets.close();
   }
 
   /**
-   * Closes the sockets without a word to the peers, as a crash would; for tests of failures.
+   * Closes the sockets without an announcement to peers, like a crash; for tests of failures.
    * Repeated calls do nothing.
    */
   public void abort() {
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerSettings.java
@@ -19,9 +19,10 @@
 import org.larkkeel.peer.transport.TransportSettings;
 
 /**
- * Settings of a {@link PeerNode}, with fluent setters for what has a default.
+ * Settings of a {@link PeerNode}, with fluent setters for the optional ones.
  *
- * <p>Not safe for use by several threads; not read again after the start.
+ * <p>Not safe for use by several threads. The settings are read when the node starts; later changes
+ * have no effect.
  *
  * @since 0.1
  */
@@ -42,9 +43,10 @@
   /**
    * Creates settings.
    *
-   * @param id host and incarnation; a later process of the host needs a greater incarnation
-   * @param dataCentre where the node runs
-   * @param listen the address that peers reach, not a wildcard; port 0 chooses a free one
+   * @param id the host and incarnation; a restarted process of the host needs a greater incarnation
+   * @param dataCentre the data centre of the node
+   * @param listen the address at which peers reach the node, not a wildcard; port 0 selects a free
+   *     port
    * @throws IllegalArgumentException if the address is a wildcard
    */
   public PeerSettings(NodeId id, DataCentreName dataCentre, InetSocketAddress listen) {
@@ -59,9 +61,9 @@
   }
 
   /**
-   * Sets addresses to join through before the host list is known.
+   * Sets the addresses through which the node joins the cluster before the host list is known.
    *
-   * @param addresses the addresses, may include this node's
+   * @param addresses the addresses; may include the address of this node
    * @return this
    */
   public PeerSettings setSeeds(List<NodeAddress> addresses) {
@@ -70,9 +72,10 @@
   }
 
   /**
-   * Sets the keys of datagrams. The first one signs, all are accepted.
+   * Sets the keys that authenticate datagrams. The first key signs; datagrams with any of the keys
+   * are accepted.
    *
-   * @param datagramKeys the keys; empty for plain datagrams, as in tests
+   * @param datagramKeys the keys; empty for unauthenticated datagrams, as in tests
    * @return this
    */
   public PeerSettings setKeys(List<DatagramKey> datagramKeys) {
@@ -92,10 +95,10 @@
   }
 
   /**
-   * Sets whether the name that a peer claims in a call must stand in its certificate. Without TLS
-   * this has no effect.
+   * Sets whether the node name in a peer's call must be in the peer's certificate. Without TLS this
+   * has no effect.
    *
-   * @param check {@link NameCheck#REQUIRED} unless set otherwise
+   * @param check the check; {@link NameCheck#REQUIRED} by default
    * @return this
    */
   public PeerSettings setNameCheck(NameCheck check) {
@@ -104,7 +107,7 @@
   }
 
   /**
-   * Sets periods and bounds of the membership protocol.
+   * Sets the periods and limits of the membership protocol.
    *
    * @param settings the settings
    * @return this
@@ -115,7 +118,7 @@
   }
 
   /**
-   * Sets the bounds of calls.
+   * Sets the timeouts and limits of calls between nodes.
    *
    * @param settings the settings
    * @return this
@@ -126,7 +129,7 @@
   }
 
   /**
-   * Sets the times of leases and limits.
+   * Sets the times of slot leases and rate limits.
    *
    * @param settings the settings
    * @return this
@@ -148,7 +151,7 @@
   }
 
   /**
-   * Sets who answers what peers ask about runs.
+   * Sets the service that answers claims and records of runs from peers.
    *
    * @param service the service
    * @return this
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerSockets.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerSockets.java
@@ -18,23 +18,24 @@
 import org.larkkeel.peer.transport.PeerServer;
 
 /**
- * The sockets of a node: calls and datagrams at one port, and calls to others.
+ * The sockets of a node: a server and datagrams on one port, and a client for calls to peers.
  *
- * @param server answers calls
+ * @param server answers the calls of peers
  * @param datagrams sends and receives datagrams
- * @param client calls others
+ * @param client calls peers
  */
 record PeerSockets(PeerServer server, DatagramTransport datagrams, PeerClient client)
     implements AutoCloseable {
   private static final int BIND_ATTEMPTS = 32;
 
   /**
-   * Binds TCP and UDP to one port; a free TCP port may be taken for UDP, so port 0 tries again.
+   * Binds TCP and UDP to the same port. With port 0, binding is repeated on another port if the
+   * free TCP port is already in use for UDP.
    *
    * @param settings the settings of the node
-   * @param handler answers calls
-   * @param receiver takes datagrams, once started
-   * @return open sockets
+   * @param handler answers the calls of peers
+   * @param receiver receives the messages once the datagram transport is started
+   * @return the open sockets
    * @throws IOException if the address can not be bound
    */
   static PeerSockets open(
@@ -65,7 +66,7 @@
     throw new IOException("peer address " + settings.listen() + " can not be bound", failure);
   }
 
-  /** The address that peers reach. */
+  /** Returns the address at which peers reach this node. */
   NodeAddress address(PeerSettings settings) {
     return NodeAddress.ofSocket(
         new InetSocketAddress(settings.listen().getAddress(), server.port()));
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerView.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerView.java
@@ -23,15 +23,15 @@
 import org.larkkeel.peer.ownership.Ownership;
 
 /**
- * What a node knows of the cluster at one moment.
+ * A snapshot of the cluster as known to one node.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param self the node's own record
- * @param members all members known, with the node itself
- * @param owners the hosts that may own something
- * @param ownership which of the owners has a key
- * @param revisions the configuration revision each present host last said it holds
+ * @param members all known members, including the node itself
+ * @param owners the hosts that may own keys
+ * @param ownership maps each key to its owner
+ * @param revisions the configuration revision that each present host last reported
  * @param joined true once a peer has answered
  * @since 0.1
  */
@@ -44,12 +44,12 @@
     boolean joined) {
 
   /**
-   * Takes the view of a membership.
+   * Creates a view from a membership.
    *
-   * @param membership not changed meanwhile
-   * @param before the view before, whose ownership is kept if the owners are the same
+   * @param membership the membership, not changed during the call
+   * @param previous the previous view; its ownership object is reused if the owners are the same
    */
-  static PeerView of(Membership membership, Optional<PeerView> before) {
+  static PeerView of(Membership membership, Optional<PeerView> previous) {
     List<Member> members = membership.members();
     Map<HostName, Revision> revisions = new HashMap<>();
     for (Member member : members) {
@@ -58,7 +58,7 @@
     }
     Set<HostName> owners = Set.copyOf(membership.owners());
     Ownership ownership =
-        before
+        previous
             .filter(view -> view.owners().equals(owners))
             .map(PeerView::ownership)
             .orElseGet(() -> new Ownership(owners));
@@ -72,20 +72,23 @@
   }
 
   /**
-   * Finds a host that is present.
+   * Returns the record of a host that is present.
    *
    * @param host the host
-   * @return its record, empty if it is unknown, dead or has left
+   * @return the record; empty if the host is unknown, dead or has left
    */
-  public Optional<Member> present(HostName host) {
+  public Optional<Member> findPresent(HostName host) {
     return members.stream()
         .filter(known -> known.id().host().equals(host) && known.state().isPresent())
         .findFirst();
   }
 
-  /** Calls a host at its address, or fails with {@link LarkkeelException} if it is not present. */
+  /**
+   * Calls a host at its address; the result fails with {@link LarkkeelException} if the host is not
+   * present.
+   */
   <T> CompletableFuture<T> callAt(HostName host, Function<NodeAddress, CompletableFuture<T>> call) {
-    return present(host)
+    return findPresent(host)
         .map(member -> call.apply(member.address()))
         .orElseGet(
             () ->
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/RunService.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/RunService.java
@@ -14,14 +14,14 @@
 import org.larkkeel.peer.gen.WireRunRecord;
 
 /**
- * Answers peers that claim and record runs whose records this node owns.
+ * Answers peers that claim runs, or record their end, where this node owns the records of the run.
  *
  * <p>Called by several threads at once; does not block.
  *
  * @since 0.1
  */
 public interface RunService {
-  /** Owns no records. */
+  /** A service that owns no records. */
   RunService NONE =
       new RunService() {
         @Override
@@ -46,7 +46,7 @@
   /**
    * Records the end of a run.
    *
-   * @param end how it ended; may be repeated
+   * @param end the end of the run; may be repeated
    * @return the answer
    */
   CompletableFuture<WireRecordAnswer> record(WireRunRecord end);
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/SlotDesk.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/SlotManager.java
@@ -26,21 +26,21 @@
 import org.larkkeel.peer.slots.SlotSettings;
 
 /**
- * The slots of one node, as holder and as owner, and who waits for them.
+ * Manages the slots of one node, as holder and as owner, and the pending requests.
  *
  * <p>Runs on the core thread only. Times are nanoseconds.
  */
-final class SlotDesk {
+final class SlotManager {
   private final NodeId self;
   private final SlotSettings settings;
   private final Owners owners;
   private final Outbox outbox;
   private final Map<String, SlotHolder> holders = new HashMap<>();
   private final Map<String, SlotOwner> ownedSlots = new HashMap<>();
-  private final Map<Long, CompletableFuture<SlotLease>> waits = new HashMap<>();
+  private final Map<Long, CompletableFuture<SlotLease>> pendingResults = new HashMap<>();
   private Map<String, Integer> fixedCapacities = Map.of();
 
-  SlotDesk(NodeId self, SlotSettings settings, Owners owners, Outbox outbox) {
+  SlotManager(NodeId self, SlotSettings settings, Owners owners, Outbox outbox) {
     this.self = self;
     this.settings = settings;
     this.owners = owners;
@@ -48,24 +48,24 @@
   }
 
   void acquire(
-      long now, SlotLease lease, int priority, long until, CompletableFuture<SlotLease> result) {
-    waits.put(lease.id(), result);
+      long now, SlotLease lease, int priority, long deadline, CompletableFuture<SlotLease> result) {
+    pendingResults.put(lease.id(), result);
     SlotHolder holder =
         holders.computeIfAbsent(lease.key(), key -> new SlotHolder(key, settings, now));
-    finish(lease.key(), holder.acquire(now, lease.id(), priority, until));
+    complete(lease.key(), holder.acquire(now, lease.id(), priority, deadline));
   }
 
   void release(long now, SlotLease lease) {
-    waits.remove(lease.id());
+    pendingResults.remove(lease.id());
     SlotHolder holder = holders.get(lease.key());
     if (holder != null) {
-      finish(lease.key(), holder.release(now, lease.id()));
+      complete(lease.key(), holder.release(now, lease.id()));
     }
   }
 
   void updateCapacity(long now, String key, int slots, int running) {
-    if (owners.isSelf(key)) {
-      deliver(now, key, owned(key, now).on(new SlotEvent.Capacity(now, slots, running)));
+    if (owners.isOwnedBySelf(key)) {
+      deliver(now, key, ownedSlotsFor(key, now).on(new SlotEvent.Capacity(now, slots, running)));
     }
   }
 
@@ -86,21 +86,21 @@
             holder.ownerChanged(now);
           }
         });
-    ownedSlots.keySet().removeIf(key -> !owners.isSelf(key));
+    ownedSlots.keySet().removeIf(key -> !owners.isOwnedBySelf(key));
   }
 
-  void nodeGone(long now, NodeId node) {
+  void removeNode(long now, NodeId node) {
     for (String key : List.copyOf(ownedSlots.keySet())) {
       deliver(now, key, ownedSlots.get(key).on(new SlotEvent.HolderDead(now, node)));
     }
   }
 
-  /** Tells whether something is held or waited for, so that it has to be reported. */
+  /** Returns whether this node holds or waits for slots, so that it has to report them. */
   boolean hasHolders() {
     return !holders.isEmpty();
   }
 
-  /** When {@link #tick} is due for the owned slots. */
+  /** Returns the time when {@link #tick} is due for the owned slots. */
   long nextDeadline() {
     long deadline = Long.MAX_VALUE;
     for (SlotOwner owner : ownedSlots.values()) {
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Reports all that is held to its owners. */
+  /** Reports the held and requested slots to their owners. */
   void flush(long now) {
     for (String key : List.copyOf(holders.keySet())) {
       flush(now, key);
@@ -126,8 +126,8 @@
 
   private void flush(long now, String key) {
     SlotHolder holder = holders.get(key);
-    finish(key, holder.tick(now));
-    HostName owner = owners.of(key);
+    complete(key, holder.tick(now));
+    HostName owner = owners.ownerOf(key);
     if (!outbox.isReady(owner, now)) {
       return;
     }
@@ -137,62 +137,65 @@
         holders.remove(key);
       }
     } else if (owner.equals(self.host())) {
-      deliver(now, key, reported(now, self, report.get()));
+      deliver(now, key, onReport(now, self, report.get()));
     } else {
-      outbox.pending(owner).reports().add(report.get());
+      outbox.pending(owner).slotReports().add(report.get());
     }
   }
 
-  /** Takes the reports of a peer, and adds the grants for it; those for third nodes wait. */
+  /**
+   * Handles the reports of a peer and adds the grants for this peer to the reply; grants for other
+   * nodes wait for the next flush.
+   */
   void answerReports(long now, NodeId sender, List<SlotReport> reports, List<SlotGrant> reply) {
     for (SlotReport report : reports) {
-      if (!owners.isSelf(report.key())) {
+      if (!owners.isOwnedBySelf(report.key())) {
         continue;
       }
-      for (SlotOwner.Answer answer : reported(now, sender, report)) {
-        if (answer.holder().equals(sender)) {
-          reply.add(answer.grant());
+      for (SlotOwner.Answer addressed : onReport(now, sender, report)) {
+        if (addressed.holder().equals(sender)) {
+          reply.add(addressed.grant());
         } else {
-          deliver(now, report.key(), List.of(answer));
+          deliver(now, report.key(), List.of(addressed));
         }
       }
     }
   }
 
-  void granted(long now, NodeId from, SlotGrant grant) {
+  void onGrant(long now, NodeId from, SlotGrant grant) {
     SlotHolder holder = holders.get(grant.key());
     if (holder != null && owners.isOwner(from.host(), grant.key())) {
-      finish(grant.key(), holder.granted(now, grant));
+      complete(grant.key(), holder.granted(now, grant));
     }
   }
 
-  /** Takes note that reports were sent, and which grants came back. */
-  void reportsAnswered(List<SlotReport> sent, List<SlotGrant> grants) {
-    Set<String> granted = new HashSet<>();
-    grants.forEach(grant -> granted.add(grant.key()));
+  /** Records the reply to reports; reports without a grant for their key count as lost. */
+  void onReportsAnswered(List<SlotReport> sent, List<SlotGrant> grants) {
+    Set<String> answeredKeys = new HashSet<>();
+    grants.forEach(grant -> answeredKeys.add(grant.key()));
     for (SlotReport report : sent) {
-      if (!granted.contains(report.key())) {
-        reportLost(report);
+      if (!answeredKeys.contains(report.key())) {
+        onReportLost(report);
       }
     }
   }
 
-  void reportsLost(List<SlotReport> sent) {
-    sent.forEach(this::reportLost);
+  void onReportsLost(List<SlotReport> sent) {
+    sent.forEach(this::onReportLost);
   }
 
-  private void reportLost(SlotReport report) {
+  private void onReportLost(SlotReport report) {
     SlotHolder holder = holders.get(report.key());
     if (holder != null) {
       holder.reportLost();
     }
   }
 
-  private List<SlotOwner.Answer> reported(long now, NodeId holder, SlotReport report) {
-    return owned(report.key(), now).on(new SlotEvent.Reported(now, holder, report));
+  private List<SlotOwner.Answer> onReport(long now, NodeId holder, SlotReport report) {
+    return ownedSlotsFor(report.key(), now).on(new SlotEvent.Reported(now, holder, report));
   }
 
-  private SlotOwner owned(String key, long now) {
+  private SlotOwner ownedSlotsFor(String key, long now) {
     SlotOwner known = ownedSlots.get(key);
     if (known != null) {
       return known;
@@ -206,36 +209,36 @@
     return owner;
   }
 
-  private void deliver(long now, String key, List<SlotOwner.Answer> answers) {
-    for (SlotOwner.Answer answer : answers) {
-      if (answer.holder().equals(self)) {
-        granted(now, self, answer.grant());
+  private void deliver(long now, String key, List<SlotOwner.Answer> addressedGrants) {
+    for (SlotOwner.Answer addressed : addressedGrants) {
+      if (addressed.holder().equals(self)) {
+        onGrant(now, self, addressed.grant());
       } else {
-        outbox.pending(answer.holder().host()).grants().add(answer.grant());
+        outbox.pending(addressed.holder().host()).slotGrants().add(addressed.grant());
       }
     }
   }
 
-  private void finish(String key, List<SlotHolder.Outcome> outcomes) {
+  private void complete(String key, List<SlotHolder.Outcome> outcomes) {
     for (SlotHolder.Outcome outcome : outcomes) {
-      CompletableFuture<SlotLease> wait = waits.remove(outcome.id());
-      if (wait == null) {
+      CompletableFuture<SlotLease> pending = pendingResults.remove(outcome.id());
+      if (pending == null) {
         continue;
       }
       if (outcome.result() == SlotHolder.Result.ACQUIRED) {
-        wait.complete(new SlotLease(key, outcome.id()));
+        pending.complete(new SlotLease(key, outcome.id()));
       } else {
-        wait.completeExceptionally(
+        pending.completeExceptionally(
             new LarkkeelException(
                 ErrorKind.OVERLOADED, "no slot of " + key + " became free in time"));
       }
     }
   }
 
-  /** Takes away all that waits. */
-  List<CompletableFuture<SlotLease>> takeWaits() {
-    List<CompletableFuture<SlotLease>> all = List.copyOf(waits.values());
-    waits.clear();
+  /** Removes and returns all pending results. */
+  List<CompletableFuture<SlotLease>> takePendingResults() {
+    List<CompletableFuture<SlotLease>> all = List.copyOf(pendingResults.values());
+    pendingResults.clear();
     return all;
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Contacts.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Contacts.java
@@ -16,7 +16,7 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * The addresses through which a cluster may be found: the seeds and the host list.
+ * The addresses through which a node can find its cluster: the seeds and the host list.
  *
  * <p>Not safe for use by several threads.
  */
@@ -38,40 +38,45 @@
     hosts = list;
   }
 
-  /** The hosts that the host list calls leaving. */
-  Set<HostName> leaving() {
-    Set<HostName> leaving = new HashSet<>();
+  /** Returns the hosts that the host list marks as leaving. */
+  Set<HostName> leavingHosts() {
+    Set<HostName> leavingHosts = new HashSet<>();
     for (HostEntry entry : hosts) {
       if (entry.leaving()) {
-        leaving.add(entry.host());
+        leavingHosts.add(entry.host());
       }
     }
-    return leaving;
+    return leavingHosts;
   }
 
-  /** Some addresses to join through, chosen at random. */
-  List<NodeAddress> toJoin() {
-    List<NodeAddress> known = new ArrayList<>(seeds);
+  /** Returns up to {@value #JOIN_FAN_OUT} randomly chosen addresses to join through. */
+  List<NodeAddress> joinTargets() {
+    List<NodeAddress> addresses = new ArrayList<>(seeds);
     for (HostEntry entry : hosts) {
-      known.add(entry.address());
+      addresses.add(entry.address());
     }
-    known.removeIf(self::equals);
-    Collections.shuffle(known, random);
-    return known.subList(0, Math.min(JOIN_FAN_OUT, known.size()));
+    addresses.removeIf(self::equals);
+    Collections.shuffle(addresses, random);
+    return addresses.subList(0, Math.min(JOIN_FAN_OUT, addresses.size()));
   }
 
-  /** One address where no member is present, so that the sides of a partition meet again. */
-  Optional<NodeAddress> toRejoin(List<Member> presentMembers) {
+  /**
+   * Returns a random known address where no member is present, so that the sides of a partition
+   * merge again once it heals.
+   */
+  Optional<NodeAddress> rejoinTarget(List<Member> presentMembers) {
     Set<NodeAddress> present = new HashSet<>();
     for (Member member : presentMembers) {
       present.add(member.address());
     }
-    List<NodeAddress> lost = new ArrayList<>();
+    List<NodeAddress> candidates = new ArrayList<>();
     for (HostEntry entry : hosts) {
-      lost.add(entry.address());
+      candidates.add(entry.address());
     }
-    lost.addAll(seeds);
-    lost.removeIf(address -> present.contains(address) || address.equals(self));
-    return lost.isEmpty() ? Optional.empty() : Optional.of(lost.get(random.nextInt(lost.size())));
+    candidates.addAll(seeds);
+    candidates.removeIf(address -> present.contains(address) || address.equals(self));
+    return candidates.isEmpty()
+        ? Optional.empty()
+        : Optional.of(candidates.get(random.nextInt(candidates.size())));
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Dissemination.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Dissemination.java
@@ -14,76 +14,78 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * Records that wait to be piggybacked: those sent least often go first, members before load.
+ * The records that wait to be piggybacked on messages. Member records go before load records;
+ * within each kind, records that were sent least often go first.
  *
- * <p>Invariants: at most one record a host and one a load key waits, and each goes out a bounded
- * number of times. Not safe for use by several threads.
+ * <p>Invariants: at most one record per host and one per load key is pending, and each is sent a
+ * bounded number of times. Not safe for use by several threads.
  */
 final class Dissemination {
-  private static final int MEMBER_OVERHEAD = 40;
-  private static final int LOAD_OVERHEAD = 14;
+  private static final int MEMBER_OVERHEAD_BYTES = 40;
+  private static final int LOAD_OVERHEAD_BYTES = 14;
 
   private final Map<HostName, Pending<Member>> members = new LinkedHashMap<>();
   private final Map<String, Pending<LoadRecord>> load = new LinkedHashMap<>();
 
-  /** What fits into one message. */
+  /** The records of one message, with their estimated size. */
   record Payload(List<Member> members, List<LoadRecord> load, int bytes) {}
 
   void add(Member member) {
-    members.put(member.id().host(), new Pending<>(member, sizeOf(member)));
+    members.put(member.id().host(), new Pending<>(member, maxEncodedBytes(member)));
   }
 
   void add(LoadRecord record) {
-    int size = LOAD_OVERHEAD + record.key().length() + record.value().length;
+    int size = LOAD_OVERHEAD_BYTES + record.key().length() + record.value().length;
     load.put(record.key(), new Pending<>(record, size));
   }
 
   /**
    * Chooses the records of one message and counts them as sent.
    *
-   * @param bytes the most bytes of records
-   * @param limit how often a record is sent
-   * @param forced members that go in any case
+   * @param maxBytes the maximum number of bytes of records
+   * @param maxSends the number of messages in which a record is sent
+   * @param required members that are always included
    */
-  Payload take(int bytes, int limit, List<Member> forced) {
-    List<Member> chosen = new ArrayList<>(forced);
-    int left = bytes;
-    for (Member member : forced) {
-      left -= sizeOf(member);
+  Payload take(int maxBytes, int maxSends, List<Member> required) {
+    List<Member> chosen = new ArrayList<>(required);
+    int bytesLeft = maxBytes;
+    for (Member member : required) {
+      bytesLeft -= maxEncodedBytes(member);
     }
-    left = fill(members, chosen, left, limit);
+    bytesLeft = fill(members, chosen, bytesLeft, maxSends);
     List<LoadRecord> chosenLoad = new ArrayList<>();
-    left = fill(load, chosenLoad, left, limit);
-    return new Payload(chosen, chosenLoad, bytes - left);
+    bytesLeft = fill(load, chosenLoad, bytesLeft, maxSends);
+    return new Payload(chosen, chosenLoad, maxBytes - bytesLeft);
   }
 
-  private static <K, T> int fill(Map<K, Pending<T>> waiting, List<T> chosen, int bytes, int limit) {
-    if (waiting.isEmpty()) {
-      return bytes;
+  private static <K, T> int fill(
+      Map<K, Pending<T>> pendingRecords, List<T> chosen, int maxBytes, int maxSends) {
+    if (pendingRecords.isEmpty()) {
+      return maxBytes;
     }
-    List<Map.Entry<K, Pending<T>>> order = new ArrayList<>(waiting.entrySet());
-    order.sort(Comparator.comparingInt(entry -> entry.getValue().sent));
-    int left = bytes;
+    List<Map.Entry<K, Pending<T>>> order = new ArrayList<>(pendingRecords.entrySet());
+    order.sort(Comparator.comparingInt(entry -> entry.getValue().sentCount));
+    int bytesLeft = maxBytes;
     for (Map.Entry<K, Pending<T>> entry : order) {
       Pending<T> pending = entry.getValue();
-      if (pending.size > left) {
+      if (pending.size > bytesLeft) {
         continue;
       }
-      left -= pending.size;
+      bytesLeft -= pending.size;
       if (!chosen.contains(pending.record)) {
         chosen.add(pending.record);
       }
-      pending.sent++;
-      if (pending.sent >= limit) {
-        waiting.remove(entry.getKey());
+      pending.sentCount++;
+      if (pending.sentCount >= maxSends) {
+        pendingRecords.remove(entry.getKey());
       }
     }
-    return left;
+    return bytesLeft;
   }
 
-  /** An upper estimate of the encoded size. */
-  static int sizeOf(Member member) {
-    return MEMBER_OVERHEAD
+  /** Returns an upper estimate of the encoded size, in bytes. */
+  static int maxEncodedBytes(Member member) {
+    return MEMBER_OVERHEAD_BYTES
         + member.id().host().value().length()
         + member.dataCentre().value().length();
   }
@@ -91,7 +93,7 @@
   private static final class Pending<T> {
     private final T record;
     private final int size;
-    private int sent;
+    private int sentCount;
 
     Pending(T record, int size) {
       this.record = record;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Effect.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Effect.java
@@ -9,7 +9,7 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * What {@link Membership} wants done, in order.
+ * An action that {@link Membership} requests from its caller, to be executed in order.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -18,7 +18,7 @@
 public sealed interface Effect {
 
   /**
-   * Send a datagram.
+   * Sends a datagram.
    *
    * @param to the destination
    * @param message the message
@@ -26,34 +26,34 @@
   record Send(NodeAddress to, Message message) implements Effect {}
 
   /**
-   * The view of a member changed.
+   * Reports that the view of a member changed.
    *
-   * @param member the record now in force; a dead one names the incarnation whose requests are
-   *     orphans
-   * @param leaving true if the member or the host list says that it leaves
+   * @param member the current record; if it is dead, the requests of this incarnation are orphans
+   * @param leaving true if the member itself or the host list announced that it is leaving
    */
   record MemberChanged(Member member, boolean leaving) implements Effect {}
 
   /**
-   * A peer holds a newer configuration than this node. Repeated at most once a second while it
-   * stays so.
+   * Reports that a peer holds a newer configuration than this node. Repeated at most once a second
+   * while this is the case.
    *
-   * @param peer a node that holds it
-   * @param revision the revision
+   * @param peer the peer that holds the configuration
+   * @param revision the revision that the peer holds
    */
   record NewerRevision(Member peer, Revision revision) implements Effect {}
 
   /**
-   * A load record arrived that is newer than the one known.
+   * Reports that a load record arrived that is newer than the known one.
    *
    * @param load the record
    */
   record LoadLearned(LoadRecord load) implements Effect {}
 
   /**
-   * A later process runs under the name of this host; this one must stop.
+   * Reports that a process with a greater incarnation runs under the name of this host; this node
+   * must stop.
    *
-   * @param later the other process
+   * @param later the process with the greater incarnation
    */
   record Superseded(NodeId later) implements Effect {}
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Event.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Event.java
@@ -10,7 +10,7 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * What happens to {@link Membership}. Times are nanoseconds of one monotonic clock.
+ * An input of {@link Membership}. Times are nanoseconds of one monotonic clock.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -19,14 +19,14 @@
 public sealed interface Event {
 
   /**
-   * When the event happened.
+   * Returns the time of the event.
    *
    * @return nanoseconds
    */
   long now();
 
   /**
-   * Time has passed; due at {@link Membership#nextDeadline()}.
+   * Time passed; due at {@link Membership#nextDeadline()}.
    *
    * @param now nanoseconds
    */
@@ -36,7 +36,7 @@
    * A message arrived.
    *
    * @param now nanoseconds
-   * @param source where the answer goes
+   * @param source the address that the reply is sent to
    * @param message the message
    */
   record Received(long now, NodeAddress source, Message message) implements Event {}
@@ -45,20 +45,20 @@
    * The platform's host list was read.
    *
    * @param now nanoseconds
-   * @param hosts the whole list
+   * @param hosts the complete list
    */
   record HostList(long now, List<HostEntry> hosts) implements Event {}
 
   /**
-   * This node holds a newer configuration.
+   * This node now holds a newer configuration.
    *
    * @param now nanoseconds
-   * @param revision what it holds
+   * @param revision the revision that this node holds
    */
   record RevisionHeld(long now, Revision revision) implements Event {}
 
   /**
-   * This node has a load record to spread.
+   * This node has a load record to publish.
    *
    * @param now nanoseconds
    * @param load the record
@@ -66,14 +66,14 @@
   record LoadChanged(long now, LoadRecord load) implements Event {}
 
   /**
-   * This node takes no new ownership from now on.
+   * This node is leaving: it takes no new ownership from now on.
    *
    * @param now nanoseconds
    */
   record Leave(long now) implements Event {}
 
   /**
-   * This node stops now, everything given back.
+   * This node stops now, after it released all leases.
    *
    * @param now nanoseconds
    */
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Hashes.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Hashes.java
@@ -7,9 +7,9 @@
 package org.larkkeel.peer.membership;
 
 /**
- * A 64-bit hash that every node computes alike: FNV-1a with a final mixer.
+ * A 64-bit hash that is the same on every node: FNV-1a with a final mixer.
  *
- * <p>Not meant against an adversary. Stateless and safe for use by several threads.
+ * <p>Not resistant to inputs chosen by an attacker. Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
@@ -23,7 +23,7 @@
   private Hashes() {}
 
   /**
-   * Hashes a text.
+   * Returns the hash of a text.
    *
    * @param text the text, never null
    * @return the hash
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Spreads every bit of a value over the result.
+   * Mixes a value so that each of its bits influences all bits of the result.
    *
    * @param value the value
    * @return the mixed value
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/HeaderWriter.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/HeaderWriter.java
@@ -10,8 +10,9 @@
 import org.larkkeel.lib.TokenBucket;
 
 /**
- * Writes the headers of messages, with as many records as the bounds of bytes allow. The bound over
- * time keeps lost messages and their repetitions from multiplying records.
+ * Creates the headers of messages, with as many records as the byte limits per message and per
+ * second allow. The limit per second bounds the records that lost messages and their
+ * retransmissions cause.
  *
  * <p>Times are nanoseconds. Not safe for use by several threads.
  */
@@ -20,7 +21,7 @@
   private final MemberRecords records;
   private final RevisionTable revisions;
   private final Dissemination dissemination;
-  private final TokenBucket allowance;
+  private final TokenBucket byteBudget;
 
   HeaderWriter(
       MembershipSettings settings,
@@ -32,25 +33,25 @@
     this.records = records;
     this.revisions = revisions;
     this.dissemination = dissemination;
-    int rate = settings.piggybackBytesPerSecond();
-    this.allowance = new TokenBucket(rate, rate, now);
+    int rate = settings.maxPiggybackBytesPerSecond();
+    this.byteBudget = new TokenBucket(rate, rate, now);
   }
 
-  /** A header for a member, with what it has to contradict. */
+  /** Returns a header for a member, with the record that the member has to refute, if any. */
   Message.Header headerFor(Member target, long now) {
-    return header(records.contradictions(target.id()), now);
+    return header(records.recordsToRefute(target.id()), now);
   }
 
-  /** A header with news, and with some records in any case. */
-  Message.Header header(List<Member> forced, long now) {
-    int limit = settings.retransmits(records.table().size());
-    int bytes = Math.min(settings.piggybackBytes(), (int) allowance.level(now));
-    Dissemination.Payload payload = dissemination.take(bytes, limit, forced);
-    allowance.take(payload.bytes());
+  /** Returns a header with pending records and with records that are always included. */
+  Message.Header header(List<Member> required, long now) {
+    int maxSends = settings.retransmits(records.table().size());
+    int maxBytes = Math.min(settings.maxPiggybackBytes(), (int) byteBudget.level(now));
+    Dissemination.Payload payload = dissemination.take(maxBytes, maxSends, required);
+    byteBudget.take(payload.bytes());
     return withRecords(payload.members(), payload.load());
   }
 
-  /** A header with a page of records and no news. */
+  /** Returns a header with a page of records and without pending records. */
   Message.Header page(List<Member> members) {
     return withRecords(members, List.of());
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/LoadRecord.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/LoadRecord.java
@@ -9,33 +9,34 @@
 import java.util.Arrays;
 
 /**
- * A small opaque value that is spread to every node, such as the quantised load of an upstream.
+ * A small opaque value that is disseminated to every node, such as the quantised load of an
+ * upstream.
  *
- * <p>Of two records with the same key, the one with the greater version counts. Immutable as long
- * as nobody writes to the array; safe for use by several threads.
+ * <p>Of two records with the same key, the one with the greater version replaces the other.
+ * Immutable as long as the array is not written to; safe for use by several threads.
  *
- * @param key names the value, at most {@value #MAX_KEY} characters, never null
- * @param version grows with each change
- * @param value at most {@value #MAX_VALUE} bytes, not copied, never null
+ * @param key the name of the value, at most {@value #MAX_KEY_LENGTH} characters, never null
+ * @param version increases with each change
+ * @param value at most {@value #MAX_VALUE_BYTES} bytes, not copied, never null
  * @since 0.1
  */
 @SuppressWarnings("ArrayRecordComponent") // The array is handed to the codec without a copy.
 public record LoadRecord(String key, long version, byte[] value) {
-  /** The longest key, in characters. */
-  public static final int MAX_KEY = 64;
+  /** The maximum length of a key, in characters. */
+  public static final int MAX_KEY_LENGTH = 64;
 
-  /** The longest value, in bytes. */
-  public static final int MAX_VALUE = 64;
+  /** The maximum size of a value, in bytes. */
+  public static final int MAX_VALUE_BYTES = 64;
 
   /** Checks the bounds. */
   public LoadRecord {
-    if (key.isEmpty() || key.length() > MAX_KEY) {
+    if (key.isEmpty() || key.length() > MAX_KEY_LENGTH) {
       throw new IllegalArgumentException(
-          "key has " + key.length() + " characters: use 1 to " + MAX_KEY);
+          "key has " + key.length() + " characters: use 1 to " + MAX_KEY_LENGTH);
     }
-    if (value.length > MAX_VALUE) {
+    if (value.length > MAX_VALUE_BYTES) {
       throw new IllegalArgumentException(
-          "value has " + value.length + " bytes: use at most " + MAX_VALUE);
+          "value has " + value.length + " bytes: use at most " + MAX_VALUE_BYTES);
     }
   }
 
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/LoadTable.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/LoadTable.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * The newest load record of each key, up to a number of keys; the one changed longest ago goes
- * first. Not safe for use by several threads.
+ * The newest load record of each key. If the table is full, the record that was changed least
+ * recently is removed. Not safe for use by several threads.
  */
 final class LoadTable {
   private final int maxKeys;
@@ -21,8 +21,8 @@
     this.maxKeys = maxKeys;
   }
 
-  /** Takes a record, and tells whether it is newer than what was known. */
-  boolean learn(LoadRecord load) {
+  /** Adds a record if it is newer than the known one of its key, and returns whether it was. */
+  boolean putIfNewer(LoadRecord load) {
     LoadRecord known = records.get(load.key());
     if (known != null && known.version() >= load.version()) {
       return false;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Member.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Member.java
@@ -12,16 +12,16 @@
  * One record about a member.
  *
  * <p>Records about one host are totally ordered by (incarnation, refutation, state); the greatest
- * one counts, in whatever order they arrive. Only the member itself raises the refutation, to
- * contradict a suspicion or to announce that it is leaving. Immutable and safe for use by several
- * threads.
+ * one is valid, independent of the order of arrival. Only the member itself increments the
+ * refutation, to refute a suspicion or to announce that it is leaving or stops. Immutable and safe
+ * for use by several threads.
  *
  * @param id the host and incarnation, never null
- * @param refutation grows within one incarnation
- * @param state what is known, never null
+ * @param refutation a counter that increases within one incarnation
+ * @param state the known state, never null
  * @param leaving true if the member finishes its work and takes no new ownership
- * @param address where the member listens, never null
- * @param dataCentre where the member runs, never null
+ * @param address the address of the member, never null
+ * @param dataCentre the data centre of the member, never null
  * @since 0.1
  */
 public record Member(
@@ -33,11 +33,11 @@
     DataCentreName dataCentre) {
 
   /**
-   * A live member at the start of its incarnation.
+   * Returns the record of a live member at the start of its incarnation.
    *
    * @param id the host and incarnation
-   * @param address where it listens
-   * @param dataCentre where it runs
+   * @param address the address of the member
+   * @param dataCentre the data centre of the member
    * @return the record
    */
   public static Member live(NodeId id, NodeAddress address, DataCentreName dataCentre) {
@@ -45,10 +45,10 @@
   }
 
   /**
-   * Tells whether this record replaces another one about the same host.
+   * Returns whether this record replaces another one about the same host.
    *
    * @param other the other record
-   * @return true if this one is greater
+   * @return true if this record is greater
    */
   public boolean supersedes(Member other) {
     int order = id.incarnation().compareTo(other.id.incarnation());
@@ -62,24 +62,24 @@
   }
 
   /**
-   * The same member in another state.
+   * Returns the record of the same member in another state.
    *
    * @param next the state
-   * @return a record of the same incarnation and refutation
+   * @return a record with the same incarnation and refutation
    */
   public Member withState(MemberState next) {
     return new Member(id, refutation, next, leaving, address, dataCentre);
   }
 
   /**
-   * The next record of the member about itself.
+   * Returns the next record that the member announces about itself.
    *
    * @param nextRefutation the new refutation
    * @param nextState the new state
-   * @param nextLeaving whether it is leaving
+   * @param nextLeaving true if the member is leaving
    * @return the record
    */
-  public Member announce(int nextRefutation, MemberState nextState, boolean nextLeaving) {
+  public Member withRefutation(int nextRefutation, MemberState nextState, boolean nextLeaving) {
     return new Member(id, nextRefutation, nextState, nextLeaving, address, dataCentre);
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MemberRecords.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MemberRecords.java
@@ -13,12 +13,13 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * The records of this node and of the others, and the rules by which a record replaces another.
+ * The member records of this node and its peers, and the rules by which one record replaces
+ * another.
  *
- * <p>Invariants: the record in force about a host never gets smaller in the order of {@link
- * Member#supersedes}, while it is remembered; only the member itself raises its refutation. Each
- * change is disseminated and added to the effects. Times are nanoseconds. Not safe for use by
- * several threads.
+ * <p>Invariants: the current record of a host never decreases in the order of {@link
+ * Member#supersedes}, until its tombstone expires; only the member itself increments its
+ * refutation. Each change of a record is disseminated, and each change of a peer's record is added
+ * to the effects. Times are nanoseconds. Not safe for use by several threads.
  */
 final class MemberRecords {
   private final MembershipSettings settings;
@@ -31,13 +32,13 @@
   private Member self;
 
   /**
-   * Creates the records of a node that knows nobody yet.
+   * Creates the records of a node that knows no peers yet.
    *
    * @param self the node's own record
-   * @param dissemination takes each changed record
-   * @param revisions forgets members that are gone
-   * @param prober told of members that came
-   * @param effects takes what is to be done
+   * @param dissemination receives each changed record
+   * @param revisions drops the revisions of members that are dead or have left
+   * @param prober receives new members
+   * @param effects receives the resulting effects
    */
   MemberRecords(
       MembershipSettings settings,
@@ -76,7 +77,7 @@
     return all;
   }
 
-  /** The hosts that may own something: present and not leaving. */
+  /** Returns the hosts that may own keys: present and not leaving. */
   Set<HostName> owners() {
     Set<HostName> owners = new HashSet<>();
     for (Member member : table.present()) {
@@ -90,125 +91,133 @@
     return owners;
   }
 
-  /** Raises this node's own record to a new state. */
+  /** Announces a new state of this node: increments its refutation and disseminates the record. */
   void announce(MemberState state, boolean leaving) {
-    self = self.announce(self.refutation() + 1, state, leaving);
+    self = self.withRefutation(self.refutation() + 1, state, leaving);
     dissemination.add(self);
     effects.add(new Effect.MemberChanged(self, leaving));
   }
 
-  /** Takes the set of hosts that the host list calls leaving. */
-  void listAsLeaving(Set<HostName> hosts) {
+  /** Sets the hosts that the host list marks as leaving. */
+  void setListedAsLeaving(Set<HostName> hosts) {
     Set<HostName> leaving = new HashSet<>(hosts);
     if (leaving.remove(self.id().host()) && !self.leaving()) {
       announce(MemberState.LIVE, true);
     }
     for (HostName host : table.replaceListedAsLeaving(leaving)) {
-      table.find(host).ifPresent(this::changed);
+      table.find(host).ifPresent(this::addChange);
     }
   }
 
   void suspect(Member target, long now) {
     Member known = table.find(target.id().host()).orElse(target);
     if (known.id().equals(target.id()) && known.state() == MemberState.LIVE) {
-      learn(known.withState(MemberState.SUSPECT), now, false);
+      merge(known.withState(MemberState.SUSPECT), now, false);
     }
   }
 
   void declareDead(HostName host, long now) {
-    table.find(host).ifPresent(known -> learn(known.withState(MemberState.DEAD), now, false));
+    table.find(host).ifPresent(known -> merge(known.withState(MemberState.DEAD), now, false));
   }
 
   /**
-   * Takes a record from a peer.
+   * Merges a record received from a peer.
    *
-   * @param heard the record
-   * @param fromPage true if it came with a page of all records rather than as news
+   * @param received the record received
+   * @param fromPage true if the record is part of a sync page rather than piggybacked
    */
-  void learn(Member heard, long now, boolean fromPage) {
-    HostName host = heard.id().host();
+  void merge(Member received, long now, boolean fromPage) {
+    HostName host = received.id().host();
     if (isSelf(host)) {
-      defend(heard);
+      refute(received);
       return;
     }
     Optional<Member> known = table.find(host);
     if (known.isEmpty()) {
-      // A page may hold what all others have forgotten already.
-      if (!fromPage || heard.state().isPresent()) {
-        accept(heard, now);
-        prober.include(host);
+      // A page may hold a dead or left member whose tombstone expired at all other nodes.
+      if (!fromPage || received.state().isPresent()) {
+        accept(received, now);
+        prober.addToRound(host);
       }
       return;
     }
     Member member = known.get();
-    Member next = fromPage ? softened(heard, member) : heard;
+    Member next = fromPage ? deadAsSuspect(received, member) : received;
     if (!next.supersedes(member)) {
       return;
     }
     boolean restarted = !member.id().equals(next.id());
     if (restarted && member.state().isPresent()) {
-      changed(member.withState(MemberState.DEAD));
+      addChange(member.withState(MemberState.DEAD));
     }
     accept(next, now);
     if (!member.state().isPresent() && next.state().isPresent()) {
-      prober.include(host);
+      prober.addToRound(host);
     }
   }
 
-  /** After a partition both sides hold the other as dead; each gets the chance to refute. */
-  private static Member softened(Member heard, Member known) {
+  /**
+   * Converts a death reported in a page to a suspicion if the member is present here. After a
+   * partition both sides consider the other dead; the suspicion lets each member refute.
+   */
+  private static Member deadAsSuspect(Member received, Member known) {
     boolean refutable =
-        heard.state() == MemberState.DEAD
+        received.state() == MemberState.DEAD
             && known.state().isPresent()
-            && heard.id().equals(known.id());
-    return refutable ? heard.withState(MemberState.SUSPECT) : heard;
+            && received.id().equals(known.id());
+    return refutable ? received.withState(MemberState.SUSPECT) : received;
   }
 
   private void accept(Member member, long now) {
     HostName host = member.id().host();
-    table.put(member, now + settings.tombstoneTime());
+    table.put(member, now + settings.tombstoneNanos());
     dissemination.add(member);
     if (member.state() == MemberState.SUSPECT) {
-      suspicions.start(host, now, settings.suspicionTime(table.size()));
+      suspicions.start(host, now, settings.suspicionNanos(table.size()));
     } else {
       suspicions.end(host);
     }
     if (!member.state().isPresent()) {
-      revisions.forget(host);
+      revisions.remove(host);
     }
-    changed(member);
+    addChange(member);
   }
 
-  private void changed(Member member) {
+  private void addChange(Member member) {
     effects.add(new Effect.MemberChanged(member, table.isLeaving(member)));
   }
 
-  private void defend(Member heard) {
-    int order = heard.id().incarnation().compareTo(self.id().incarnation());
+  private void refute(Member received) {
+    int order = received.id().incarnation().compareTo(self.id().incarnation());
     if (order > 0) {
-      effects.add(new Effect.Superseded(heard.id()));
+      effects.add(new Effect.Superseded(received.id()));
       return;
     }
     boolean contradicted =
-        order == 0 && heard.refutation() >= self.refutation() && heard.state() != self.state();
+        order == 0
+            && received.refutation() >= self.refutation()
+            && received.state() != self.state();
     if (order < 0) {
       dissemination.add(self);
-    } else if (contradicted || heard.refutation() > self.refutation()) {
-      self = self.announce(heard.refutation() + 1, self.state(), self.leaving());
+    } else if (contradicted || received.refutation() > self.refutation()) {
+      self = self.withRefutation(received.refutation() + 1, self.state(), self.leaving());
       dissemination.add(self);
     }
   }
 
-  /** Takes note of a process that speaks under the name of this host. */
-  void defendAgainst(NodeId sender) {
+  /**
+   * Reports {@link Effect.Superseded} if another process uses the name of this host with a greater
+   * incarnation.
+   */
+  void checkSuperseded(NodeId sender) {
     if (sender.incarnation().compareTo(self.id().incarnation()) > 0) {
       effects.add(new Effect.Superseded(sender));
     }
   }
 
-  /** Tells whether a peer's records about this node differ from the one in force. */
-  boolean contradictSelf(List<Member> heard) {
-    for (Member member : heard) {
+  /** Returns whether a received record about this node differs from its own record. */
+  boolean differFromSelf(List<Member> received) {
+    for (Member member : received) {
       if (isSelf(member.id().host()) && !member.equals(self)) {
         return true;
       }
@@ -216,8 +225,11 @@
     return false;
   }
 
-  /** The record about a node that it has to contradict, if this node holds one. */
-  List<Member> contradictions(NodeId target) {
+  /**
+   * Returns the record that a node has to refute, if this node holds one: a record that is not live
+   * or has another incarnation.
+   */
+  List<Member> recordsToRefute(NodeId target) {
     Optional<Member> known = table.find(target.host());
     boolean contradicted =
         known.isPresent()
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MemberState.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MemberState.java
@@ -7,23 +7,26 @@
 package org.larkkeel.peer.membership;
 
 /**
- * What is known of a member. The order of the constants is the order of precedence between records
- * of one incarnation and refutation.
+ * The state of a member. Between records of one incarnation and refutation, a later constant takes
+ * precedence.
  *
  * @since 0.1
  */
 public enum MemberState {
-  /** Answers probes. */
+  /** The member answers probes. */
   LIVE,
-  /** Missed a probe and has not refuted it yet. */
+  /** The member did not answer a probe and has not refuted the suspicion yet. */
   SUSPECT,
-  /** Did not refute the suspicion in time: the process or the way to it is lost. */
+  /**
+   * The member did not refute the suspicion in time: its process ended or the network path to it is
+   * broken.
+   */
   DEAD,
-  /** Stopped on its own after giving everything back. */
+  /** The member announced its stop after it released all leases. */
   LEFT;
 
   /**
-   * Tells whether the member still takes part.
+   * Returns whether the member is part of the cluster.
    *
    * @return true for live and suspect members
    */
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MemberTable.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MemberTable.java
@@ -17,9 +17,9 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * The greatest record known of each other member, and what the host list says.
+ * The greatest known record of each peer, and the hosts that the host list marks as leaving.
  *
- * <p>Invariant: never holds the node itself. Not safe for use by several threads.
+ * <p>Invariant: the table never contains the node itself. Not safe for use by several threads.
  */
 final class MemberTable {
   private final TreeMap<HostName, Member> members = new TreeMap<>();
@@ -39,7 +39,7 @@
     }
   }
 
-  void forgetTombstones(long now) {
+  void expireTombstones(long now) {
     tombstones
         .entrySet()
         .removeIf(
@@ -52,7 +52,9 @@
             });
   }
 
-  /** Replaces the set of hosts listed as leaving, and returns the hosts whose listing changed. */
+  /**
+   * Replaces the set of hosts listed as leaving and returns the hosts that were added or removed.
+   */
   Set<HostName> replaceListedAsLeaving(Set<HostName> leaving) {
     Set<HostName> changed = new HashSet<>(leaving);
     changed.removeAll(listedAsLeaving);
@@ -84,12 +86,15 @@
     return present;
   }
 
-  /** The number of present members with the node itself. */
+  /** Returns the number of present members, including the node itself. */
   int size() {
     return members.size() - tombstones.size() + 1;
   }
 
-  /** Equal for two nodes that hold the same records of present members, whatever their order. */
+  /**
+   * Returns a digest of the present members; it is equal for two nodes that hold the same records,
+   * independent of their order.
+   */
   long digest(Member self) {
     long digest = digestOf(self);
     for (Member member : members.values()) {
@@ -101,22 +106,25 @@
   }
 
   private static long digestOf(Member member) {
-    // Suspicion is passing and spreads on its own, so it does not count as a difference.
+    // The state is left out: a suspicion is temporary and is disseminated anyway.
     long hash = Hashes.of(member.id().host().value());
     hash = Hashes.mix(hash ^ member.id().incarnation().value());
     return Hashes.mix(hash ^ member.refutation());
   }
 
-  /** The members that follow a name, as many as fit. */
-  Page page(Member self, Optional<HostName> after, int bytes) {
+  /**
+   * Returns the members whose names follow a given one, as many as fit into the limit but at least
+   * one.
+   */
+  Page page(Member self, Optional<HostName> after, int maxBytes) {
     TreeMap<HostName, Member> all = new TreeMap<>(members);
     all.put(self.id().host(), self);
     List<Member> page = new ArrayList<>();
-    int left = bytes;
-    var rest = after.isPresent() ? all.tailMap(after.get(), false) : all;
-    for (Member member : rest.values()) {
-      left -= Dissemination.sizeOf(member);
-      if (left < 0 && !page.isEmpty()) {
+    int bytesLeft = maxBytes;
+    var remaining = after.isPresent() ? all.tailMap(after.get(), false) : all;
+    for (Member member : remaining.values()) {
+      bytesLeft -= Dissemination.maxEncodedBytes(member);
+      if (bytesLeft < 0 && !page.isEmpty()) {
         return new Page(page, true);
       }
       page.add(member);
@@ -124,6 +132,6 @@
     return new Page(page, false);
   }
 
-  /** Some members, and whether more follow. */
+  /** A page of members; {@code more} is true if more members follow. */
   record Page(List<Member> members, boolean more) {}
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Membership.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Membership.java
@@ -16,24 +16,24 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * The membership of one node: a deterministic state machine of the SWIM family.
+ * The membership protocol of one node: a deterministic state machine of the SWIM family.
  *
- * <p>Each period the node probes one member of a shuffled round. An unanswered probe is repeated
- * directly and through helpers; without any answer the member is suspected, and dead if it does not
- * refute the suspicion in time. All that is learnt rides on the probes and their answers, within a
- * bound of bytes a message.
+ * <p>In each period the node probes one member of a shuffled round. An unanswered probe is repeated
+ * directly and through other members; without any answer the member is suspected, and declared dead
+ * if it does not refute the suspicion in time. Changes are piggybacked on probes and their answers,
+ * within a limit of bytes per message.
  *
- * <p>Invariants: the record in force about a host never gets smaller in the order of {@link
- * Member#supersedes}, while it is remembered; only the member itself raises its refutation. A node
- * that stood still does not hold its own silence against others. Not safe for use by several
- * threads.
+ * <p>Invariants: the current record of a host never decreases in the order of {@link
+ * Member#supersedes}, until its tombstone expires; only the member itself increments its
+ * refutation. After a pause of its own process, a node extends the deadlines of its peers instead
+ * of suspecting them. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Membership {
   private static final int STOP_FAN_OUT = 8;
 
-  /** Of pings whose answer matters only for what it carries. */
+  /** The sequence of pings whose answer is needed only for its piggybacked records. */
   private static final long NO_SEQUENCE = 0;
 
   private final MembershipSettings settings;
@@ -48,42 +48,42 @@
   private final MemberTable table;
   private final HeaderWriter headers;
   private long now;
-  private long nextSync;
-  private long nextRejoin;
-  private long nextJoin;
+  private long nextSyncAt;
+  private long nextRejoinAt;
+  private long nextJoinAt;
   private boolean joined;
   private boolean stopped;
 
   /**
-   * Creates the membership of a node that knows nobody yet.
+   * Creates the membership of a node that knows no peers yet.
    *
-   * @param settings periods and bounds
+   * @param settings periods and limits
    * @param self the node's own record, live
    * @param seeds addresses to join through, besides those of the host list
-   * @param seed of the random choices
-   * @param now nanoseconds
+   * @param seed the seed of random choices
+   * @param now the current time in nanoseconds
    */
   public Membership(
       MembershipSettings settings, Member self, List<NodeAddress> seeds, long seed, long now) {
     this.settings = settings;
     this.random = new Random(seed);
-    this.loads = new LoadTable(settings.loadKeys());
+    this.loads = new LoadTable(settings.maxLoadKeys());
     this.contacts = new Contacts(seeds, self.address(), random);
     this.prober = new Prober(settings, random, now);
     this.records = new MemberRecords(settings, self, dissemination, revisions, prober, effects);
     this.table = records.table();
     this.headers = new HeaderWriter(settings, records, revisions, dissemination, now);
     this.now = now;
-    this.nextJoin = now;
-    this.nextSync = now + (long) (random.nextDouble() * settings.syncPeriod());
-    this.nextRejoin = now + (long) (random.nextDouble() * settings.rejoinPeriod());
+    this.nextJoinAt = now;
+    this.nextSyncAt = now + (long) (random.nextDouble() * settings.syncPeriodNanos());
+    this.nextRejoinAt = now + (long) (random.nextDouble() * settings.rejoinPeriodNanos());
   }
 
   /**
-   * Takes the next event.
+   * Handles the next event.
    *
-   * @param event the event, never earlier than the one before
-   * @return what to do, in order
+   * @param event the event, never earlier than the previous one
+   * @return the effects, to be executed in order
    */
   public List<Effect> on(Event event) {
     if (stopped) {
@@ -91,13 +91,13 @@
     }
     effects.clear();
     now = event.now();
-    forgivePause(event.now());
+    compensatePause(event.now());
     switch (event) {
       case Event.Tick tick -> onTick(tick.now());
       case Event.Received received -> onReceived(received);
       case Event.HostList list -> onHostList(list.hosts());
-      case Event.RevisionHeld revision -> revisions.hold(revision.revision());
-      case Event.LoadChanged change -> learnLoad(change.load());
+      case Event.RevisionHeld revision -> revisions.setHeld(revision.revision());
+      case Event.LoadChanged change -> mergeLoad(change.load());
       case Event.Leave ignored -> records.announce(MemberState.LIVE, true);
       case Event.Stop ignored -> onStop();
     }
@@ -105,29 +105,29 @@
   }
 
   /**
-   * When the next {@link Event.Tick} is due.
+   * Returns the time when the next {@link Event.Tick} is due.
    *
    * @return nanoseconds
    */
   public long nextDeadline() {
-    long deadline = Math.min(prober.nextDeadline(), Math.min(nextSync, nextRejoin));
+    long deadline = Math.min(prober.nextDeadline(), Math.min(nextSyncAt, nextRejoinAt));
     if (!joined) {
-      deadline = Math.min(deadline, nextJoin);
+      deadline = Math.min(deadline, nextJoinAt);
     }
     return Math.min(deadline, records.suspicions().nextDeadline());
   }
 
   /**
-   * The node's own record.
+   * Returns the node's own record.
    *
-   * @return the record in force
+   * @return the current record
    */
   public Member self() {
     return records.self();
   }
 
   /**
-   * Tells whether a peer has answered since the start.
+   * Returns whether a peer has answered a sync request since the start.
    *
    * @return true once the node has joined
    */
@@ -136,7 +136,8 @@
   }
 
   /**
-   * All members known, with the node itself; dead and left ones for a while.
+   * Returns all known members, including the node itself, and dead and left members until their
+   * tombstones expire.
    *
    * @return a new list
    */
@@ -145,7 +146,7 @@
   }
 
   /**
-   * The hosts that may own something: present and not leaving.
+   * Returns the hosts that may own keys: present and not leaving.
    *
    * @return a new set
    */
@@ -154,46 +155,46 @@
   }
 
   /**
-   * The configuration revision that a host last said it holds.
+   * Returns the configuration revision that a host last reported.
    *
    * @param host the host
-   * @return the revision, empty if it was never heard from directly
+   * @return the revision; empty if no message from the host itself has arrived
    */
   public Optional<Revision> revisionOf(HostName host) {
     return records.isSelf(host) ? Optional.of(revisions.held()) : revisions.of(host);
   }
 
-  private void forgivePause(long now) {
-    long late = now - nextDeadline();
-    if (late > settings.directTimeout()) {
-      prober.shift(late);
-      records.suspicions().shift(late);
+  private void compensatePause(long now) {
+    long pauseNanos = now - nextDeadline();
+    if (pauseNanos > settings.directTimeoutNanos()) {
+      prober.postpone(pauseNanos);
+      records.suspicions().postpone(pauseNanos);
     }
   }
 
   private void onTick(long now) {
-    table.forgetTombstones(now);
-    followSuspicions(now);
+    table.expireTombstones(now);
+    checkSuspicions(now);
     for (Prober.Probe probe : prober.takeFailed(now)) {
       records.suspect(probe.target(), now);
     }
-    for (Prober.Probe probe : prober.takeHelpDue(now)) {
-      askForHelp(probe);
+    for (Prober.Probe probe : prober.takeIndirectDue(now)) {
+      requestIndirectProbes(probe);
     }
     if (prober.isDue(now)) {
       prober.next(now, table).ifPresent(this::ping);
     }
-    if (!joined && nextJoin <= now) {
-      nextJoin = now + settings.probePeriod();
-      contacts.toJoin().forEach(this::requestSync);
+    if (!joined && nextJoinAt <= now) {
+      nextJoinAt = now + settings.probePeriodNanos();
+      contacts.joinTargets().forEach(this::requestSync);
     }
-    if (nextSync <= now) {
-      nextSync = now + settings.syncPeriod();
+    if (nextSyncAt <= now) {
+      nextSyncAt = now + settings.syncPeriodNanos();
       randomPresent(1).forEach(member -> requestSync(member.address()));
     }
-    if (nextRejoin <= now) {
-      nextRejoin = now + settings.rejoinPeriod();
-      contacts.toRejoin(table.present()).ifPresent(this::requestSync);
+    if (nextRejoinAt <= now) {
+      nextRejoinAt = now + settings.rejoinPeriodNanos();
+      contacts.rejoinTarget(table.present()).ifPresent(this::requestSync);
     }
   }
 
@@ -204,10 +205,10 @@
         new Message.Ping(headers.headerFor(target, now), probe.sequence(), target.id()));
   }
 
-  private void askForHelp(Prober.Probe probe) {
+  private void requestIndirectProbes(Prober.Probe probe) {
     ping(probe);
     Member target = probe.target();
-    for (Member helper : randomPresent(settings.helpers(), target.id())) {
+    for (Member helper : randomPresent(settings.indirectProbes(), target.id())) {
       Message.Header header = headers.headerFor(helper, now);
       send(
           helper.address(),
@@ -215,18 +216,21 @@
     }
   }
 
-  /** Asks each suspect several times before the verdict, then calls the silent ones dead. */
-  private void followSuspicions(long now) {
+  /**
+   * Pings each suspect several times during the suspicion, then declares suspects that did not
+   * refute dead.
+   */
+  private void checkSuspicions(long now) {
     Suspicions.Due due = records.suspicions().takeDue(now);
-    for (HostName host : due.asked()) {
-      table.find(host).ifPresent(this::askSuspect);
+    for (HostName host : due.toPing()) {
+      table.find(host).ifPresent(this::pingSuspect);
     }
-    for (HostName host : due.silent()) {
+    for (HostName host : due.expired()) {
       records.declareDead(host, now);
     }
   }
 
-  private void askSuspect(Member suspect) {
+  private void pingSuspect(Member suspect) {
     send(
         suspect.address(),
         new Message.Ping(headers.headerFor(suspect, now), NO_SEQUENCE, suspect.id()));
@@ -242,15 +246,15 @@
     Message message = received.message();
     Message.Header header = message.header();
     if (records.isSelf(header.sender().host())) {
-      records.defendAgainst(header.sender());
+      records.checkSuperseded(header.sender());
       return;
     }
     boolean page = message instanceof Message.SyncReply;
     for (Member member : header.members()) {
-      records.learn(member, received.now(), page);
+      records.merge(member, received.now(), page);
     }
-    header.load().forEach(this::learnRemoteLoad);
-    hearRevision(header, received.now());
+    header.load().forEach(this::mergeRemoteLoad);
+    mergeRevision(header, received.now());
     switch (message) {
       case Message.Ping ping -> onPing(received.source(), ping);
       case Message.PingRequest request -> onPingRequest(received, request);
@@ -266,12 +270,12 @@
     }
     Member self = records.self();
     NodeId sender = ping.header().sender();
-    List<Member> forced = new ArrayList<>(records.contradictions(sender));
-    if (!ping.target().equals(self.id()) || records.contradictSelf(ping.header().members())) {
-      // The sender has yet to hear a refutation, perhaps one that is no longer disseminated.
-      forced.add(self);
+    List<Member> required = new ArrayList<>(records.recordsToRefute(sender));
+    if (!ping.target().equals(self.id()) || records.differFromSelf(ping.header().members())) {
+      // The sender has not received the latest refutation, which may no longer be disseminated.
+      required.add(self);
     }
-    send(source, new Message.Ack(headers.header(forced, now), ping.sequence(), self.id()));
+    send(source, new Message.Ack(headers.header(required, now), ping.sequence(), self.id()));
     if (table.find(sender.host()).isEmpty()) {
       requestSync(source);
     }
@@ -279,21 +283,22 @@
 
   private void onPingRequest(Event.Received received, Message.PingRequest request) {
     NodeId target = request.target();
-    long sequence = prober.relay(received.source(), request.sequence(), target, received.now());
-    Message.Header header = headers.header(records.contradictions(target), now);
+    long sequence =
+        prober.relayProbe(received.source(), request.sequence(), target, received.now());
+    Message.Header header = headers.header(records.recordsToRefute(target), now);
     send(request.address(), new Message.Ping(header, sequence, target));
   }
 
   private void onAck(Message.Ack ack) {
-    prober.answered(ack.sequence(), ack.target());
+    prober.onAck(ack.sequence(), ack.target());
     prober
-        .takeRelay(ack.sequence(), ack.target())
+        .takeRelayedProbe(ack.sequence(), ack.target())
         .ifPresent(
-            relay ->
+            relayed ->
                 send(
-                    relay.requester(),
+                    relayed.requester(),
                     new Message.Ack(
-                        headers.header(List.of(), now), relay.sequence(), relay.target())));
+                        headers.header(List.of(), now), relayed.sequence(), relayed.target())));
   }
 
   private void onSyncRequest(NodeAddress source, Message.SyncRequest request) {
@@ -303,7 +308,7 @@
     MemberTable.Page page =
         equal
             ? new MemberTable.Page(List.of(self), false)
-            : table.page(self, request.after(), settings.pageBytes());
+            : table.page(self, request.after(), settings.maxPageBytes());
     send(source, new Message.SyncReply(headers.page(page.members()), digest, page.more()));
   }
 
@@ -319,13 +324,13 @@
 
   private void onHostList(List<HostEntry> hosts) {
     contacts.setHosts(hosts);
-    records.listAsLeaving(contacts.leaving());
+    records.setListedAsLeaving(contacts.leavingHosts());
   }
 
-  private void hearRevision(Message.Header header, long now) {
+  private void mergeRevision(Message.Header header, long now) {
     HostName host = header.sender().host();
     Optional<Member> sender = table.find(host);
-    if (sender.isPresent() && revisions.hear(host, header.revision(), now)) {
+    if (sender.isPresent() && revisions.update(host, header.revision(), now)) {
       effects.add(new Effect.NewerRevision(sender.get(), header.revision()));
     }
   }
@@ -339,14 +344,14 @@
     stopped = true;
   }
 
-  private void learnRemoteLoad(LoadRecord load) {
-    if (learnLoad(load)) {
+  private void mergeRemoteLoad(LoadRecord load) {
+    if (mergeLoad(load)) {
       effects.add(new Effect.LoadLearned(load));
     }
   }
 
-  private boolean learnLoad(LoadRecord load) {
-    boolean newer = loads.learn(load);
+  private boolean mergeLoad(LoadRecord load) {
+    boolean newer = loads.putIfNewer(load);
     if (newer) {
       dissemination.add(load);
     }
@@ -357,9 +362,9 @@
     return randomPresent(count, records.self().id());
   }
 
-  private List<Member> randomPresent(int count, NodeId except) {
+  private List<Member> randomPresent(int count, NodeId excluded) {
     List<Member> present = table.present();
-    present.removeIf(member -> member.id().equals(except));
+    present.removeIf(member -> member.id().equals(excluded));
     Collections.shuffle(present, random);
     return present.subList(0, Math.min(count, present.size()));
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MembershipSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MembershipSettings.java
@@ -9,47 +9,55 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Periods and bounds of {@link Membership}. Times are nanoseconds.
+ * Periods and limits of {@link Membership}. Times are nanoseconds.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param probePeriod between two probes of one node
- * @param directTimeout after which others are asked to probe
- * @param probeTimeout after which the target is suspected
- * @param helpers how many nodes are asked to probe
- * @param suspicionMinimum the shortest time to refute a suspicion
- * @param suspicionFactor periods to refute for each power of ten of the cluster's size
- * @param retransmitFactor how often a record is passed on for each power of ten of the size
- * @param piggybackBytes the most bytes of records in a message
- * @param piggybackBytesPerSecond the most bytes of records that a node sends in a second
- * @param pageBytes the most bytes of members in a page
- * @param syncPeriod between two comparisons with a random node
- * @param rejoinPeriod between two attempts to reach a listed host that is not known as present
- * @param tombstoneTime how long dead and left members are remembered
- * @param loadKeys the most load keys that are remembered
+ * @param probePeriodNanos the interval between two probes that one node sends
+ * @param directTimeoutNanos the timeout of a direct probe, after which other nodes are asked to
+ *     probe
+ * @param probeTimeoutNanos the timeout after which the target is suspected
+ * @param indirectProbes the number of nodes that are asked to probe
+ * @param minSuspicionNanos the minimum time to refute a suspicion
+ * @param suspicionFactor the probe periods to refute a suspicion, for each power of ten of the
+ *     cluster size
+ * @param retransmitFactor the number of messages that carry a record, for each power of ten of the
+ *     cluster size
+ * @param maxPiggybackBytes the maximum number of bytes of records in a message
+ * @param maxPiggybackBytesPerSecond the maximum number of bytes of records that a node sends per
+ *     second
+ * @param maxPageBytes the maximum number of bytes of members in a sync page
+ * @param syncPeriodNanos the interval between two synchronizations with a random node
+ * @param rejoinPeriodNanos the interval between two attempts to reach a seed or listed host that is
+ *     not present
+ * @param tombstoneNanos the time for which dead and left members are kept
+ * @param maxLoadKeys the maximum number of load keys that are kept
  * @since 0.1
  */
 public record MembershipSettings(
-    long probePeriod,
-    long directTimeout,
-    long probeTimeout,
-    int helpers,
-    long suspicionMinimum,
+    long probePeriodNanos,
+    long directTimeoutNanos,
+    long probeTimeoutNanos,
+    int indirectProbes,
+    long minSuspicionNanos,
     int suspicionFactor,
     int retransmitFactor,
-    int piggybackBytes,
-    int piggybackBytesPerSecond,
-    int pageBytes,
-    long syncPeriod,
-    long rejoinPeriod,
-    long tombstoneTime,
-    int loadKeys) {
+    int maxPiggybackBytes,
+    int maxPiggybackBytesPerSecond,
+    int maxPageBytes,
+    long syncPeriodNanos,
+    long rejoinPeriodNanos,
+    long tombstoneNanos,
+    int maxLoadKeys) {
 
-  /** In small clusters few messages go out, and each may go to a node that knows already. */
+  /**
+   * In small clusters few messages are sent, and each may reach a node that already has the record.
+   */
   private static final int MIN_RETRANSMITS = 8;
 
   /**
-   * The settings for nodes some milliseconds apart, within 5 KB a second at 330 nodes.
+   * Returns the settings for nodes with some milliseconds of latency between them; a node uses at
+   * most 5 KB per second in a cluster of 330 nodes.
    *
    * @return the defaults
    */
@@ -72,18 +80,18 @@
   }
 
   /**
-   * How long a member has to refute a suspicion.
+   * Returns the time that a member has to refute a suspicion.
    *
    * @param size the number of members present
    * @return nanoseconds
    */
-  long suspicionTime(int size) {
-    long scaled = (long) (suspicionFactor * powersOfTen(size) * probePeriod);
-    return Math.max(suspicionMinimum, scaled);
+  long suspicionNanos(int size) {
+    long scaled = (long) (suspicionFactor * powersOfTen(size) * probePeriodNanos);
+    return Math.max(minSuspicionNanos, scaled);
   }
 
   /**
-   * How many messages carry a record.
+   * Returns the number of messages that carry a record.
    *
    * @param size the number of members present
    * @return at least 1
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Message.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Message.java
@@ -21,14 +21,14 @@
 public sealed interface Message {
 
   /**
-   * What every message carries.
+   * Returns the sender and the records that every message carries.
    *
    * @return the header, never null
    */
   Header header();
 
   /**
-   * Sender and piggybacked records.
+   * The sender and the piggybacked records of a message.
    *
    * @param sender the node that sent the message
    * @param revision the newest configuration revision that the sender holds
@@ -38,27 +38,27 @@
   record Header(NodeId sender, Revision revision, List<Member> members, List<LoadRecord> load) {}
 
   /**
-   * Asks a node for an {@link Ack}.
+   * Requests an {@link Ack} from a node.
    *
    * @param header the header
-   * @param sequence returned in the answer
-   * @param target the node that is meant; another node at the address stays silent
+   * @param sequence identifies the ping; returned in the answer
+   * @param target the node to probe; a node of another host at the address does not answer
    */
   record Ping(Header header, long sequence, NodeId target) implements Message {}
 
   /**
-   * Asks a node to probe another one.
+   * Requests that a node probes another one.
    *
    * @param header the header
-   * @param sequence returned in the answer
+   * @param sequence identifies the request; returned in the answer
    * @param target the node to probe
-   * @param address where the target listens
+   * @param address the address of the target
    */
   record PingRequest(Header header, long sequence, NodeId target, NodeAddress address)
       implements Message {}
 
   /**
-   * Says that a node is alive.
+   * Confirms that a node is alive.
    *
    * @param header the header
    * @param sequence the sequence of the ping or ping request
@@ -67,11 +67,11 @@
   record Ack(Header header, long sequence, NodeId target) implements Message {}
 
   /**
-   * Asks for the members whose names follow a given one.
+   * Requests the members whose names follow a given one.
    *
    * @param header the header
    * @param digest the digest of the sender's members
-   * @param after the last name received so far; empty at the start
+   * @param after the last name received so far; empty in the first request
    */
   record SyncRequest(Header header, long digest, Optional<HostName> after) implements Message {}
 
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/NodeAddress.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/NodeAddress.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 
 /**
- * Where a node listens for its peers: an IP address and one port for TCP and UDP.
+ * The address on which a node listens for its peers: an IP address and one port for TCP and UDP.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -30,12 +30,12 @@
   }
 
   /**
-   * Creates an address from its parts.
+   * Creates an address from IP address and port.
    *
    * @param ip 4 or 16 bytes, copied
    * @param port 1 to 65535
    * @return the address
-   * @throws IllegalArgumentException if a part is out of range
+   * @throws IllegalArgumentException if the length of the IP address or the port is out of range
    */
   public static NodeAddress of(byte[] ip, int port) {
     if (ip.length != 4 && ip.length != 16) {
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Reads an address such as {@code 10.0.0.7:7400} or {@code [fd00::7]:7400}.
+   * Parses an address such as {@code 10.0.0.7:7400} or {@code [fd00::7]:7400}.
    *
    * @param text the IP address in digits, a colon and the port
    * @return the address
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Takes the address of a socket.
+   * Converts a socket address.
    *
    * @param socket a resolved address
    * @return the address
@@ -79,7 +79,7 @@
   }
 
   /**
-   * The IP address.
+   * Returns the IP address.
    *
    * @return a copy of 4 or 16 bytes
    */
@@ -88,7 +88,7 @@
   }
 
   /**
-   * The port.
+   * Returns the port.
    *
    * @return 1 to 65535
    */
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/NodeId.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/NodeId.java
@@ -10,12 +10,12 @@
 import org.larkkeel.lib.Incarnation;
 
 /**
- * One run of a node: its host and the number of the process start.
+ * One incarnation of a node: its host and the incarnation of its process.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param host the host, never null
- * @param incarnation the process start, never null
+ * @param incarnation the incarnation, greater for a later process of the host, never null
  * @since 0.1
  */
 public record NodeId(HostName host, Incarnation incarnation) {
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Prober.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Prober.java
@@ -17,39 +17,39 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * Which member is probed next, and which probes are unanswered.
+ * Selects the member that is probed next and tracks the unanswered probes.
  *
- * <p>Every member is probed once a round, in a random order that changes with each round. Not safe
- * for use by several threads.
+ * <p>Every member is probed once in a round, in a random order that changes with each round. Times
+ * are nanoseconds. Not safe for use by several threads.
  */
 final class Prober {
   private final MembershipSettings settings;
   private final Random random;
   private final List<HostName> order = new ArrayList<>();
   private final Map<Long, Probe> probes = new HashMap<>();
-  private final Map<Long, Relay> relays = new HashMap<>();
+  private final Map<Long, RelayedProbe> relayedProbes = new HashMap<>();
   private int position;
   private long sequence;
-  private long nextProbe;
+  private long nextProbeAt;
 
   Prober(MembershipSettings settings, Random random, long now) {
     this.settings = settings;
     this.random = random;
-    this.nextProbe = now + (long) (random.nextDouble() * settings.probePeriod());
+    this.nextProbeAt = now + (long) (random.nextDouble() * settings.probePeriodNanos());
   }
 
   /** An unanswered probe. */
-  record Probe(Member target, long sequence, long helpAt, long failAt, boolean helped) {
+  record Probe(Member target, long sequence, long indirectAt, long failAt, boolean indirectSent) {
     private long deadline() {
-      return helped ? failAt : helpAt;
+      return indirectSent ? failAt : indirectAt;
     }
   }
 
   /** A probe on behalf of another node. */
-  record Relay(NodeAddress requester, long sequence, NodeId target, long until) {}
+  record RelayedProbe(NodeAddress requester, long sequence, NodeId target, long expiresAt) {}
 
   long nextDeadline() {
-    long deadline = nextProbe;
+    long deadline = nextProbeAt;
     for (Probe probe : probes.values()) {
       deadline = Math.min(deadline, probe.deadline());
     }
@@ -57,13 +57,13 @@
   }
 
   boolean isDue(long now) {
-    return nextProbe <= now;
+    return nextProbeAt <= now;
   }
 
-  /** Takes the next target and counts its probe as sent. Empty if nobody else is present. */
+  /** Selects the next target and records its probe as sent. Empty if no peer is present. */
   Optional<Probe> next(long now, MemberTable table) {
-    nextProbe = Math.max(nextProbe + settings.probePeriod(), now);
-    relays.values().removeIf(relay -> relay.until() <= now);
+    nextProbeAt = Math.max(nextProbeAt + settings.probePeriodNanos(), now);
+    relayedProbes.values().removeIf(relayed -> relayed.expiresAt() <= now);
     Optional<Member> target = nextTarget(table);
     if (target.isEmpty()) {
       return Optional.empty();
@@ -72,8 +72,8 @@
         new Probe(
             target.get(),
             ++sequence,
-            now + settings.directTimeout(),
-            now + settings.probeTimeout(),
+            now + settings.directTimeoutNanos(),
+            now + settings.probeTimeoutNanos(),
             false);
     probes.put(probe.sequence(), probe);
     return Optional.of(probe);
@@ -103,26 +103,26 @@
     return !order.isEmpty();
   }
 
-  /** Puts a new member at a random place of what is left of the round. */
-  void include(HostName host) {
+  /** Inserts a new member at a random position in the remaining part of the round. */
+  void addToRound(HostName host) {
     order.add(position + random.nextInt(order.size() - position + 1), host);
   }
 
-  /** Takes the probes for which helpers are due now; they are marked as helped. */
-  List<Probe> takeHelpDue(long now) {
+  /** Returns the probes whose indirect probes are due now, and marks them as sent. */
+  List<Probe> takeIndirectDue(long now) {
     List<Probe> due = new ArrayList<>();
     for (Map.Entry<Long, Probe> entry : probes.entrySet()) {
       Probe probe = entry.getValue();
-      if (!probe.helped() && probe.helpAt() <= now) {
+      if (!probe.indirectSent() && probe.indirectAt() <= now) {
         due.add(probe);
         entry.setValue(
-            new Probe(probe.target(), probe.sequence(), probe.helpAt(), probe.failAt(), true));
+            new Probe(probe.target(), probe.sequence(), probe.indirectAt(), probe.failAt(), true));
       }
     }
     return due;
   }
 
-  /** Takes the probes that nobody answered in time. */
+  /** Removes and returns the probes that were not answered in time. */
   List<Probe> takeFailed(long now) {
     List<Probe> failed = new ArrayList<>();
     Iterator<Probe> all = probes.values().iterator();
@@ -136,38 +136,43 @@
     return failed;
   }
 
-  /** Ends the probe that an answer belongs to. */
-  void answered(long sequence, NodeId target) {
+  /** Removes the probe that an answer belongs to. */
+  void onAck(long sequence, NodeId target) {
     Probe probe = probes.get(sequence);
     if (probe != null && probe.target().id().equals(target)) {
       probes.remove(sequence);
     }
   }
 
-  /** Remembers whom to tell when the target answers. Returns the sequence of the ping. */
-  long relay(NodeAddress requester, long requested, NodeId target, long now) {
-    long own = ++sequence;
-    relays.put(own, new Relay(requester, requested, target, now + settings.probeTimeout()));
-    return own;
+  /**
+   * Records the node that requested a probe, so that an answer of the target can be passed on to
+   * it. Returns the sequence of the ping.
+   */
+  long relayProbe(NodeAddress requester, long requestSequence, NodeId target, long now) {
+    long ownSequence = ++sequence;
+    relayedProbes.put(
+        ownSequence,
+        new RelayedProbe(requester, requestSequence, target, now + settings.probeTimeoutNanos()));
+    return ownSequence;
   }
 
-  Optional<Relay> takeRelay(long sequence, NodeId target) {
-    Relay relay = relays.get(sequence);
-    if (relay == null || !relay.target().equals(target)) {
+  Optional<RelayedProbe> takeRelayedProbe(long sequence, NodeId target) {
+    RelayedProbe relayed = relayedProbes.get(sequence);
+    if (relayed == null || !relayed.target().equals(target)) {
       return Optional.empty();
     }
-    return Optional.of(relays.remove(sequence));
+    return Optional.of(relayedProbes.remove(sequence));
   }
 
-  /** Moves everything that is due later by the time that this node stood still. */
-  void shift(long gap) {
+  /** Postpones the deadlines of all probes, after a pause of this process. */
+  void postpone(long delayNanos) {
     probes.replaceAll(
         (number, probe) ->
             new Probe(
                 probe.target(),
                 probe.sequence(),
-                probe.helpAt() + gap,
-                probe.failAt() + gap,
-                probe.helped()));
+                probe.indirectAt() + delayNanos,
+                probe.failAt() + delayNanos,
+                probe.indirectSent()));
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/RevisionTable.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/RevisionTable.java
@@ -14,12 +14,13 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * The configuration revision that this node and its peers hold.
+ * The configuration revisions that this node and its peers hold.
  *
- * <p>Invariant: the revision of this node never gets smaller. Not safe for use by several threads.
+ * <p>Invariant: the revision of this node never decreases. Times are nanoseconds. Not safe for use
+ * by several threads.
  */
 final class RevisionTable {
-  private static final long REPEAT = TimeUnit.SECONDS.toNanos(1);
+  private static final long REANNOUNCE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final Map<HostName, Revision> byHost = new HashMap<>();
   private Revision held = Revision.NONE;
@@ -30,7 +31,7 @@
     return held;
   }
 
-  void hold(Revision revision) {
+  void setHeld(Revision revision) {
     if (revision.isAfter(held)) {
       held = revision;
     }
@@ -41,14 +42,15 @@
   }
 
   /**
-   * Notes what a peer holds.
+   * Records the revision that a peer holds.
    *
-   * @return true if it is newer than what this node holds, and is to be announced now
+   * @return true if it is newer than the revision of this node and is to be reported now: at once
+   *     if it is newer than the last reported one, else once a second
    */
-  boolean hear(HostName host, Revision revision, long now) {
+  boolean update(HostName host, Revision revision, long now) {
     byHost.put(host, revision);
-    boolean fresh = revision.isAfter(announced);
-    boolean due = fresh || now - announcedAt >= REPEAT;
+    boolean notYetAnnounced = revision.isAfter(announced);
+    boolean due = notYetAnnounced || now - announcedAt >= REANNOUNCE_NANOS;
     if (!revision.isAfter(held) || !due) {
       return false;
     }
@@ -57,7 +59,7 @@
     return true;
   }
 
-  void forget(HostName host) {
+  void remove(HostName host) {
     byHost.remove(host);
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Suspicion.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Suspicion.java
@@ -7,30 +7,30 @@
 package org.larkkeel.peer.membership;
 
 /**
- * The time that a suspect has left to refute.
+ * The deadlines of one suspicion. Times are nanoseconds.
  *
- * @param askAt when the suspect is asked next
- * @param interval between two questions
- * @param deadline when a silent suspect counts as dead
+ * @param pingAt the time of the next ping to the suspect
+ * @param intervalNanos the interval between two pings
+ * @param deadline the time when the suspect is declared dead unless it refutes
  */
-record Suspicion(long askAt, long interval, long deadline) {
-  /** How many times the suspect is asked, plus one. */
+record Suspicion(long pingAt, long intervalNanos, long deadline) {
+  /** The number of pings to the suspect before the deadline, plus one. */
   private static final int INTERVALS = 5;
 
-  static Suspicion start(long now, long time) {
-    long interval = time / INTERVALS;
-    return new Suspicion(now + interval, interval, now + time);
+  static Suspicion start(long now, long durationNanos) {
+    long intervalNanos = durationNanos / INTERVALS;
+    return new Suspicion(now + intervalNanos, intervalNanos, now + durationNanos);
   }
 
-  Suspicion asked() {
-    return new Suspicion(askAt + interval, interval, deadline);
+  Suspicion pinged() {
+    return new Suspicion(pingAt + intervalNanos, intervalNanos, deadline);
   }
 
-  Suspicion shift(long time) {
-    return new Suspicion(askAt + time, interval, deadline + time);
+  Suspicion postponed(long delayNanos) {
+    return new Suspicion(pingAt + delayNanos, intervalNanos, deadline + delayNanos);
   }
 
   long nextDeadline() {
-    return Math.min(askAt, deadline);
+    return Math.min(pingAt, deadline);
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Suspicions.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Suspicions.java
@@ -13,7 +13,7 @@
 import org.larkkeel.lib.HostName;
 
 /**
- * The suspects, each with the time that is left to refute.
+ * The suspected hosts and the deadlines of their suspicions.
  *
  * <p>Times are nanoseconds. Not safe for use by several threads.
  */
@@ -21,42 +21,42 @@
   private final Map<HostName, Suspicion> byHost = new HashMap<>();
 
   /**
-   * What is due.
+   * The suspects for which an action is due.
    *
-   * @param asked suspects to be asked once more
-   * @param silent suspects that did not refute in time; they are no longer held here
+   * @param toPing suspects to ping again
+   * @param expired suspects that did not refute in time; they are removed from the table
    */
-  record Due(List<HostName> asked, List<HostName> silent) {}
+  record Due(List<HostName> toPing, List<HostName> expired) {}
 
-  void start(HostName host, long now, long time) {
-    byHost.put(host, Suspicion.start(now, time));
+  void start(HostName host, long now, long durationNanos) {
+    byHost.put(host, Suspicion.start(now, durationNanos));
   }
 
   void end(HostName host) {
     byHost.remove(host);
   }
 
-  /** Gives every suspect more time, because this node stood still. */
-  void shift(long time) {
-    byHost.replaceAll((host, suspicion) -> suspicion.shift(time));
+  /** Postpones the deadlines of all suspicions, after a pause of this process. */
+  void postpone(long delayNanos) {
+    byHost.replaceAll((host, suspicion) -> suspicion.postponed(delayNanos));
   }
 
-  /** Takes the suspects to ask and those whose time is over. */
+  /** Returns the suspects to ping, and removes and returns those whose deadline has passed. */
   Due takeDue(long now) {
-    List<HostName> asked = new ArrayList<>();
-    List<HostName> silent = new ArrayList<>();
+    List<HostName> toPing = new ArrayList<>();
+    List<HostName> expired = new ArrayList<>();
     byHost.replaceAll(
         (host, suspicion) -> {
           if (suspicion.deadline() <= now) {
-            silent.add(host);
-          } else if (suspicion.askAt() <= now) {
-            asked.add(host);
-            return suspicion.asked();
+            expired.add(host);
+          } else if (suspicion.pingAt() <= now) {
+            toPing.add(host);
+            return suspicion.pinged();
           }
           return suspicion;
         });
-    silent.forEach(byHost::remove);
-    return new Due(asked, silent);
+    expired.forEach(byHost::remove);
+    return new Due(toPing, expired);
   }
 
   long nextDeadline() {
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/package-info.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/package-info.java
@@ -5,9 +5,9 @@
  */
 
 /**
- * Which nodes are live: a pure state machine of the SWIM family.
+ * Cluster membership and failure detection: a pure state machine of the SWIM family.
  *
- * <p>{@link org.larkkeel.peer.membership.Membership} takes events and returns effects. Clock,
- * sockets and randomness stay with the caller.
+ * <p>{@link org.larkkeel.peer.membership.Membership} handles events and returns effects. The caller
+ * supplies the clock, the sockets and the random seed.
  */
 package org.larkkeel.peer.membership;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/package-info.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/package-info.java
@@ -5,7 +5,7 @@
  */
 
 /**
- * How the nodes of larkkeel behave as one: the façade {@link org.larkkeel.peer.PeerNode} with its
- * settings and listener.
+ * Communication between the nodes of a cluster: the facade {@link org.larkkeel.peer.PeerNode} with
+ * its settings and listener.
  */
 package org.larkkeel.peer;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/CertificateNames.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/CertificateNames.java
@@ -22,17 +22,18 @@
 import org.larkkeel.peer.gen.Batch;
 
 /**
- * The names in the certificate of a peer, to which it is held. Immutable.
+ * The names in the certificate of a peer; the node name that the peer sends must be one of them.
+ * Immutable and safe for use by several threads.
  *
- * @param names the common name of the subject and the DNS names among the alternative ones
+ * @param names the common name of the subject and the DNS names of the subject alternative names
  */
 record CertificateNames(Set<String> names) {
   private static final int DNS_NAME = 2;
 
   /**
-   * Reads the certificate that the peer has shown.
+   * Reads the names from the certificate that the peer presented.
    *
-   * @param socket after its handshake
+   * @param socket the socket, after its handshake
    * @throws SSLPeerUnverifiedException if the certificate has no readable names
    */
   static CertificateNames of(SSLSocket socket) throws SSLPeerUnverifiedException {
@@ -80,9 +81,9 @@
   }
 
   /**
-   * Compares the name that a batch claims.
+   * Checks that the certificate contains the sender name of a batch.
    *
-   * @throws TApplicationException if the certificate does not hold it
+   * @throws TApplicationException if the certificate does not contain the name
    */
   void check(Batch batch) throws TApplicationException {
     String claimed = batch.isSetSender() ? batch.getSender().getHost() : null;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/DatagramCodec.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/DatagramCodec.java
@@ -18,19 +18,20 @@
 import org.larkkeel.peer.membership.Message;
 
 /**
- * The form of a datagram: the id of the key, the code, and a Thrift compact message.
+ * Encodes and decodes datagrams: the id of the key, the message authentication code (MAC), and a
+ * message in the Thrift compact protocol.
  *
- * <p>Without keys the id is 0 and the code is absent. A repeated datagram does no harm, since
- * records only ever grow and an answer counts once. Immutable and safe for use by several threads.
+ * <p>Without keys the id is 0 and the MAC is absent. Replayed datagrams are safe because records
+ * only ever increase and an answer counts once. Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
 public final class DatagramCodec {
-  /** The most bytes of a datagram, below the usual MTU. */
+  /** The maximum size of a datagram, in bytes; below the usual MTU. */
   public static final int MAX_BYTES = 1_400;
 
-  private static final int PLAIN = 0;
-  private static final int MAX_STRING = 256;
+  private static final int NO_KEY_ID = 0;
+  private static final int MAX_STRING_BYTES = 256;
   private static final int MAX_ITEMS = 256;
   private static final int MAX_DEPTH = 8;
 
@@ -39,7 +40,8 @@
   /**
    * Creates a codec.
    *
-   * @param keys the first one signs, all are accepted; empty for plain datagrams, as in tests
+   * @param keys the keys; the first one signs, datagrams with any of them are accepted; empty for
+   *     unauthenticated datagrams, as in tests
    */
   public DatagramCodec(List<DatagramKey> keys) {
     this.keys = List.copyOf(keys);
@@ -54,17 +56,17 @@
    */
   public byte[] encode(Message message) {
     byte[] payload = encodePayload(message);
-    int codeBytes = keys.isEmpty() ? 0 : DatagramKey.CODE_BYTES;
-    byte[] datagram = new byte[1 + codeBytes + payload.length];
+    int macBytes = keys.isEmpty() ? 0 : DatagramKey.MAC_BYTES;
+    byte[] datagram = new byte[1 + macBytes + payload.length];
     if (datagram.length > MAX_BYTES) {
       throw new IllegalArgumentException(
           "the datagram has " + datagram.length + " bytes: send at most " + MAX_BYTES);
     }
-    System.arraycopy(payload, 0, datagram, 1 + codeBytes, payload.length);
+    System.arraycopy(payload, 0, datagram, 1 + macBytes, payload.length);
     if (!keys.isEmpty()) {
       DatagramKey key = keys.getFirst();
       datagram[0] = (byte) key.id();
-      System.arraycopy(key.code(payload, 0, payload.length), 0, datagram, 1, codeBytes);
+      System.arraycopy(key.mac(payload, 0, payload.length), 0, datagram, 1, macBytes);
     }
     return datagram;
   }
@@ -75,15 +77,15 @@
       WireMessages.toWire(message).write(new TCompactProtocol(buffer));
       return Arrays.copyOf(buffer.getArray(), buffer.length());
     } catch (TException e) {
-      throw new IllegalStateException("a message built here can be encoded", e);
+      throw new IllegalStateException("a message created by this node could not be encoded", e);
     }
   }
 
   /**
    * Decodes a datagram.
    *
-   * @param data holds the datagram
-   * @param length the bytes of the datagram
+   * @param data an array that starts with the datagram
+   * @param length the size of the datagram, in bytes
    * @return the message, empty if the datagram is malformed or not authentic
    */
   public Optional<Message> decode(byte[] data, int length) {
@@ -98,26 +100,26 @@
     try {
       var input = new TMemoryInputTransport(bounds, data, start, length - start);
       WireMessage wire = new WireMessage();
-      wire.read(new TCompactProtocol(input, MAX_STRING, MAX_ITEMS));
+      wire.read(new TCompactProtocol(input, MAX_STRING_BYTES, MAX_ITEMS));
       return Optional.of(WireMessages.fromWire(wire));
     } catch (TException | RuntimeException e) {
-      // Whatever a stranger sends must not stop the receiver.
+      // No datagram of an unknown sender may stop the receiving thread.
       return Optional.empty();
     }
   }
 
-  /** Where the payload starts, negative if the datagram is not authentic. */
+  /** Returns the offset of the payload, negative if the datagram is not authentic. */
   private int payloadStart(byte[] data, int length) {
     if (keys.isEmpty()) {
-      return data[0] == PLAIN ? 1 : -1;
+      return data[0] == NO_KEY_ID ? 1 : -1;
     }
-    int start = 1 + DatagramKey.CODE_BYTES;
+    int start = 1 + DatagramKey.MAC_BYTES;
     if (length < start) {
       return -1;
     }
-    byte[] code = Arrays.copyOfRange(data, 1, start);
+    byte[] mac = Arrays.copyOfRange(data, 1, start);
     for (DatagramKey key : keys) {
-      if (key.id() == data[0] && key.accepts(code, data, start, length - start)) {
+      if (key.id() == data[0] && key.isAuthentic(mac, data, start, length - start)) {
         return start;
       }
     }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/DatagramKey.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/DatagramKey.java
@@ -15,15 +15,15 @@
 /**
  * A shared key that authenticates datagrams with a truncated HMAC-SHA-256.
  *
- * <p>The key's id travels with each datagram, so that old and new keys can both be accepted while a
- * key is replaced. Immutable and safe for use by several threads. The text form does not show the
- * key.
+ * <p>Each datagram carries the id of its key, so that old and new keys can both be accepted while a
+ * key is replaced. Immutable and safe for use by several threads. {@link #toString} does not reveal
+ * the secret.
  *
  * @since 0.1
  */
 public final class DatagramKey {
-  /** The bytes of the code in a datagram. */
-  static final int CODE_BYTES = 16;
+  /** The size of the message authentication code in a datagram, in bytes. */
+  static final int MAC_BYTES = 16;
 
   private static final String ALGORITHM = "HmacSHA256";
   private static final int MIN_KEY_BYTES = 16;
@@ -34,8 +34,8 @@
   /**
    * Creates a key.
    *
-   * @param id 1 to 127
-   * @param secret at least 16 bytes, copied
+   * @param id the id, 1 to 127
+   * @param secret the secret, at least 16 bytes, copied
    * @throws IllegalArgumentException if a value is out of range
    */
   public DatagramKey(int id, byte[] secret) {
@@ -51,7 +51,7 @@
   }
 
   /**
-   * The id of the key.
+   * Returns the id of the key.
    *
    * @return 1 to 127
    */
@@ -59,20 +59,20 @@
     return id;
   }
 
-  byte[] code(byte[] data, int offset, int length) {
+  byte[] mac(byte[] data, int offset, int length) {
     try {
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(key);
       mac.update((byte) id);
       mac.update(data, offset, length);
-      return Arrays.copyOf(mac.doFinal(), CODE_BYTES);
+      return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+      throw new IllegalStateException("the Java platform does not provide " + ALGORITHM, e);
     }
   }
 
-  boolean accepts(byte[] code, byte[] data, int offset, int length) {
-    return MessageDigest.isEqual(code, code(data, offset, length));
+  boolean isAuthentic(byte[] mac, byte[] data, int offset, int length) {
+    return MessageDigest.isEqual(mac, mac(data, offset, length));
   }
 
   @Override
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/DatagramTransport.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/DatagramTransport.java
@@ -21,13 +21,13 @@
  * Sends and receives the messages of the membership protocol as UDP datagrams.
  *
  * <p>Datagrams that are malformed or not authentic are counted and dropped. One platform thread
- * receives. Safe for use by several threads.
+ * receives and calls the receiver. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class DatagramTransport implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(DatagramTransport.class);
-  private static final int IP_AND_UDP_HEADER = 28;
+  private static final int IP_AND_UDP_HEADER_BYTES = 28;
 
   private final DatagramSocket socket;
   private final DatagramCodec codec;
@@ -37,13 +37,13 @@
   private final AtomicLong dropped = new AtomicLong();
   private final byte[] buffer = new byte[DatagramCodec.MAX_BYTES + 1];
 
-  /** Takes each message on the receiving thread; must not block for long. */
+  /** Is called with each message on the receiving thread; must not block for long. */
   @FunctionalInterface
   public interface Receiver {
     /**
-     * Takes a message.
+     * Handles a message.
      *
-     * @param source where it came from
+     * @param source the address of the sender
      * @param message the message
      */
     void received(NodeAddress source, Message message);
@@ -58,9 +58,9 @@
   /**
    * Opens the socket. Nothing is received before {@link #start}.
    *
-   * @param address where to listen
-   * @param codec encodes and decodes
-   * @param receiver takes the messages
+   * @param address the address to listen on
+   * @param codec encodes and decodes the messages
+   * @param receiver receives the messages
    * @return the transport
    * @throws IOException if the address can not be bound
    */
@@ -69,13 +69,13 @@
     return new DatagramTransport(new DatagramSocket(address), codec, receiver);
   }
 
-  /** Starts to receive. */
+  /** Starts the receiving thread. */
   public void start() {
     Thread.ofPlatform().daemon().name("peer-datagrams").start(this::receive);
   }
 
   /**
-   * Sends a message; a failure counts as a loss.
+   * Sends a message. A failure is logged and otherwise treated like a lost datagram.
    *
    * @param to the destination
    * @param message the message
@@ -84,7 +84,7 @@
     byte[] data = codec.encode(message);
     try {
       socket.send(new DatagramPacket(data, data.length, to.toSocketAddress()));
-      bytesSent.addAndGet(data.length + IP_AND_UDP_HEADER);
+      bytesSent.addAndGet(data.length + IP_AND_UDP_HEADER_BYTES);
     } catch (IOException e) {
       LOG.debug("event=peer_datagram_not_sent peer={} error=\"{}\"", to, e.toString());
     }
@@ -101,7 +101,7 @@
         }
         continue;
       }
-      bytesReceived.addAndGet(packet.getLength() + IP_AND_UDP_HEADER);
+      bytesReceived.addAndGet(packet.getLength() + IP_AND_UDP_HEADER_BYTES);
       deliver(packet);
     }
   }
@@ -117,7 +117,7 @@
   }
 
   /**
-   * The bytes sent so far, with IP and UDP headers.
+   * Returns the number of bytes sent so far, including IP and UDP headers.
    *
    * @return bytes
    */
@@ -126,7 +126,7 @@
   }
 
   /**
-   * The bytes received so far, with IP and UDP headers.
+   * Returns the number of bytes received so far, including IP and UDP headers.
    *
    * @return bytes
    */
@@ -135,7 +135,7 @@
   }
 
   /**
-   * The datagrams that were malformed or not authentic.
+   * Returns the number of datagrams that were dropped because they were malformed or not authentic.
    *
    * @return a count
    */
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/Frames.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/Frames.java
@@ -17,7 +17,8 @@
 import org.apache.thrift.transport.layered.TFramedTransport;
 
 /**
- * Framed Thrift compact protocol over a socket, with bounds on frames, strings and containers.
+ * The framed Thrift compact protocol over a socket, with limits on the sizes of frames, strings and
+ * containers.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -27,13 +28,15 @@
 
   private Frames() {}
 
-  static TProtocol protocol(Socket socket, int maxFrame) throws IOException, TTransportException {
-    TConfiguration bounds = new TConfiguration(maxFrame, maxFrame, MAX_DEPTH);
+  static TProtocol protocol(Socket socket, int maxFrameBytes)
+      throws IOException, TTransportException {
+    TConfiguration bounds = new TConfiguration(maxFrameBytes, maxFrameBytes, MAX_DEPTH);
     var stream = new TIOStreamTransport(bounds, socket.getInputStream(), socket.getOutputStream());
-    return new TCompactProtocol(new TFramedTransport(stream, maxFrame), maxFrame, MAX_ITEMS);
+    return new TCompactProtocol(
+        new TFramedTransport(stream, maxFrameBytes), maxFrameBytes, MAX_ITEMS);
   }
 
-  static void prepare(Socket socket, long readTimeoutMillis) throws SocketException {
+  static void configure(Socket socket, long readTimeoutMillis) throws SocketException {
     socket.setTcpNoDelay(true);
     socket.setSoTimeout(Math.toIntExact(readTimeoutMillis));
   }
@@ -42,7 +45,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // The connection is given up in any case.
+      // The connection is abandoned in any case.
     }
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/Leases.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/LeaseBatch.java
@@ -25,55 +25,58 @@
 import org.larkkeel.peer.slots.SlotReport;
 
 /**
- * Everything about leases and limits that one node has to say to another at a flush.
+ * The messages about slot leases and rate limits that one node sends to another in one batch.
  *
  * <p>Not safe for use by several threads.
  *
- * @param sender who says it
- * @param reports of slot holders
- * @param grants of slot owners
- * @param asks of limit holders
- * @param limits grants of limit owners
+ * @param sender the node that sends the batch
+ * @param slotReports the reports of slot holders
+ * @param slotGrants the grants of slot owners
+ * @param limitRequests the requests of limit holders
+ * @param limitGrants the grants of limit owners
  * @since 0.1
  */
-public record Leases(
+public record LeaseBatch(
     NodeId sender,
-    List<SlotReport> reports,
-    List<SlotGrant> grants,
-    List<LimitAsk> asks,
-    List<LimitGrant> limits) {
+    List<SlotReport> slotReports,
+    List<SlotGrant> slotGrants,
+    List<LimitAsk> limitRequests,
+    List<LimitGrant> limitGrants) {
 
   /**
-   * Nothing yet; the lists can be added to.
+   * Creates an empty batch; messages can be added to its lists.
    *
-   * @param sender who will say it
-   * @return empty lists
+   * @param sender the node that sends the batch
+   * @return a batch with empty, mutable lists
    */
-  public static Leases of(NodeId sender) {
-    return new Leases(
+  public static LeaseBatch empty(NodeId sender) {
+    return new LeaseBatch(
         sender, new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
   }
 
   /**
-   * Tells whether there is nothing to say.
+   * Returns whether the batch contains no messages.
    *
    * @return true if all lists are empty
    */
   public boolean isEmpty() {
-    return reports.isEmpty() && grants.isEmpty() && asks.isEmpty() && limits.isEmpty();
+    return slotReports.isEmpty()
+        && slotGrants.isEmpty()
+        && limitRequests.isEmpty()
+        && limitGrants.isEmpty();
   }
 
   /**
-   * Converts to the Thrift form.
+   * Converts the batch to its Thrift form.
    *
    * @return a new batch
    */
   public Batch toWire() {
     Batch batch = new Batch(new WireNode(sender.host().value(), sender.incarnation().value()));
-    for (SlotReport report : reports) {
+    for (SlotReport report : slotReports) {
       batch.addToSlotReports(toWire(report));
     }
-    for (SlotGrant grant : grants) {
+    for (SlotGrant grant : slotGrants) {
       batch.addToSlotGrants(
           new WireSlotGrant(
               grant.key(),
@@ -84,18 +87,18 @@
               grant.added(),
               grant.contended()));
     }
-    for (LimitAsk ask : asks) {
+    for (LimitAsk request : limitRequests) {
       batch.addToLimitAsks(
           new WireLimitAsk(
-              ask.workspace(),
-              ask.sequence(),
-              ask.requestsWanted(),
-              ask.tokensWanted(),
-              ask.requestsReturned(),
-              ask.tokensReturned(),
-              ask.tokensOfNext()));
+              request.workspace(),
+              request.sequence(),
+              request.requestsWanted(),
+              request.tokensWanted(),
+              request.requestsReturned(),
+              request.tokensReturned(),
+              request.tokensOfNext()));
     }
-    for (LimitGrant grant : limits) {
+    for (LimitGrant grant : limitGrants) {
       batch.addToLimitGrants(
           new WireLimitGrant(
               grant.workspace(),
@@ -118,46 +121,46 @@
   }
 
   /**
-   * Reads the Thrift form.
+   * Converts a batch from its Thrift form.
    *
-   * @param batch from a peer
-   * @return what it says
-   * @throws IllegalArgumentException if a value is out of range
+   * @param batch the batch of a peer
+   * @return the converted batch
+   * @throws IllegalArgumentException if the sender is missing or a value is out of range
    */
-  public static Leases fromWire(Batch batch) {
+  public static LeaseBatch fromWire(Batch batch) {
     if (batch.getSender() == null) {
       throw new IllegalArgumentException("sender is missing: name the node that sends the batch");
     }
     WireNode node = batch.getSender();
-    Leases leases =
-        of(new NodeId(new HostName(node.getHost()), new Incarnation(node.getIncarnation())));
+    LeaseBatch leaseBatch =
+        empty(new NodeId(new HostName(node.getHost()), new Incarnation(node.getIncarnation())));
     for (WireSlotReport report : orEmpty(batch.getSlotReports())) {
-      leases.reports.add(fromWire(report));
+      leaseBatch.slotReports.add(fromWire(report));
     }
     for (WireSlotGrant grant : orEmpty(batch.getSlotGrants())) {
-      leases.grants.add(
+      leaseBatch.slotGrants.add(
           new SlotGrant(
               grant.getKey(),
               grant.getEpoch(),
               grant.getSequence(),
               grant.getBase(),
               grant.getNumber(),
-              notNegative("added", grant.getAdded()),
+              requireNotNegative("added", grant.getAdded()),
               grant.isContended()));
     }
-    for (WireLimitAsk ask : orEmpty(batch.getLimitAsks())) {
-      leases.asks.add(
+    for (WireLimitAsk request : orEmpty(batch.getLimitAsks())) {
+      leaseBatch.limitRequests.add(
           new LimitAsk(
-              ask.getWorkspace(),
-              ask.getSequence(),
-              ask.getRequestsWanted(),
-              ask.getTokensWanted(),
-              ask.getRequestsReturned(),
-              ask.getTokensReturned(),
-              ask.getTokensOfNext()));
+              request.getWorkspace(),
+              request.getSequence(),
+              request.getRequestsWanted(),
+              request.getTokensWanted(),
+              request.getRequestsReturned(),
+              request.getTokensReturned(),
+              request.getTokensOfNext()));
     }
     for (WireLimitGrant grant : orEmpty(batch.getLimitGrants())) {
-      leases.limits.add(
+      leaseBatch.limitGrants.add(
           new LimitGrant(
               grant.getWorkspace(),
               grant.getSequence(),
@@ -165,20 +168,21 @@
               grant.getTokens(),
               TimeUnit.MILLISECONDS.toNanos(grant.getRetryMillis())));
     }
-    return leases;
+    return leaseBatch;
   }
 
   private static SlotReport fromWire(WireSlotReport report) {
     List<SlotReport.Wait> waits = new ArrayList<>();
     for (WireSlotWait wait : orEmpty(report.getWaits())) {
-      waits.add(new SlotReport.Wait(wait.getPriority(), notNegative("count", wait.getCount())));
+      waits.add(
+          new SlotReport.Wait(wait.getPriority(), requireNotNegative("count", wait.getCount())));
     }
     return new SlotReport(
         report.getKey(),
         report.getEpoch(),
         report.getSequence(),
         report.getSeen(),
-        notNegative("held", report.getHeld()),
+        requireNotNegative("held", report.getHeld()),
         waits);
   }
 
@@ -186,7 +190,7 @@
     return list == null ? List.of() : list;
   }
 
-  private static int notNegative(String field, int value) {
+  private static int requireNotNegative(String field, int value) {
     if (value < 0) {
       throw new IllegalArgumentException(field + " is " + value + ": use 0 or more");
     }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/NameCheck.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/NameCheck.java
@@ -7,17 +7,17 @@
 package org.larkkeel.peer.transport;
 
 /**
- * Whether the name that a peer claims in a call must stand in its certificate.
+ * Determines whether the node name in a peer's call must be in the peer's certificate.
  *
  * @since 0.1
  */
 public enum NameCheck {
   /**
-   * Over TLS the name of the node must equal the common name or a DNS name of the certificate;
-   * wildcards are not accepted. Plain connections, as in tests, are not checked.
+   * Over TLS the node name must equal the common name or a DNS name of the certificate; wildcards
+   * are not accepted. Plain connections, as in tests, are not checked.
    */
   REQUIRED,
 
-  /** Any peer with an accepted certificate may claim any name. */
+  /** A peer with an accepted certificate may use any node name. */
   OFF
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/NameCheckedService.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/NameCheckedService.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers the calls of one connection, and refuses those that claim a name which is not in the
- * certificate of the peer. Only batches claim a name; the other calls pass.
+ * Answers the calls of one connection and refuses batches whose sender name is not in the
+ * certificate of the peer. Other calls carry no sender name and are passed on unchecked.
  */
 final class NameCheckedService implements PeerService.Iface {
   private static final Logger LOG = LoggerFactory.getLogger(NameCheckedService.class);
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/PeerClient.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/PeerClient.java
@@ -39,32 +39,32 @@
 import org.larkkeel.time.BootClock;
 
 /**
- * Calls peers.
+ * Calls peers over Thrift.
  *
- * <p>Each call runs on a virtual thread, with bounds on connecting and on each read. A few idle
- * connections are kept a peer and closed after a while. A call on a kept connection that breaks is
- * repeated once on a new one, which is safe because every call between nodes is idempotent. Safe
- * for use by several threads.
+ * <p>Each call runs on a virtual thread, with timeouts for connecting and for each read. A few idle
+ * connections are kept per peer and closed after the idle timeout. If a call on an idle connection
+ * fails, it is retried once on a new connection, which is safe because every call between nodes is
+ * idempotent. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class PeerClient implements AutoCloseable {
-  private static final int MAX_CALLS = 256;
+  private static final int MAX_OPEN_CALLS = 256;
 
   private final TransportSettings settings;
   private final Optional<SSLContext> ssl;
   private final NameCheck nameCheck;
   private final ExecutorService calls = Executors.newVirtualThreadPerTaskExecutor();
-  private final Semaphore permits = new Semaphore(MAX_CALLS);
+  private final Semaphore permits = new Semaphore(MAX_OPEN_CALLS);
   private final Map<NodeAddress, Deque<Connection>> idle = new HashMap<>();
   private boolean closed;
 
   /**
    * Creates a client without connections.
    *
-   * @param settings bounds
-   * @param ssl authenticates both sides; empty for plain connections, as in tests
-   * @param nameCheck whether a peer is held to the names in its certificate
+   * @param settings timeouts and limits
+   * @param ssl the context that authenticates both sides; empty for plain connections, as in tests
+   * @param nameCheck determines whether the node name of a peer must be in its certificate
    */
   public PeerClient(TransportSettings settings, Optional<SSLContext> ssl, NameCheck nameCheck) {
     this.nameCheck = nameCheck;
@@ -77,15 +77,15 @@
 
   /** A call on an open connection. */
   private interface Call<T> {
-    T on(Connection connection) throws TException;
+    T invoke(Connection connection) throws TException;
   }
 
   /**
-   * Exchanges what two nodes have to say to each other.
+   * Exchanges the batches of two nodes.
    *
    * @param peer the address
-   * @param batch what this node says
-   * @return what the peer says; fails with {@link LarkkeelException}
+   * @param batch the batch of this node
+   * @return the batch of the peer; fails with {@link LarkkeelException}
    */
   public CompletableFuture<Batch> exchange(NodeAddress peer, Batch batch) {
     return submit(
@@ -100,10 +100,10 @@
   }
 
   /**
-   * Asks for the configuration after a revision.
+   * Pulls the configuration that follows a revision.
    *
    * @param peer the address
-   * @param fromRevision what this node holds
+   * @param fromRevision the revision that this node holds
    * @return a page; fails with {@link LarkkeelException}
    */
   public CompletableFuture<ConfigPage> pullConfig(NodeAddress peer, long fromRevision) {
@@ -137,7 +137,7 @@
     if (!permits.tryAcquire()) {
       result.completeExceptionally(
           new LarkkeelException(
-              ErrorKind.OVERLOADED, "more than " + MAX_CALLS + " calls to peers are open"));
+              ErrorKind.OVERLOADED, "more than " + MAX_OPEN_CALLS + " calls to peers are open"));
       return result;
     }
     try {
@@ -166,21 +166,21 @@
   }
 
   private <T> T attempt(NodeAddress peer, Call<T> call) throws IOException, TException {
-    Optional<Connection> kept = takeIdle(peer);
-    if (kept.isPresent()) {
+    Optional<Connection> idleConnection = takeIdle(peer);
+    if (idleConnection.isPresent()) {
       try {
-        return on(peer, kept.get(), call);
+        return callOn(peer, idleConnection.get(), call);
       } catch (TException e) {
-        // The peer may have closed the idle connection; a new one tells.
+        // The peer may have closed the idle connection; retry on a new one.
       }
     }
-    return on(peer, connect(peer), call);
+    return callOn(peer, connect(peer), call);
   }
 
-  private <T> T on(NodeAddress peer, Connection connection, Call<T> call) throws TException {
+  private <T> T callOn(NodeAddress peer, Connection connection, Call<T> call) throws TException {
     try {
-      T answer = call.on(connection);
-      keepIdle(peer, connection);
+      T answer = call.invoke(connection);
+      returnIdle(peer, connection);
       return answer;
     } catch (TException | RuntimeException e) {
       Frames.closeQuietly(connection.socket());
@@ -193,13 +193,13 @@
     try {
       int connectMillis = Math.toIntExact(settings.connectTimeout().toMillis());
       socket.connect(peer.toSocketAddress(), connectMillis);
-      Frames.prepare(socket, connectMillis);
+      Frames.configure(socket, connectMillis);
       Optional<CertificateNames> names = Optional.empty();
-      if (socket instanceof SSLSocket secure) {
-        secure.startHandshake();
-        names = namesOf(secure);
+      if (socket instanceof SSLSocket tlsSocket) {
+        tlsSocket.startHandshake();
+        names = namesOf(tlsSocket);
       }
-      Frames.prepare(socket, settings.callTimeout().toMillis());
+      Frames.configure(socket, settings.callTimeout().toMillis());
       TProtocol protocol = Frames.protocol(socket, settings.maxReplyBytes());
       return new Connection(
           socket, new PeerService.Client(protocol), names, BootClock.SYSTEM.nanoTime());
@@ -214,17 +214,17 @@
   }
 
   private synchronized Optional<Connection> takeIdle(NodeAddress peer) {
-    Deque<Connection> kept = idle.get(peer);
-    return kept == null ? Optional.empty() : Optional.ofNullable(kept.pollLast());
+    Deque<Connection> idleOfPeer = idle.get(peer);
+    return idleOfPeer == null ? Optional.empty() : Optional.ofNullable(idleOfPeer.pollLast());
   }
 
-  private synchronized void keepIdle(NodeAddress peer, Connection connection) {
-    Deque<Connection> kept = idle.computeIfAbsent(peer, key -> new ArrayDeque<>());
-    if (closed || kept.size() >= settings.connectionsPerPeer()) {
+  private synchronized void returnIdle(NodeAddress peer, Connection connection) {
+    Deque<Connection> idleOfPeer = idle.computeIfAbsent(peer, key -> new ArrayDeque<>());
+    if (closed || idleOfPeer.size() >= settings.maxIdlePerPeer()) {
       Frames.closeQuietly(connection.socket());
       return;
     }
-    kept.addLast(
+    idleOfPeer.addLast(
         new Connection(
             connection.socket(),
             connection.client(),
@@ -232,7 +232,9 @@
             BootClock.SYSTEM.nanoTime()));
   }
 
-  /** Closes the connections that have not been used for the idle time; called now and then. */
+  /**
+   * Closes the connections that have been unused for the idle timeout; to be called periodically.
+   */
   public void closeIdle() {
     long limit =
         BootClock.SYSTEM.nanoTime()
@@ -243,18 +245,18 @@
   }
 
   private synchronized List<Connection> takeIdleSince(long limit) {
-    List<Connection> old = new ArrayList<>();
+    List<Connection> expired = new ArrayList<>();
     Iterator<Deque<Connection>> peers = idle.values().iterator();
     while (peers.hasNext()) {
-      Deque<Connection> kept = peers.next();
-      while (!kept.isEmpty() && kept.peekFirst().idleSince() - limit <= 0) {
-        old.add(kept.pollFirst());
+      Deque<Connection> idleOfPeer = peers.next();
+      while (!idleOfPeer.isEmpty() && idleOfPeer.peekFirst().idleSince() - limit <= 0) {
+        expired.add(idleOfPeer.pollFirst());
       }
-      if (kept.isEmpty()) {
+      if (idleOfPeer.isEmpty()) {
         peers.remove();
       }
     }
-    return old;
+    return expired;
   }
 
   @Override
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/PeerServer.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/PeerServer.java
@@ -26,17 +26,17 @@
 /**
  * Answers the Thrift calls of peers.
  *
- * <p>A frame that is too large, malformed or cut short ends its own connection and nothing else.
- * With an SSL context only peers with an accepted certificate are served. One platform thread
- * accepts; each connection has a virtual thread, and their number is bounded. Safe for use by
- * several threads; the handler is called by several threads at once.
+ * <p>A frame that is too large, malformed or truncated closes its own connection only. With an SSL
+ * context only peers with an accepted certificate are served. One platform thread accepts
+ * connections; each connection has a virtual thread, and the number of connections is limited. Safe
+ * for use by several threads; the handler is called by several threads at once.
  *
  * @since 0.1
  */
 public final class PeerServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
   private static final String[] TLS_VERSIONS = {"TLSv1.3"};
-  private static final Duration ACCEPTOR_PATIENCE = Duration.ofSeconds(5);
+  private static final Duration ACCEPTOR_JOIN_TIMEOUT = Duration.ofSeconds(5);
 
   private final TransportSettings settings;
   private final NameCheck nameCheck;
@@ -61,10 +61,10 @@
   /**
    * Opens the listener and serves until closed.
    *
-   * @param settings bounds
-   * @param address where to listen; port 0 chooses a free one
-   * @param ssl authenticates both sides; empty for plain connections, as in tests
-   * @param nameCheck whether a peer is held to the names in its certificate
+   * @param settings timeouts and limits
+   * @param address the address to listen on; port 0 selects a free port
+   * @param ssl the context that authenticates both sides; empty for plain connections, as in tests
+   * @param nameCheck determines whether the node name of a peer must be in its certificate
    * @param handler answers the calls
    * @return the server
    * @throws IOException if the address can not be bound
@@ -76,7 +76,7 @@
       NameCheck nameCheck,
       PeerService.Iface handler)
       throws IOException {
-    ServerSocket listener = ssl.isPresent() ? secure(ssl.get()) : new ServerSocket();
+    ServerSocket listener = ssl.isPresent() ? openTlsListener(ssl.get()) : new ServerSocket();
     try {
       listener.setReuseAddress(true);
       listener.bind(address);
@@ -89,7 +89,7 @@
     return server;
   }
 
-  private static ServerSocket secure(SSLContext context) throws IOException {
+  private static ServerSocket openTlsListener(SSLContext context) throws IOException {
     SSLServerSocket listener =
         (SSLServerSocket) context.getServerSocketFactory().createServerSocket();
     listener.setNeedClientAuth(true);
@@ -98,7 +98,7 @@
   }
 
   /**
-   * The port that the server listens on.
+   * Returns the port that the server listens on.
    *
    * @return the port
    */
@@ -126,14 +126,14 @@
 
   private void serve(Socket socket) {
     try {
-      Frames.prepare(socket, settings.idleTimeout().toMillis());
+      Frames.configure(socket, settings.idleTimeout().toMillis());
       TProtocol protocol = Frames.protocol(socket, settings.maxRequestBytes());
       var processor = new PeerService.Processor<>(handlerFor(socket));
       while (!closed) {
         processor.process(protocol, protocol);
       }
     } catch (IOException | TException | RuntimeException e) {
-      // An idle, broken or hostile connection: the next line ends it.
+      // An idle, broken or malicious connection: it is closed below.
       LOG.debug(
           "event=peer_connection_ended peer={} error=\"{}\"",
           socket.getRemoteSocketAddress(),
@@ -145,18 +145,19 @@
   }
 
   private PeerService.Iface handlerFor(Socket socket) throws IOException {
-    if (nameCheck == NameCheck.OFF || !(socket instanceof SSLSocket secure)) {
+    if (nameCheck == NameCheck.OFF || !(socket instanceof SSLSocket tlsSocket)) {
       return handler;
     }
-    secure.startHandshake();
-    return new NameCheckedService(handler, CertificateNames.of(secure));
+    tlsSocket.startHandshake();
+    return new NameCheckedService(handler, CertificateNames.of(tlsSocket));
   }
 
   /**
-   * Ends the listener and all connections.
+   * Closes the listener and all connections.
    *
-   * <p>The address is free once this returns: the system keeps a listener for as long as a thread
-   * waits in it, so the acceptor's end is waited for.
+   * <p>The address can be bound again once this method returns: the operating system keeps a
+   * listener open as long as a thread waits in accept, so this method waits for the acceptor thread
+   * to end.
    */
   @Override
   public void close() {
@@ -172,7 +173,7 @@
 
   private void awaitAcceptor() {
     try {
-      acceptor.join(ACCEPTOR_PATIENCE);
+      acceptor.join(ACCEPTOR_JOIN_TIMEOUT);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
