--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/TransportSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/TransportSettings.java
@@ -9,30 +9,31 @@
 import java.time.Duration;
 
 /**
- * Bounds of the calls between nodes.
+ * Timeouts and limits of the calls between nodes.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param connectTimeout for a connection and its handshake
- * @param callTimeout for an answer
- * @param idleTimeout after which an unused connection is closed
- * @param connectionsPerPeer the most idle connections kept to one peer
- * @param maxConnections the most connections a server serves; more are closed at once
- * @param maxRequestBytes the largest frame a server reads
- * @param maxReplyBytes the largest frame a client reads
+ * @param connectTimeout the timeout for connecting and for each read during the handshake
+ * @param callTimeout the timeout for each read of an answer
+ * @param idleTimeout the time after which an unused connection is closed
+ * @param maxIdlePerPeer the maximum number of idle connections kept per peer
+ * @param maxConnections the maximum number of connections that a server serves; further ones are
+ *     closed at once
+ * @param maxRequestBytes the maximum frame size that a server reads
+ * @param maxReplyBytes the maximum frame size that a client reads
  * @since 0.1
  */
 public record TransportSettings(
     Duration connectTimeout,
     Duration callTimeout,
     Duration idleTimeout,
-    int connectionsPerPeer,
+    int maxIdlePerPeer,
     int maxConnections,
     int maxRequestBytes,
     int maxReplyBytes) {
 
   /**
-   * The settings for nodes some milliseconds apart.
+   * Returns the settings for nodes with some milliseconds of latency between them.
    *
    * @return the defaults
    */
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/WireMessages.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/WireMessages.java
@@ -96,7 +96,12 @@
         member.dataCentre().value());
   }
 
-  /** Fails with an unchecked or a protocol exception if the message is not valid. */
+  /**
+   * Converts a message from its Thrift form.
+   *
+   * @throws TProtocolException if the type or a member state is unknown
+   * @throws RuntimeException if another field is missing or out of range
+   */
   static Message fromWire(WireMessage wire) throws TProtocolException {
     Message.Header header = readHeader(wire);
     return switch (wire.getType()) {
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/package-info.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/package-info.java
@@ -5,7 +5,7 @@
  */
 
 /**
- * How nodes send to each other: authenticated datagrams for the membership protocol, Thrift calls
+ * Communication between nodes: authenticated datagrams for the membership protocol, Thrift calls
  * over TCP for everything else.
  */
 package org.larkkeel.peer.transport;
