--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MembershipSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/MembershipSettings.java
@@ -94,7 +94,7 @@
    * Returns the number of messages that carry a record.
    *
    * @param size the number of members present
-   * @return at least 1
+   * @return at least {@value #MIN_RETRANSMITS}
    */
   int retransmits(int size) {
     return Math.max(MIN_RETRANSMITS, (int) Math.ceil(retransmitFactor * powersOfTen(size)));
