--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/Node.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/Node.java
@@ -38,36 +38,36 @@
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.lib.WorkspaceName;
 
-/** The HTTP side of a node, with the test in place of the reducer. */
+/** The HTTP layer of a node; the test takes the place of the reducer. */
 public final class Node implements AutoCloseable {
-  /** After this a test gives up; no assertion depends on its length. */
+  /** The time after which a wait fails the test; no assertion depends on its length. */
   public static final int PATIENCE_SECONDS = 10;
 
   /** The workspace that needs no token. */
-  public static final String OPEN = "open";
+  public static final String OPEN_WORKSPACE = "open";
 
-  /** The token of the other workspace. */
+  /** The token of the workspace {@code closed}. */
   public static final String TOKEN = "s3cret";
 
-  /** This node. */
+  /** The host and incarnation of this node. */
   public static final EngineRequestId.Origin ORIGIN =
       new EngineRequestId.Origin(new HostName("n1"), new Incarnation(7));
 
-  private static final long TIMEOUT = TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
 
-  /** Whether {@code /readyz} says ready. */
+  /** True if {@code /readyz} reports that the node is ready. */
   public final AtomicBoolean ready = new AtomicBoolean(true);
 
-  /** The workspaces in force. */
+  /** The current workspaces. */
   public volatile Workspaces workspaces =
       new Workspaces(
           ImmutableMap.of(BearerToken.digest(TOKEN), new WorkspaceName("closed")),
-          ImmutableSet.of(OPEN));
+          ImmutableSet.of(OPEN_WORKSPACE));
 
-  /** The requests. */
+  /** The requests in progress. */
   public final RequestTable table = new RequestTable();
 
-  /** Sends to upstreams. */
+  /** Sends requests to upstreams. */
   public final UpstreamClient client;
 
   private final HttpWorker worker = new HttpWorker(2);
@@ -108,22 +108,22 @@
                 InstantSource.system()));
   }
 
-  /** Where callers connect. */
+  /** Returns the address of the listener for callers. */
   public InetSocketAddress address() {
     return listener.address();
   }
 
-  /** Takes the certificate anew. */
+  /** Reloads the TLS certificate. */
   public void reloadTls() {
     listener.reloadTls();
   }
 
-  /** Connects a caller. */
+  /** Opens a connection as a caller. */
   public RawCaller call() throws Exception {
     return new RawCaller(listener.address());
   }
 
-  /** Names an upstream. */
+  /** Registers the address of an upstream. */
   public UpstreamName upstream(String name, InetSocketAddress address) {
     UpstreamName upstream = new UpstreamName(name);
     upstreams.put(upstream, new UpstreamAddress(address));
@@ -133,36 +133,36 @@
   /** Executes an effect. */
   public void execute(Effect effect) {
     if (!executor.execute(effect)) {
-      throw new AssertionError(effect + " is not of this adapter");
+      throw new AssertionError(effect + " concerns neither callers nor upstreams");
     }
   }
 
-  /** Starts a decode of the next attempt. */
+  /** Starts a decode attempt. */
   public void decode(AttemptId attempt, RequestId request, UpstreamName at, int resumeFrom) {
-    execute(new Effect.StartDecode(attempt, request, at, 0, resumeFrom, TIMEOUT));
+    execute(new Effect.StartDecode(attempt, request, at, 0, resumeFrom, TIMEOUT_NANOS));
   }
 
-  /** Sends a plain call. */
+  /** Sends a plain call to a service. */
   public void plain(AttemptId attempt, RequestId request, UpstreamName at) {
-    execute(new Effect.SendPlain(attempt, request, at, TIMEOUT));
+    execute(new Effect.SendPlain(attempt, request, at, TIMEOUT_NANOS));
   }
 
   /** Starts a prefill. */
   public void prefill(AttemptId attempt, RequestId request, UpstreamName at) {
-    execute(new Effect.StartPrefill(attempt, request, at, 3, 0, TIMEOUT));
+    execute(new Effect.StartPrefill(attempt, request, at, 3, 0, TIMEOUT_NANOS));
   }
 
-  /** Starts a transfer. */
+  /** Starts a KV transfer. */
   public void transfer(
       AttemptId attempt, RequestId request, AttemptId prefill, UpstreamName from, UpstreamName to) {
-    execute(new Effect.StartTransfer(attempt, request, prefill, from, to, TIMEOUT));
+    execute(new Effect.StartTransfer(attempt, request, prefill, from, to, TIMEOUT_NANOS));
   }
 
-  /** Waits for the next event, which must be of a type. */
+  /** Waits for the next event, which must be of the given type. */
   public <E extends Event> E await(Class<E> type) throws InterruptedException {
     Event event = events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
     if (event == null) {
-      throw new AssertionError("no event came; expected " + type.getSimpleName());
+      throw new AssertionError("no event was submitted; expected " + type.getSimpleName());
     }
     if (!type.isInstance(event)) {
       throw new AssertionError("expected " + type.getSimpleName() + " but got " + event);
@@ -170,18 +170,18 @@
     return type.cast(event);
   }
 
-  /** Waits for the arrival of a request. */
+  /** Waits for the arrival of a request, which must be the next event. */
   public RequestId arrival() throws InterruptedException {
     return await(Event.RequestArrived.class).call().id();
   }
 
-  /** Waits for the next event, of whatever type. */
+  /** Waits for the next event of any type. */
   public Event next() throws InterruptedException {
     return await(Event.class);
   }
 
-  /** Events that nobody has taken yet. */
-  public int waitingEvents() {
+  /** Returns the number of events that the test has not taken. */
+  public int pendingEvents() {
     return events.size();
   }
 
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/RawCaller.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/RawCaller.java
@@ -16,38 +16,38 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A caller whose every byte is chosen by the test. Used by one thread. */
+/** A caller whose bytes the test controls. Not safe for use by several threads. */
 public final class RawCaller implements AutoCloseable {
-  private static final int PATIENCE_MILLIS = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
 
   private final Socket socket = new Socket();
   private final InputStream in;
 
-  /** An answer as it came. */
+  /** An answer as received, with header names in lower case. */
   public record Answer(int status, Map<String, String> headers, String body) {
-    /** A header by its name in lower case; empty if missing. */
+    /** Returns a header by its name in lower case; empty if missing. */
     public String header(String name) {
       return headers.getOrDefault(name, "");
     }
   }
 
-  /** Connects. */
+  /** Connects to a listener. */
   public RawCaller(InetSocketAddress address) throws IOException {
     socket.setReceiveBufferSize(4096);
     socket.connect(address);
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(PATIENCE_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     in = new BufferedInputStream(socket.getInputStream());
   }
 
-  /** Writes text as it is. */
+  /** Writes text unchanged. */
   public RawCaller raw(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     socket.getOutputStream().flush();
     return this;
   }
 
-  /** Writes a whole request of the open workspace; each header line ends with a line break. */
+  /** Writes a complete request for the open workspace; each header line ends with CR LF. */
   public RawCaller send(String method, String target, String headers, String body)
       throws IOException {
     int length = body.getBytes(StandardCharsets.UTF_8).length;
@@ -63,16 +63,16 @@
             + body);
   }
 
-  /** The connection. */
+  /** Returns the connection. */
   public Socket socket() {
     return socket;
   }
 
-  /** Reads status and headers. */
+  /** Reads the status and headers of an answer. */
   public Answer head() throws IOException {
     String first = ScriptedServer.line(in);
     if (first == null) {
-      throw new IOException("closed without an answer");
+      throw new IOException("the connection was closed without an answer");
     }
     Map<String, String> headers = new TreeMap<>();
     for (String line = ScriptedServer.line(in); !line.isEmpty(); line = ScriptedServer.line(in)) {
@@ -83,7 +83,7 @@
     return new Answer(Integer.parseInt(first.substring(9, 12)), headers, "");
   }
 
-  /** Reads a whole answer, chunked or not. */
+  /** Reads a complete answer, chunked or with a length. */
   public Answer answer() throws IOException {
     Answer head = head();
     StringBuilder body = new StringBuilder();
@@ -98,11 +98,11 @@
     return new Answer(head.status(), head.headers(), body.toString());
   }
 
-  /** Reads one chunk; empty at the end. */
+  /** Reads one chunk; returns an empty text at the end. */
   public String chunk() throws IOException {
     String line = ScriptedServer.line(in);
     if (line == null) {
-      throw new IOException("the answer is cut");
+      throw new IOException("the connection was closed inside a chunked answer");
     }
     int size = Integer.parseInt(line, 16);
     String chunk = new String(in.readNBytes(size), StandardCharsets.UTF_8);
@@ -110,7 +110,7 @@
     return chunk;
   }
 
-  /** Reads one byte; -1 at the end. */
+  /** Reads one byte; returns -1 at the end of the stream. */
   public int read() throws IOException {
     return in.read();
   }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/ScriptedServer.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/ScriptedServer.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server whose every byte is scripted by the test. Safe for use by several threads. */
+/** A server whose bytes a script of the test controls. Safe for use by several threads. */
 public final class ScriptedServer implements AutoCloseable {
   private final ServerSocket listener;
   private final Script script;
@@ -33,21 +33,21 @@
   /** Answers requests. */
   @FunctionalInterface
   public interface Script {
-    /** Answers one request; closes the socket to end the connection. */
+    /** Answers one request; may close the socket to end the connection. */
     void serve(Request request, Reply reply) throws Exception;
   }
 
-  /** A request as it came. */
+  /** A request as received, with header names in lower case. */
   public record Request(String method, String target, Map<String, String> headers, String body) {
-    /** A header by its name in lower case. */
+    /** Returns a header by its name in lower case; null if missing. */
     public String header(String name) {
       return headers.get(name);
     }
   }
 
-  /** The way back of one request. */
+  /** Writes the answer to one request. */
   public record Reply(Socket socket) {
-    /** Writes text as it is. */
+    /** Writes text unchanged. */
     public Reply raw(String text) throws IOException {
       OutputStream out = socket.getOutputStream();
       out.write(text.getBytes(StandardCharsets.UTF_8));
@@ -55,13 +55,13 @@
       return this;
     }
 
-    /** Writes a whole answer. */
+    /** Writes a complete answer. */
     public Reply whole(int status, String body) throws IOException {
       int length = body.getBytes(StandardCharsets.UTF_8).length;
       return raw("HTTP/1.1 " + status + " X\r\nContent-Length: " + length + "\r\n\r\n" + body);
     }
 
-    /** Starts a chunked stream of events. */
+    /** Starts an event stream in chunks. */
     public Reply startEvents() throws IOException {
       return raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
@@ -72,7 +72,7 @@
       return raw(Integer.toHexString(length) + "\r\n" + text + "\r\n");
     }
 
-    /** Writes the event of a token. */
+    /** Writes the stream event of a token. */
     public Reply token(int index, String text) throws IOException {
       return chunk(
           "data: {\"id\":\"x\",\"choices\":[{\"index\":0,\"text\":\""
@@ -82,7 +82,7 @@
               + ",\"finish_reason\":null}]}\n\n");
     }
 
-    /** Ends a stream as engines do. */
+    /** Ends an event stream as engines do. */
     public Reply done() throws IOException {
       return chunk("data: [DONE]\n\n").raw("0\r\n\r\n");
     }
@@ -95,7 +95,7 @@
     Thread.ofVirtual().start(this::accept);
   }
 
-  /** The address. */
+  /** Returns the address of the server. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
@@ -104,12 +104,12 @@
   public Request next() throws InterruptedException {
     Request request = requests.poll(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
     if (request == null) {
-      throw new AssertionError("no request came");
+      throw new AssertionError("the server received no request");
     }
     return request;
   }
 
-  /** Requests that came and were not taken by {@link #next}. */
+  /** Returns the number of requests that were received and not taken by {@link #next}. */
   public int waitingRequests() {
     return requests.size();
   }
@@ -131,7 +131,7 @@
         Thread.ofVirtual().start(() -> serve(socket));
       }
     } catch (IOException e) {
-      // Closed.
+      // The listener was closed.
     }
   }
 
@@ -145,11 +145,11 @@
         request = socket.isClosed() ? null : read(in);
       }
     } catch (Exception e) {
-      // The peer has gone, which tests do on purpose.
+      // The peer has disconnected, which tests do on purpose.
     }
   }
 
-  /** Reads one message; null at the end of the stream. */
+  /** Reads one request; returns null at the end of the stream. */
   static Request read(InputStream in) throws IOException {
     String first = line(in);
     if (first == null) {
@@ -167,7 +167,7 @@
     return new Request(parts[0], parts[1], headers, body);
   }
 
-  /** Reads one line; null at the end of the stream. */
+  /** Reads one line without its end; returns null at the end of the stream. */
   static String line(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int c = in.read(); c != '\n'; c = in.read()) {
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/CallerListenerTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/CallerListenerTest.java
@@ -34,7 +34,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What callers do to the listener, byte for byte. */
+/** Tests the listener against correct, malformed, slow and departing callers on raw connections. */
 public class CallerListenerTest {
   private static final String WORKSPACE = "Host: t\r\nX-Larkkeel-Workspace: open\r\n";
   private static final int MAX_BODY = 1_000;
@@ -42,7 +42,7 @@
   private static final int SHORT_MILLIS = 200;
   private static final int LONG_MILLIS = 60_000;
 
-  /** A node that is started anew for each test. */
+  /** Starts a new node for each test. */
   public abstract static class WithNode {
     /** The node. */
     protected Node node;
@@ -59,7 +59,7 @@
       node.close();
     }
 
-    /** Changes the settings. */
+    /** Returns the settings of the node, based on the defaults. */
     protected CallerSettings settings(CallerSettings defaults) {
       return defaults.withSizes(MAX_BODY, 3 * MAX_BODY, MAX_PENDING);
     }
@@ -70,7 +70,7 @@
           new RecordedAnswer(200, ImmutableList.of(), body.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Shows that the node still serves. */
+    /** Asserts that the node still serves requests. */
     void assertServes() throws Exception {
       try (RawCaller caller = node.call()) {
         caller.send("GET", "/fine", "", "");
@@ -80,10 +80,14 @@
     }
   }
 
-  /** A node that has just started. */
+  /** A node that has no configuration yet. */
   public static class NotConfigured extends WithNode {
+    /**
+     * Callers are refused with a status that allows a retry. A 401 would tell valid callers that
+     * their workspace is unknown.
+     */
     @Test
-    public void tellsCallersToComeBackAndNotThatTheyAreUnknown() throws Exception {
+    public void refusesAsNotReadyInsteadOfUnauthenticated() throws Exception {
       final Workspaces known = node.workspaces;
       node.workspaces = new Workspaces(ImmutableMap.of(), ImmutableSet.of());
       try (RawCaller caller = node.call()) {
@@ -98,9 +102,9 @@
     }
   }
 
-  /** Requests that can not be served. */
+  /** Requests that are rejected. */
   public static class BadRequests extends WithNode {
-    /** Bad requests, with status, slug and a word that the detail must have. */
+    /** Bad requests, with the status, the slug, and a word that the detail must contain. */
     @DataProvider
     public Object[][] table() {
       String complete = "POST /v1/completions HTTP/1.1\r\n" + WORKSPACE;
@@ -190,9 +194,11 @@
       };
     }
 
-    /** Each gets a clear problem, tells the reducer nothing and harms nobody else. */
+    /**
+     * Each bad request gets a problem body, submits no event, and does not affect other requests.
+     */
     @Test(dataProvider = "table")
-    public void getClearProblem(String request, int status, String slug, String word)
+    public void getProblemBody(String request, int status, String slug, String word)
         throws Exception {
       try (RawCaller caller = node.call()) {
         RawCaller.Answer answer = caller.raw(request).answer();
@@ -205,13 +211,13 @@
         assertTrue(problem.path("detail").asText().contains(word), answer.body());
       }
       assertServes();
-      assertEquals(node.waitingEvents(), 0);
+      assertEquals(node.pendingEvents(), 0);
       assertEquals(node.table.size(), 0);
     }
 
-    /** What is not HTTP ends its own connection only. */
+    /** Bytes that are not HTTP close only their own connection. */
     @Test
-    public void closesOnNonsense() throws Exception {
+    public void closesOnMalformedHttp() throws Exception {
       try (RawCaller caller = node.call()) {
         caller.raw("\u0001\u0002 nonsense\r\n\r\n");
         RawCaller.Answer answer = caller.answer();
@@ -230,15 +236,15 @@
     }
   }
 
-  /** Requests that are not sent to the end. */
-  public static class HalfSent extends WithNode {
+  /** Requests that are not sent completely. */
+  public static class IncompleteRequests extends WithNode {
     @Override
     protected CallerSettings settings(CallerSettings defaults) {
       return super.settings(defaults)
           .withTimeouts(SHORT_MILLIS, SHORT_MILLIS, LONG_MILLIS, LONG_MILLIS);
     }
 
-    /** A body that stops is refused and its connection closed. */
+    /** A request whose body stops is refused after the timeout, and its connection is closed. */
     @Test
     public void stoppedBodyTimesOut() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -251,7 +257,7 @@
       assertServes();
     }
 
-    /** Headers that stop end the connection. */
+    /** A connection on which headers stop is closed after the timeout. */
     @Test
     public void stoppedHeadersTimeOut() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -261,39 +267,48 @@
       assertServes();
     }
 
-    /** A caller that leaves in the middle of its body was never a request. */
+    /** A caller that disconnects within its body submits no event. */
     @Test
-    public void leavesInBody() throws Exception {
+    public void disconnectInBodySubmitsNoEvent() throws Exception {
       try (RawCaller caller = node.call()) {
         caller.raw("POST /x HTTP/1.1\r\n" + WORKSPACE + "Content-Length: 10\r\n\r\nabc");
       }
       assertServes();
-      assertEquals(node.waitingEvents(), 0);
+      assertEquals(node.pendingEvents(), 0);
     }
 
-    /** Half-sent bodies give back the memory that was kept for them. */
+    /**
+     * Incomplete bodies release the memory reserved for them; otherwise later requests would be
+     * refused with 503.
+     */
     @Test
-    public void givesMemoryBack() throws Exception {
+    public void releasesMemory() throws Exception {
       for (int i = 0; i < 5; i++) {
         try (RawCaller caller = node.call()) {
           caller.raw("POST /x HTTP/1.1\r\n" + WORKSPACE + "Content-Length: 1000\r\n\r\nabc");
-          assertEquals(caller.answer().status(), 408, "three bodies would fill the memory");
+          assertEquals(
+              caller.answer().status(),
+              408,
+              "the memory holds three bodies, so it was not released");
         }
       }
     }
   }
 
   /** Callers that do not read. */
-  public static class Stalled extends WithNode {
+  public static class StalledCallers extends WithNode {
     @Override
     protected CallerSettings settings(CallerSettings defaults) {
       return super.settings(defaults)
           .withTimeouts(LONG_MILLIS, LONG_MILLIS, LONG_MILLIS, SHORT_MILLIS);
     }
 
-    /** Callers that do not take their answers are cut off and give back what they held. */
+    /**
+     * The connections of callers that do not read their answers are closed, and the memory of their
+     * bodies is released.
+     */
     @Test
-    public void stalledReadersAreCutOff() throws Exception {
+    public void connectionsAreClosedAndMemoryIsReleased() throws Exception {
       String body = "x".repeat(MAX_BODY);
       try (RawCaller one = node.call();
           RawCaller two = node.call();
@@ -311,26 +326,27 @@
             status = next.head().status();
           }
         }
-        assertEquals(status, 400, "memory is free again, so the request is looked at");
+        assertEquals(
+            status, 400, "memory is released, so the request is parsed and found malformed");
       }
     }
   }
 
-  /** Callers that go away. */
-  public static class Departures extends WithNode {
+  /** Callers that disconnect. */
+  public static class Disconnects extends WithNode {
     @Override
     protected CallerSettings settings(CallerSettings defaults) {
       return super.settings(defaults)
           .withTimeouts(LONG_MILLIS, LONG_MILLIS, LONG_MILLIS, LONG_MILLIS);
     }
 
-    /** The ways to go. */
+    /** The ways to disconnect. */
     @DataProvider
     public Object[][] ways() {
       return new Object[][] {{Way.CLOSE}, {Way.HALF_CLOSE}, {Way.RESET}};
     }
 
-    /** A way to go. */
+    /** A way to disconnect. */
     public enum Way {
       /** An orderly close. */
       CLOSE,
@@ -339,7 +355,7 @@
       /** The connection is reset. */
       RESET;
 
-      void leave(RawCaller caller) throws Exception {
+      void disconnect(RawCaller caller) throws Exception {
         if (this == HALF_CLOSE) {
           caller.socket().shutdownOutput();
           return;
@@ -351,24 +367,27 @@
       }
     }
 
-    /** A departure is told while the request is queued and nothing is written. */
+    /**
+     * A disconnect is reported once while the request is queued and nothing is written to the
+     * caller.
+     */
     @Test(dataProvider = "ways")
-    public void isToldWhileQueued(Way way) throws Exception {
+    public void isReportedWhileQueued(Way way) throws Exception {
       try (RawCaller caller = node.call()) {
         caller.send("POST", "/v1/completions", "", "{\"model\":\"m\",\"prompt\":\"p\"}");
         RequestId id = node.arrival();
-        way.leave(caller);
+        way.disconnect(caller);
         assertEquals(node.await(Event.CallerGone.class).request(), id);
         node.execute(new Effect.Forget(id));
         assertEquals(node.table.size(), 0);
       }
       assertServes();
-      assertEquals(node.waitingEvents(), 0, "told once");
+      assertEquals(node.pendingEvents(), 0, "the disconnect is reported once");
     }
 
-    /** Bytes of a next request do not hide a departure. */
+    /** Bytes of a pipelined request do not hide a disconnect. */
     @Test
-    public void isToldBehindNextRequest() throws Exception {
+    public void isReportedBehindPipelinedRequest() throws Exception {
       try (RawCaller caller = node.call()) {
         caller.send("GET", "/a", "", "").send("GET", "/b", "", "");
         RequestId id = node.arrival();
@@ -377,29 +396,29 @@
       }
     }
 
-    /** A caller that leaves after its answer is not told as gone. */
+    /** A disconnect after the answer is not reported. */
     @Test
-    public void isNotToldAfterAnswer() throws Exception {
+    public void isNotReportedAfterAnswer() throws Exception {
       try (RawCaller caller = node.call()) {
         caller.send("GET", "/a", "", "");
         answer(node.arrival(), "A");
         assertEquals(caller.answer().body(), "A");
       }
       assertServes();
-      assertEquals(node.waitingEvents(), 0);
+      assertEquals(node.pendingEvents(), 0);
     }
 
-    /** A caller that reads nothing is cut off within its bound. */
+    /** The connection of a caller that reads nothing is closed when its buffer is full. */
     @Test
-    public void slowReaderIsCutOff() throws Exception {
+    public void connectionOfSlowReaderIsClosed() throws Exception {
       try (RawCaller caller = node.call()) {
         caller.send(
             "POST", "/v1/completions", "", "{\"model\":\"m\",\"prompt\":\"p\",\"stream\":true}");
         RequestId id = node.arrival();
         RequestRecord record = node.table.find(id).orElseThrow();
         byte[] part = new byte[4 << 10];
-        int most = (64 << 20) / part.length;
-        for (int i = 0; i < most && node.waitingEvents() == 0; i++) {
+        int maxParts = (64 << 20) / part.length;
+        for (int i = 0; i < maxParts && node.pendingEvents() == 0; i++) {
           record.channel().stream(part);
         }
         assertEquals(node.await(Event.CallerGone.class).request(), id);
@@ -408,9 +427,9 @@
     }
   }
 
-  /** Requests in good order. */
-  public static class GoodRequests extends WithNode {
-    /** Requests that come together are answered in order. */
+  /** Requests that are served. */
+  public static class ValidRequests extends WithNode {
+    /** Pipelined requests are answered in order. */
     @Test
     public void answersPipelined() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -422,7 +441,7 @@
       }
     }
 
-    /** A chat becomes one prompt, and headers become parts of the call. */
+    /** The messages of a chat become one prompt, and the headers become fields of the call. */
     @Test
     public void readsCall() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -441,7 +460,7 @@
       }
     }
 
-    /** The same key with another body has another digest. */
+    /** The digest of a run key depends on the body of the request. */
     @Test
     public void digestCoversBody() throws Exception {
       long[] digests = new long[3];
@@ -459,7 +478,10 @@
       assertEquals(digests[2], digests[0]);
     }
 
-    /** A refusal tells when to come back and what ran. */
+    /**
+     * A refusal carries {@code Retry-After}, rounded up, and a generated request id in place of an
+     * invalid one.
+     */
     @Test
     public void refuses() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -474,9 +496,12 @@
       }
     }
 
-    /** A late answer for a request that has ended goes nowhere. */
+    /**
+     * A second answer to a request is dropped and does not reach the next request on the
+     * connection.
+     */
     @Test
-    public void dropsSecondEnd() throws Exception {
+    public void dropsSecondAnswer() throws Exception {
       try (RawCaller caller = node.call()) {
         caller.send("GET", "/a", "", "");
         RequestId id = node.arrival();
@@ -504,9 +529,9 @@
       }
     }
 
-    /** A caller that asks before it sends its body is told to go on. */
+    /** A request with {@code Expect: 100-continue} gets status 100 before its body is sent. */
     @Test
-    public void continues() throws Exception {
+    public void answersExpectContinue() throws Exception {
       try (RawCaller caller = node.call()) {
         caller.raw(
             "POST /x HTTP/1.1\r\n"
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/TlsTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/TlsTest.java
@@ -27,13 +27,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The listener behind TLS. The keys in the resources serve these tests only. */
+/** Tests the listener with TLS. The keys in the resources are used by these tests only. */
 public class TlsTest {
   private static final char[] PASSWORD = "changeit".toCharArray();
   private static final String GET =
       "GET /healthz HTTP/1.1\r\nHost: t\r\nX-Larkkeel-Workspace: open\r\n\r\n";
 
-  /** Certificates that change, and departures. */
+  /** Reload of certificates, and disconnects of callers. */
   public static class Listener {
     private final AtomicReference<String> store = new AtomicReference<>("certificate-1");
     private Node node;
@@ -51,7 +51,10 @@
       node.close();
     }
 
-    /** A new certificate is used for new connections, and open ones go on. */
+    /**
+     * After a reload, new connections use the new certificate, and open connections continue with
+     * the old one.
+     */
     @Test
     public void reloadsCertificate() throws Exception {
       try (SSLSocket old = connect("certificate-1")) {
@@ -68,9 +71,9 @@
       }
     }
 
-    /** A departure is told behind TLS as well. */
+    /** A disconnect of a caller is reported with TLS as well. */
     @Test
-    public void tellsDeparture() throws Exception {
+    public void reportsDisconnect() throws Exception {
       try (SSLSocket caller = connect("certificate-1")) {
         caller
             .getOutputStream()
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/UndertowChannelTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/UndertowChannelTest.java
@@ -19,13 +19,16 @@
 import java.util.function.Consumer;
 import org.testng.annotations.Test;
 
-/** What a caller sees of an answer, byte for byte. */
+/** Guards against answers whose bytes let a truncated stream look complete to the caller. */
 public class UndertowChannelTest {
-  private static final byte[] PIECE = "data: piece\n\n".getBytes(StandardCharsets.UTF_8);
+  private static final byte[] EVENT = "data: piece\n\n".getBytes(StandardCharsets.UTF_8);
   private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
-  private static final int LONGEST_MILLIS = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
 
-  /** Answers one request on its I/O thread; returns all bytes until the connection ends. */
+  /**
+   * Answers one request on its I/O thread by the script; returns all bytes until the connection
+   * ends.
+   */
   private static String answer(Consumer<UndertowChannel> script) throws IOException {
     CallerSettings settings = CallerSettings.on(new InetSocketAddress("127.0.0.1", 0));
     Undertow server =
@@ -47,9 +50,9 @@
   }
 
   private static String exchange(InetSocketAddress address) throws IOException {
-    StringBuilder seen = new StringBuilder();
+    StringBuilder received = new StringBuilder();
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-      socket.setSoTimeout(LONGEST_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       socket
           .getOutputStream()
           .write(
@@ -58,37 +61,41 @@
       byte[] buffer = new byte[1_000];
       int n = socket.getInputStream().read(buffer);
       while (n >= 0) {
-        seen.append(new String(buffer, 0, n, StandardCharsets.UTF_8));
+        received.append(new String(buffer, 0, n, StandardCharsets.UTF_8));
         n = socket.getInputStream().read(buffer);
       }
     } catch (SocketException e) {
-      // A reset ends the answer as well.
+      // A reset also ends the answer.
     }
-    return seen.toString();
+    return received.toString();
   }
 
-  /** Streams. */
+  /** The end of a stream, as the caller receives it. */
   public static class Streams {
     @Test
-    public void lookWholeOnceTheyHaveEnded() throws IOException {
-      String seen =
+    public void endWithLastChunk() throws IOException {
+      String received =
           answer(
               channel -> {
-                channel.stream(PIECE);
+                channel.stream(EVENT);
                 channel.endStream();
               });
-      assertTrue(seen.endsWith(LAST_CHUNK), seen);
+      assertTrue(received.endsWith(LAST_CHUNK), received);
     }
 
+    /**
+     * A stream that is dropped before its first part is written must not get the last chunk, or the
+     * caller would take it for complete.
+     */
     @Test
-    public void neverLookWholeWhenTheyAreCutBeforeTheirBeginningIsWritten() throws IOException {
-      String seen =
+    public void haveNoLastChunkIfDroppedBeforeFirstWrite() throws IOException {
+      String received =
           answer(
               channel -> {
-                channel.stream(PIECE);
+                channel.stream(EVENT);
                 channel.drop();
               });
-      assertFalse(seen.endsWith(LAST_CHUNK), seen);
+      assertFalse(received.endsWith(LAST_CHUNK), received);
     }
   }
 }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/package-info.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the listener towards callers. */
+/** Tests of the HTTP listener for callers. */
 package org.larkkeel.http.caller;
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/metrics/FactMetersTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/metrics/FactMetersTest.java
@@ -23,13 +23,13 @@
 import org.larkkeel.lib.UpstreamName;
 import org.testng.annotations.Test;
 
-/** Facts become meters. */
+/** Tests the metrics that facts are recorded as. */
 public class FactMetersTest {
   private static final RequestId REQUEST = new RequestId(1);
   private static final AttemptId ATTEMPT = new AttemptId(1);
   private static final UpstreamName UPSTREAM = new UpstreamName("u");
 
-  /** The text of a scrape. */
+  /** The text that is scraped. */
   public static class Scrape {
     /** Each kind of fact is counted under its tags. */
     @Test
@@ -61,7 +61,7 @@
       assertLine(text, "larkkeel_request_between_seconds_count{rule=\"r\"} 1");
     }
 
-    /** A revision that is in force never seems to go back. */
+    /** The gauge shows the revision that came into force last. */
     @Test
     public void revisionNeverFalls() {
       PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/metrics/package-info.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the meters. */
+/** Tests of the metrics. */
 package org.larkkeel.http.metrics;
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/package-info.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the HTTP side over loopback, with scripted peers. */
+/** Tests of the HTTP layer over loopback connections, with scripted callers and servers. */
 package org.larkkeel.http;
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/relay/EventSplitterTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/relay/EventSplitterTest.java
@@ -18,23 +18,23 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Whole events of a stream. */
+/** Tests the splitting of a stream into complete events. */
 public class EventSplitterTest {
   private static final String THREE =
       "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\ndata: d\n\n";
 
-  private static List<EventSplitter.Whole> split(EventSplitter s, byte[] part) {
-    List<EventSplitter.Whole> events = new ArrayList<>();
+  private static List<EventSplitter.StreamEvent> split(EventSplitter s, byte[] part) {
+    List<EventSplitter.StreamEvent> events = new ArrayList<>();
     ByteBuffer bytes = ByteBuffer.wrap(part);
-    for (EventSplitter.Whole e = s.next(bytes); e != null; e = s.next(bytes)) {
+    for (EventSplitter.StreamEvent e = s.next(bytes); e != null; e = s.next(bytes)) {
       events.add(e);
     }
     return events;
   }
 
-  /** Streams that come in any parts. */
+  /** Streams that arrive in parts of any size. */
   public static class Parts {
-    /** The ways in which lines may end. */
+    /** The line ends that a stream may use. */
     @DataProvider
     public Object[][] ends() {
       return new Object[][] {{"\n"}, {"\r\n"}, {"\r"}};
@@ -51,33 +51,33 @@
         for (int at = 0; at < stream.length; ) {
           int length = Math.min(stream.length - at, 1 + random.nextInt(9));
           byte[] part = java.util.Arrays.copyOfRange(stream, at, at + length);
-          for (EventSplitter.Whole e : split(s, part)) {
+          for (EventSplitter.StreamEvent e : split(s, part)) {
             out.writeBytes(e.bytes());
             e.id().ifPresent(ids::add);
           }
           at += length;
         }
-        out.writeBytes(s.rest());
+        out.writeBytes(s.takeRest());
         assertEquals(out.toByteArray(), stream, "seed " + seed);
         assertEquals(ids, List.of(1L, 2L, 3L), "seed " + seed);
       }
     }
   }
 
-  /** Events with odd fields. */
-  public static class Odd {
+  /** Events without a numeric id, and events that are too large. */
+  public static class UnusualEvents {
     @Test
     public void hasNoNumberWithoutNumericId() {
       EventSplitter s = new EventSplitter(1_000);
       byte[] bytes = "id: x\ndata: a\n\ndata: b\n\n".getBytes(StandardCharsets.UTF_8);
-      List<EventSplitter.Whole> events = split(s, bytes);
+      List<EventSplitter.StreamEvent> events = split(s, bytes);
       assertEquals(events.size(), 2);
       assertEquals(events.get(0).id(), OptionalLong.empty());
       assertEquals(events.get(1).id(), OptionalLong.empty());
     }
 
     @Test
-    public void tellsWhenAnEventIsTooLarge() {
+    public void reportsTooLargeEvent() {
       EventSplitter s = new EventSplitter(10);
       split(s, "data: 12345".getBytes(StandardCharsets.UTF_8));
       assertEquals(s.isTooLarge(), true);
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/CrowdTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/ConcurrentCallersTest.java
@@ -31,28 +31,32 @@
 import org.larkkeel.lib.UpstreamName;
 import org.testng.annotations.Test;
 
-/** Many callers at once, some of which leave, at an upstream of which some answers break. */
-public class CrowdTest {
+/**
+ * Runs many callers at once, of which some disconnect, against an upstream that truncates some
+ * answers. Guards against lost or doubled outcomes, answers that reach the wrong caller, and
+ * requests that stay in the table.
+ */
+public class ConcurrentCallersTest {
   private static final int CALLERS = 12;
-  private static final int REQUESTS_EACH = 40;
+  private static final int REQUESTS_PER_CALLER = 40;
   private static final long TIMEOUT = TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS);
   private static final long SEED = 42;
 
-  /** What holds whatever happens. */
+  /** Invariants that hold for every interleaving. */
   public static class Invariants {
     private final Multiset<AttemptId> outcomes = ConcurrentHashMultiset.create();
     private final Map<AttemptId, RequestId> requests = new HashMap<>();
     private final AtomicLong lastAttempt = new AtomicLong();
-    private final ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
     private final AtomicInteger answered = new AtomicInteger();
     private int ended;
 
     /**
-     * Each attempt has one outcome, each request one end, each caller its own answer, and nothing
-     * is left over.
+     * Each attempt has one outcome, each request ends once, each caller gets its own answer, and no
+     * request is left in the table.
      */
     @Test
-    public void holdInCrowd() throws Exception {
+    public void holdWithManyCallers() throws Exception {
       AtomicInteger served = new AtomicInteger();
       try (Node node = new Node();
           ScriptedServer service =
@@ -75,17 +79,19 @@
         }
         reduce(node, at);
         assertTrue(callers.await(Node.PATIENCE_SECONDS, TimeUnit.SECONDS));
-        assertEquals(wrong.toString(), "[]");
+        assertEquals(failures.toString(), "[]");
         assertEquals(node.table.size(), 0);
         assertEquals(outcomes.size(), requests.size());
         assertEquals(outcomes.elementSet(), requests.keySet());
-        assertTrue(answered.get() > CALLERS * REQUESTS_EACH / 2, answered + " answered");
+        assertTrue(
+            answered.get() > CALLERS * REQUESTS_PER_CALLER / 2,
+            answered + " requests were answered");
       }
     }
 
-    /** Plays the reducer until every request has ended. */
+    /** Acts as the reducer until every request has ended. */
     private void reduce(Node node, UpstreamName at) throws Exception {
-      while (ended < CALLERS * REQUESTS_EACH || outcomes.size() < requests.size()) {
+      while (ended < CALLERS * REQUESTS_PER_CALLER || outcomes.size() < requests.size()) {
         switch (node.next()) {
           case Event.RequestArrived e -> {
             AttemptId attempt = new AttemptId(lastAttempt.incrementAndGet());
@@ -125,7 +131,7 @@
     private void run(Node node, int number, CountDownLatch done) {
       Random random = new Random(SEED + number);
       try {
-        for (int i = 0; i < REQUESTS_EACH; i++) {
+        for (int i = 0; i < REQUESTS_PER_CALLER; i++) {
           String target = "/" + number + "/" + i;
           try (RawCaller caller = node.call()) {
             caller.send("GET", target, "", "");
@@ -135,7 +141,7 @@
           }
         }
       } catch (Exception e) {
-        wrong.add(e.toString());
+        failures.add(e.toString());
       } finally {
         done.countDown();
       }
@@ -143,12 +149,12 @@
 
     private void check(String target, RawCaller.Answer answer) throws IOException {
       answered.incrementAndGet();
-      boolean right =
+      boolean expected =
           answer.status() == 200
               ? answer.body().equals("for " + target)
               : answer.status() == 502 && answer.body().contains("may-have-run");
-      if (!right) {
-        wrong.add(target + " got " + answer.status() + " " + answer.body());
+      if (!expected) {
+        failures.add(target + " got " + answer.status() + " " + answer.body());
       }
     }
   }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/EffectExecutorTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/EffectExecutorTest.java
@@ -33,16 +33,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Effects on requests, from the caller's socket to the engine's. */
+/** Tests effects on requests, from the caller's connection to those of engines and services. */
 public class EffectExecutorTest {
   private static final String STREAMED =
       "{\"model\":\"m\",\"prompt\":\"abcdefgh\",\"max_tokens\":3,\"stream\":true,\"seed\":5}";
-  private static final String WHOLE = "{\"model\":\"m\",\"prompt\":\"abcdefgh\",\"max_tokens\":3}";
+  private static final String SINGLE_BODY =
+      "{\"model\":\"m\",\"prompt\":\"abcdefgh\",\"max_tokens\":3}";
   private static final AttemptId PREFILL = new AttemptId(1);
   private static final AttemptId FIRST = new AttemptId(2);
   private static final AttemptId SECOND = new AttemptId(3);
 
-  /** A node that is started anew for each test. */
+  /** Starts a new node for each test. */
   public abstract static class WithNode {
     /** The node. */
     protected Node node;
@@ -64,9 +65,12 @@
     }
   }
 
-  /** The whole way of a completion. */
+  /** Completions, from the arrival to the end of the answer. */
   public static class Completions extends WithNode {
-    /** Prefill, transfer and decode carry what the protocol asks for. */
+    /**
+     * Prefill, transfer and decode requests carry the fields that the protocol requires, and the
+     * tokens are streamed.
+     */
     @Test
     public void streamsThroughBothPools() throws Exception {
       try (ScriptedServer prefill =
@@ -122,25 +126,28 @@
       }
     }
 
-    /** A stream that breaks goes on elsewhere without a doubled or a lost token. */
+    /**
+     * After a lost connection, another engine continues the stream without a duplicate or missing
+     * token.
+     */
     @Test
-    public void resumesWithoutDoubledOrLostToken() throws Exception {
-      try (ScriptedServer dies =
+    public void resumesWithoutDuplicateOrLostToken() throws Exception {
+      try (ScriptedServer crashing =
               new ScriptedServer(
                   (q, a) -> a.startEvents().token(0, "a").token(1, "b").socket().close());
-          ScriptedServer lives =
+          ScriptedServer healthy =
               new ScriptedServer((q, a) -> a.startEvents().token(1, "b").token(2, "c").done());
           RawCaller caller = node.call()) {
         caller.send("POST", "/v1/chat/completions", "", Answers.chat(true));
         RequestId id = node.arrival();
-        node.decode(FIRST, id, engine("d1", dies), 0);
+        node.decode(FIRST, id, engine("d1", crashing), 0);
         node.await(Event.FirstToken.class);
         Event.AttemptFailed failed = node.await(Event.AttemptFailed.class);
         assertEquals(failed.cause(), FailureCause.CONNECTION_LOST);
         assertEquals(failed.exposure(), Exposure.MAY_HAVE_RUN);
         assertEquals(failed.tokens(), 2);
 
-        node.decode(SECOND, id, engine("d2", lives), 2);
+        node.decode(SECOND, id, engine("d2", healthy), 2);
         node.await(Event.FirstToken.class);
         assertEquals(node.await(Event.DecodeDone.class).tokens(), 3);
         node.execute(new Effect.Complete(id, SECOND));
@@ -148,7 +155,7 @@
       }
     }
 
-    /** Tokens that an earlier attempt brings late are dropped. */
+    /** Late tokens of an earlier attempt are dropped. */
     @Test
     public void ignoresLateTokensOfStaleAttempt() throws Exception {
       CountDownLatch late = new CountDownLatch(1);
@@ -167,7 +174,7 @@
                     a.startEvents().token(1, "b").token(2, "c").done();
                   });
           RawCaller caller = node.call()) {
-        caller.send("POST", "/v1/completions", "", WHOLE);
+        caller.send("POST", "/v1/completions", "", SINGLE_BODY);
         RequestId id = node.arrival();
         node.decode(FIRST, id, engine("d1", stale), 0);
         node.await(Event.FirstToken.class);
@@ -182,9 +189,12 @@
       }
     }
 
-    /** A token that skips an index is a bad answer, never a hole in the caller's text. */
+    /**
+     * A token that skips an index fails the attempt, so that no text is missing in the caller's
+     * answer.
+     */
     @Test
-    public void refusesGap() throws Exception {
+    public void failsAttemptOnGap() throws Exception {
       try (ScriptedServer gap =
               new ScriptedServer((q, a) -> a.startEvents().token(0, "a").token(2, "c").done());
           RawCaller caller = node.call()) {
@@ -202,7 +212,7 @@
       }
     }
 
-    /** A cancelled attempt ends once, and the cancel goes to the engine. */
+    /** A cancelled attempt ends once, and the engine receives the cancel. */
     @Test
     public void cancels() throws Exception {
       CountDownLatch never = new CountDownLatch(1);
@@ -216,7 +226,7 @@
                     }
                   });
           RawCaller caller = node.call()) {
-        caller.send("POST", "/v1/completions", "", WHOLE);
+        caller.send("POST", "/v1/completions", "", SINGLE_BODY);
         RequestId id = node.arrival();
         UpstreamName at = engine("p", engine);
         node.prefill(PREFILL, id, at);
@@ -226,7 +236,7 @@
         assertEquals(failed.exposure(), Exposure.MAY_HAVE_RUN);
         assertEquals(node.await(Event.CancelSettled.class).outcome(), CancelOutcome.ACKNOWLEDGED);
         assertEquals(engine.next().target(), "/v1/requests/n1%2F7%2F1");
-        assertEquals(node.waitingEvents(), 0);
+        assertEquals(node.pendingEvents(), 0);
       }
       never.countDown();
       assertTrue(never.await(0, TimeUnit.SECONDS));
@@ -235,7 +245,7 @@
 
   /** Plain calls. */
   public static class PlainCalls extends WithNode {
-    /** Method, path, query, headers and body go through, the token does not. */
+    /** Method, path, query, headers and body are forwarded; the bearer token is not. */
     @Test
     public void passesCallThrough() throws Exception {
       try (ScriptedServer service =
@@ -269,7 +279,7 @@
       }
     }
 
-    /** Answers without a body end, and their connection can be used again. */
+    /** Answers without a body end, and their connection is reused. */
     @Test
     public void passesBodylessAnswers() throws Exception {
       try (ScriptedServer service =
@@ -299,7 +309,10 @@
       }
     }
 
-    /** A service gets no engine's cancel, also when the request has ended before. */
+    /**
+     * A service receives no cancel call, even if the request has ended before; its connection is
+     * closed.
+     */
     @Test
     public void cancelsByClosing() throws Exception {
       CountDownLatch never = new CountDownLatch(1);
@@ -322,7 +335,7 @@
       never.countDown();
     }
 
-    /** A recorded answer is given again. */
+    /** A recorded answer is replayed. */
     @Test
     public void replays() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -335,7 +348,7 @@
       }
     }
 
-    /** A recorded completion is given again in the form that was asked for. */
+    /** A recorded completion is replayed in the requested style, here as a stream. */
     @Test
     public void replaysStream() throws Exception {
       byte[] body =
@@ -355,7 +368,7 @@
     }
   }
 
-  /** Small readers of answers. */
+  /** Helpers that write requests and read answers. */
   private static final class Answers {
     private Answers() {}
 
@@ -365,7 +378,7 @@
           + "}";
     }
 
-    /** The texts of all events or of the one body, joined. */
+    /** Returns the joined texts of all events, or the text of the single body. */
     static String texts(String body) throws Exception {
       StringBuilder all = new StringBuilder();
       for (String line : body.lines().toList()) {
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/StandinEnginesTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/StandinEnginesTest.java
@@ -33,7 +33,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The protocol against the stand-ins. */
+/** Tests the upstream protocol against the stand-ins for engines and services. */
 public class StandinEnginesTest {
   private static final String MODEL = "m";
   private static final String PROMPT = "a prompt of some length";
@@ -41,7 +41,7 @@
   private static final String BODY =
       "{\"model\":\"m\",\"prompt\":\"" + PROMPT + "\",\"max_tokens\":40,\"stream\":true}";
 
-  /** Two decode engines and a prefill engine. */
+  /** One prefill engine and two decode engines. */
   public static class Engines {
     private Node node;
     private EngineStandin prefill;
@@ -49,7 +49,7 @@
     private EngineStandin two;
     private long attempts;
 
-    /** Starts node and engines. */
+    /** Starts the node and the engines. */
     @BeforeMethod
     public void start() {
       node = new Node();
@@ -59,7 +59,7 @@
       two = EngineStandin.start(EngineSettings.of("d2", EngineRole.DECODE, MODEL));
     }
 
-    /** Stops them. */
+    /** Stops the node and the engines. */
     @AfterMethod(alwaysRun = true)
     public void stop() {
       node.close();
@@ -68,7 +68,7 @@
       two.close();
     }
 
-    /** An answer is what the engine was to produce. */
+    /** An answer has exactly the bytes that the engine produces. */
     @Test
     public void answersByteForByte() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -83,7 +83,7 @@
       }
     }
 
-    /** An engine that dies in the middle of a stream costs no token and doubles none. */
+    /** A crash of an engine during a stream loses no token and duplicates none. */
     @Test
     public void resumesElsewhereByteForByte() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -94,7 +94,9 @@
         one.kill();
         Event.AttemptFailed failed = node.await(Event.AttemptFailed.class);
         assertEquals(failed.cause(), FailureCause.CONNECTION_LOST);
-        assertTrue(failed.tokens() < AnswerOracle.tokens(PROMPT, MAX_TOKENS), "killed too late");
+        assertTrue(
+            failed.tokens() < AnswerOracle.tokens(PROMPT, MAX_TOKENS),
+            "the engine was killed after its last token");
         AttemptId second = decodeOn(two, id, failed.tokens());
         node.await(Event.FirstToken.class);
         node.await(Event.DecodeDone.class);
@@ -103,7 +105,7 @@
       }
     }
 
-    /** A cancel in the middle of a stream frees the slot. */
+    /** A cancel during a stream frees the slot. */
     @Test
     public void cancelFreesSlot() throws Exception {
       try (RawCaller caller = node.call()) {
@@ -149,9 +151,9 @@
 
   /** A plain service. */
   public static class Services {
-    /** A lost answer may have run; a stated refusal did not. */
+    /** A call whose answer is lost may have run; a call that the service refused did not. */
     @Test
-    public void tellsLostFromRefused() throws Exception {
+    public void distinguishesLostFromRefused() throws Exception {
       try (Node node = new Node();
           ServiceStandin service = ServiceStandin.start(ServiceSettings.DEFAULTS);
           RawCaller caller = node.call()) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/BearerToken.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/BearerToken.java
@@ -13,9 +13,9 @@
 import java.util.Optional;
 
 /**
- * A bearer token, known only by its digest.
+ * A bearer token, represented by its digest.
  *
- * <p>Invariant: the token itself is not kept and never printed. Immutable and safe for use by
+ * <p>Invariant: the token itself is neither stored nor printed. Immutable and safe for use by
  * several threads.
  *
  * @param sha256 SHA-256 of the token in lower case hex
@@ -25,7 +25,7 @@
   private static final String SCHEME = "Bearer ";
 
   /**
-   * Reads the token of a request.
+   * Extracts the token from the headers of a request.
    *
    * @param headers the headers of the request
    * @return the token; empty if there is no {@code Authorization: Bearer} header
@@ -40,10 +40,10 @@
   }
 
   /**
-   * Digests a token.
+   * Computes the digest of a token.
    *
    * @param token the token
-   * @return its digest
+   * @return the token, represented by its digest
    */
   public static BearerToken digest(String token) {
     return new BearerToken(Hashing.sha256().hashString(token, StandardCharsets.UTF_8).toString());
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/HopHeaders.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/HopHeaders.java
@@ -11,7 +11,8 @@
 import io.undertow.util.HttpString;
 
 /**
- * The headers that belong to one connection and are not passed on (RFC 9110, section 7.6.1).
+ * The hop-by-hop headers: they belong to one connection and are not forwarded (RFC 9110, section
+ * 7.6.1).
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -36,10 +37,10 @@
   private HopHeaders() {}
 
   /**
-   * Tells whether a header is not passed on.
+   * Returns whether a header is a hop-by-hop header.
    *
-   * @param name its name
-   * @return true if it belongs to the connection
+   * @param name the name of the header
+   * @return true if the header must not be forwarded
    */
   public static boolean isHop(HttpString name) {
     return NAMES.contains(name);
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/HttpWorker.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/HttpWorker.java
@@ -17,9 +17,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * The I/O threads and buffers that listeners and clients of one process share.
+ * The I/O threads and buffers shared by the HTTP listeners and clients of one process.
  *
- * <p>Safe for use by several threads. Close it after everything that uses it.
+ * <p>Safe for use by several threads. Must be closed after all listeners and clients that use it.
  *
  * @since 0.1
  */
@@ -34,9 +34,9 @@
   private final ByteBufferPool buffers;
 
   /**
-   * Starts the threads.
+   * Starts the I/O threads.
    *
-   * @param ioThreads I/O threads, at least 1
+   * @param ioThreads the number of I/O threads, at least 1
    */
   public HttpWorker(int ioThreads) {
     OptionMap options =
@@ -51,25 +51,25 @@
     try {
       worker = Xnio.getInstance().createWorker(options);
     } catch (IOException e) {
-      throw new UncheckedIOException("the I/O threads can not be started", e);
+      throw new UncheckedIOException("cannot start the HTTP I/O threads", e);
     }
     buffers =
         new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, THREAD_LOCAL_BUFFERS);
   }
 
   /**
-   * The threads.
+   * Returns the worker that owns the I/O threads.
    *
-   * @return the worker
+   * @return the XNIO worker
    */
   public XnioWorker worker() {
     return worker;
   }
 
   /**
-   * The buffers.
+   * Returns the shared buffers.
    *
-   * @return the pool
+   * @return the buffer pool
    */
   public ByteBufferPool buffers() {
     return buffers;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/Json.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/Json.java
@@ -14,7 +14,7 @@
 import java.io.IOException;
 
 /**
- * JSON bodies.
+ * Reads and writes JSON bodies.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Parses one JSON value.
+   * Parses a body that consists of exactly one JSON value.
    *
-   * @param bytes UTF-8
+   * @param bytes the body in UTF-8
    * @return the value; a missing node for an empty input
    * @throws IOException if the input is not one JSON value
    */
@@ -47,16 +47,16 @@
   }
 
   /**
-   * Writes a value.
+   * Serializes a value.
    *
    * @param node the value
-   * @return UTF-8
+   * @return the value as JSON in UTF-8
    */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a JSON tree can always be written", e);
+      throw new IllegalStateException("a JSON tree could not be serialized", e);
     }
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/Problem.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/Problem.java
@@ -14,31 +14,32 @@
 import org.larkkeel.errors.Slugs;
 
 /**
- * The RFC 9457 body of an error.
+ * The problem details (RFC 9457) of an error that is sent to a caller.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param kind the kind, which gives status, title and what the caller may conclude
- * @param detail one sentence about this occurrence, without secrets
+ * @param kind the kind of error, which determines status, title, whether the request ran, and
+ *     whether it may be retried
+ * @param detail one sentence about this occurrence; must contain no secrets
  * @param requestId the id of the request as the caller knows it; empty if there is none
- * @param retryAfterMillis when to come back; 0 says nothing
+ * @param retryAfterMillis the delay after which the caller may retry, milliseconds; 0 for no advice
  * @since 0.1
  */
 public record Problem(ErrorKind kind, String detail, String requestId, long retryAfterMillis) {
   /** The media type of the body. */
   public static final String MEDIA_TYPE = "application/problem+json";
 
-  /** What every problem type begins with. */
+  /** The prefix of every problem type URI. */
   public static final String TYPE_PREFIX = "https://larkkeel.org/problems/";
 
   private static final long MILLIS_PER_SECOND = 1_000;
 
   /**
-   * Creates a problem without advice on when to come back.
+   * Creates a problem without a {@code Retry-After} delay.
    *
    * @param kind the kind
    * @param detail one sentence about this occurrence
-   * @param requestId the id of the request, may be empty
+   * @param requestId the id of the request as the caller knows it; empty if there is none
    * @return the problem
    */
   public static Problem of(ErrorKind kind, String detail, String requestId) {
@@ -46,7 +47,7 @@
   }
 
   /**
-   * The body as a JSON object.
+   * Returns the body as a JSON object.
    *
    * @return a new object that the caller may extend
    */
@@ -66,25 +67,25 @@
   }
 
   /**
-   * The body as bytes.
+   * Returns the serialized body.
    *
-   * @return UTF-8
+   * @return JSON in UTF-8
    */
   public byte[] bytes() {
     return Json.bytes(json());
   }
 
   /**
-   * The value of {@code Retry-After}.
+   * Returns the value of the {@code Retry-After} header.
    *
-   * @return seconds, rounded up; 0 if the header is to be left out
+   * @return the delay in seconds, rounded up; 0 if the header must be omitted
    */
   public long retryAfterSeconds() {
     return (retryAfterMillis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
   }
 
   /**
-   * Sets status and headers of an answer that has not started.
+   * Sets the status and headers of an answer that has not been started.
    *
    * @param exchange the exchange
    */
@@ -100,7 +101,8 @@
   }
 
   /**
-   * Answers an exchange that has not started, and ends it.
+   * Sends this problem as the answer to an exchange, and ends the exchange. The answer must not
+   * have been started.
    *
    * @param exchange the exchange
    */
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/BodyReader.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/BodyReader.java
@@ -21,32 +21,35 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Reads bodies within limits of size, time and memory.
+ * Reads request bodies within limits on size, duration and total memory.
  *
- * <p>Invariant: the bodies of all requests in progress take at most {@code maxBodiesBytes}. Safe
- * for use by several threads.
+ * <p>Invariant: the memory reserved for the bodies of all requests in progress is at most {@link
+ * CallerSettings#maxBodiesBytes}. A body without a declared length reserves {@link
+ * CallerSettings#maxBodyBytes}. Safe for use by several threads.
  */
 public final class BodyReader {
   private final CallerSettings settings;
   private final AtomicLong reserved = new AtomicLong();
 
-  /** Reads within the bounds of the settings. */
+  /** Creates a reader with the limits of the settings. */
   public BodyReader(CallerSettings settings) {
     this.settings = settings;
   }
 
-  /** A whole body, and what gives its memory back. */
-  @SuppressWarnings("ArrayRecordComponent") // The bytes are handed on and never changed.
+  /** A complete body, and the action that releases the memory reserved for it. */
+  @SuppressWarnings("ArrayRecordComponent") // The array is passed on and never modified.
   public record Body(byte[] bytes, Runnable release) {}
 
   /**
-   * Reads a body.
+   * Reads the body of a request. On failure, the caller is answered with a problem or its
+   * connection is closed.
    *
-   * @param exchange whose body
-   * @param wireId what the caller calls its request, for answers to bodies that can not be read
-   * @param then gets the whole body
+   * @param exchange the exchange of the request
+   * @param wireId the id of the request as the caller knows it, for problem bodies
+   * @param onBody receives the complete body, on the I/O thread
+   * @throws LarkkeelException if the declared length is too large or no memory is left
    */
-  public void read(HttpServerExchange exchange, String wireId, Consumer<Body> then) {
+  public void read(HttpServerExchange exchange, String wireId, Consumer<Body> onBody) {
     long length = exchange.getRequestContentLength();
     if (length > settings.maxBodyBytes()) {
       exchange.setPersistent(false);
@@ -67,7 +70,7 @@
         (e, bytes) -> {
           timer.remove();
           if (done.compareAndSet(false, true)) {
-            then.accept(new Body(bytes, release));
+            onBody.accept(new Body(bytes, release));
           }
         },
         (e, failure) -> {
@@ -100,29 +103,29 @@
     }
     release.run();
     String detail = "The body was not complete after " + settings.bodyMillis() + " ms.";
-    closeAfter(exchange, Problem.of(ErrorKind.REQUEST_TIMEOUT, detail, wireId));
+    sendAndClose(exchange, Problem.of(ErrorKind.REQUEST_TIMEOUT, detail, wireId));
   }
 
   private void failed(HttpServerExchange exchange, String wireId, IOException failure) {
     if (failure instanceof Receiver.RequestToLargeException
         || failure instanceof RequestTooBigException) {
-      closeAfter(exchange, Problem.of(ErrorKind.BODY_TOO_LARGE, limit(), wireId));
+      sendAndClose(exchange, Problem.of(ErrorKind.BODY_TOO_LARGE, limitDetail(), wireId));
     } else {
       IoUtils.safeClose(exchange.getConnection());
     }
   }
 
-  /** Answers and closes the connection, whose unread rest is of no use. */
-  private static void closeAfter(HttpServerExchange exchange, Problem problem) {
+  /** Sends a problem and closes the connection, since the rest of the body stays unread. */
+  private static void sendAndClose(HttpServerExchange exchange, Problem problem) {
     exchange.setPersistent(false);
     problem.send(exchange);
   }
 
   private LarkkeelException tooLarge() {
-    return new LarkkeelException(ErrorKind.BODY_TOO_LARGE, limit());
+    return new LarkkeelException(ErrorKind.BODY_TOO_LARGE, limitDetail());
   }
 
-  private String limit() {
+  private String limitDetail() {
     return "The body is larger than " + settings.maxBodyBytes() + " bytes.";
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CallerHandler.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CallerHandler.java
@@ -27,9 +27,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes requests of callers.
+ * Handles the HTTP requests of callers: health, readiness, metrics, and requests to be routed.
  *
- * <p>Runs on I/O threads and never blocks. Safe for use by several threads.
+ * <p>Called on I/O threads; never blocks. Safe for use by several threads.
  */
 final class CallerHandler implements HttpHandler {
   private static final Logger LOG = LoggerFactory.getLogger(CallerHandler.class);
@@ -37,9 +37,9 @@
   private static final String READINESS = "/readyz";
   private static final String METRICS = "/metrics";
   private static final String METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
-  private static final ImmutableSet<HttpString> NEVER_ROUTED =
+  private static final ImmutableSet<HttpString> REJECTED_METHODS =
       ImmutableSet.of(Methods.CONNECT, Methods.TRACE);
-  private static final int MAX_REQUEST_ID = 128;
+  private static final int MAX_REQUEST_ID_LENGTH = 128;
 
   private final CallerSettings settings;
   private final CallerServices services;
@@ -54,33 +54,33 @@
   @Override
   public void handleRequest(HttpServerExchange exchange) {
     switch (exchange.getRequestPath()) {
-      case HEALTH -> text(exchange, StatusCodes.OK, "ok\n");
-      case READINESS -> readiness(exchange);
-      case METRICS -> metrics(exchange);
-      default -> routed(exchange);
+      case HEALTH -> sendText(exchange, StatusCodes.OK, "ok\n");
+      case READINESS -> sendReadiness(exchange);
+      case METRICS -> sendMetrics(exchange);
+      default -> handleRouted(exchange);
     }
   }
 
-  private void readiness(HttpServerExchange exchange) {
+  private void sendReadiness(HttpServerExchange exchange) {
     if (services.ready().getAsBoolean()) {
-      text(exchange, StatusCodes.OK, "ready\n");
+      sendText(exchange, StatusCodes.OK, "ready\n");
     } else {
-      text(exchange, StatusCodes.SERVICE_UNAVAILABLE, "not ready\n");
+      sendText(exchange, StatusCodes.SERVICE_UNAVAILABLE, "not ready\n");
     }
   }
 
-  private void metrics(HttpServerExchange exchange) {
+  private void sendMetrics(HttpServerExchange exchange) {
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, METRICS_TYPE);
     exchange.getResponseSender().send(services.scrape().get());
   }
 
-  private static void text(HttpServerExchange exchange, int status, String text) {
+  private static void sendText(HttpServerExchange exchange, int status, String text) {
     exchange.setStatusCode(status);
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; charset=utf-8");
     exchange.getResponseSender().send(text);
   }
 
-  private void routed(HttpServerExchange exchange) {
+  private void handleRouted(HttpServerExchange exchange) {
     RequestId id = services.table().nextId();
     String wireId = wireId(exchange, id);
     exchange.getResponseHeaders().put(HeaderNames.REQUEST_ID, wireId);
@@ -124,18 +124,18 @@
       return;
     }
     services.table().add(request);
-    channel.onGone(() -> gone(id));
-    exchange.dispatch(SameThreadExecutor.INSTANCE, () -> arrived(request, channel));
+    channel.onDisconnect(() -> submitCallerGone(id));
+    exchange.dispatch(SameThreadExecutor.INSTANCE, () -> submitArrival(request, channel));
   }
 
-  private void arrived(RequestRecord request, UndertowChannel channel) {
-    channel.watch();
+  private void submitArrival(RequestRecord request, UndertowChannel channel) {
+    channel.watchForDisconnect();
     services
         .events()
         .accept(new Event.RequestArrived(services.clock().getAsLong(), request.call()));
   }
 
-  private void gone(RequestId id) {
+  private void submitCallerGone(RequestId id) {
     if (services.table().find(id).isPresent()) {
       services.events().accept(new Event.CallerGone(services.clock().getAsLong(), id));
     }
@@ -149,7 +149,7 @@
       throw new LarkkeelException(
           ErrorKind.METHOD_NOT_ALLOWED, "The method is " + method + ": use POST.");
     }
-    if (NEVER_ROUTED.contains(method)) {
+    if (REJECTED_METHODS.contains(method)) {
       throw new LarkkeelException(
           ErrorKind.METHOD_NOT_ALLOWED, "The method " + method + " is not routed.");
     }
@@ -160,10 +160,10 @@
     if (workspaces.isEmpty()) {
       throw new LarkkeelException(ErrorKind.NOT_READY, "This node has no configuration yet.");
     }
-    String named = exchange.getRequestHeaders().getFirst(HeaderNames.WORKSPACE);
+    String name = exchange.getRequestHeaders().getFirst(HeaderNames.WORKSPACE);
     return BearerToken.of(exchange.getRequestHeaders())
         .flatMap(workspaces::of)
-        .or(() -> workspaces.open(named))
+        .or(() -> workspaces.open(name))
         .orElseThrow(
             () ->
                 new LarkkeelException(
@@ -174,15 +174,15 @@
 
   private String wireId(HttpServerExchange exchange, RequestId id) {
     String sent = exchange.getRequestHeaders().getFirst(HeaderNames.REQUEST_ID);
-    if (sent != null && isUsable(sent)) {
+    if (sent != null && isValidRequestId(sent)) {
       return sent;
     }
     return services.origin().host() + "/" + services.origin().incarnation() + "/" + id;
   }
 
-  private static boolean isUsable(String id) {
+  private static boolean isValidRequestId(String id) {
     return !id.isEmpty()
-        && id.length() <= MAX_REQUEST_ID
+        && id.length() <= MAX_REQUEST_ID_LENGTH
         && id.chars().allMatch(c -> c > ' ' && c <= '~');
   }
 
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CallerListener.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CallerListener.java
@@ -17,10 +17,11 @@
 import org.xnio.Options;
 
 /**
- * Listens for callers.
+ * The HTTP listener for callers.
  *
- * <p>Requests become events; answers come through the {@code CallerChannel} of each request. Safe
- * for use by several threads. Closing stops listening and closes every connection; drain first.
+ * <p>Each request is submitted as an event and answered through its {@link
+ * org.larkkeel.http.request.CallerChannel}. Safe for use by several threads. Closing the listener
+ * closes every connection, so the node must be drained first.
  *
  * @since 0.1
  */
@@ -28,10 +29,10 @@
   private static final int MAX_HEADER_BYTES = 32 << 10;
 
   /**
-   * How much of an oversized body is read away, in multiples of the limit. A caller that is still
-   * sending would lose the answer if its connection were closed at once.
+   * The part of an oversized body that is read and discarded, in multiples of the body limit. A
+   * caller that is still sending would lose the answer if its connection were closed at once.
    */
-  private static final long DRAINED = 8;
+  private static final long DRAINED_BODY_FACTOR = 8;
 
   private static final int BACKLOG = 1024;
 
@@ -44,13 +45,13 @@
   }
 
   /**
-   * Starts to listen.
+   * Binds the address and starts to accept connections.
    *
-   * @param settings limits and address
-   * @param worker the I/O threads, which must outlive the listener
-   * @param services the rest of the node
+   * @param settings the limits and the address
+   * @param worker the I/O threads; must be closed after the listener
+   * @param services the services of the node that the listener uses
    * @return the listener
-   * @throws RuntimeException if the address can not be bound
+   * @throws RuntimeException if the address cannot be bound
    */
   public static CallerListener start(
       CallerSettings settings, HttpWorker worker, CallerServices services) {
@@ -62,7 +63,8 @@
             .setSocketOption(Options.BACKLOG, BACKLOG)
             .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
             .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, DRAINED * settings.maxBodyBytes())
+            .setServerOption(
+                UndertowOptions.MAX_ENTITY_SIZE, DRAINED_BODY_FACTOR * settings.maxBodyBytes())
             .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, settings.headerMillis())
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, settings.idleMillis());
     InetSocketAddress bind = settings.bind();
@@ -78,15 +80,18 @@
   }
 
   /**
-   * The address in use.
+   * Returns the bound address.
    *
-   * @return IP number and port
+   * @return the IP address and the port, which differs from the settings if those have port 0
    */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getListenerInfo().getFirst().getAddress();
   }
 
-  /** Takes the certificate anew; connections that are open keep theirs. Without TLS a no-op. */
+  /**
+   * Reloads the TLS certificate for new connections; open connections keep theirs. Does nothing
+   * without TLS.
+   */
   public void reloadTls() {
     settings.tls().map(Supplier<SSLContext>::get).ifPresent(this::useTls);
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CallerServices.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CallerServices.java
@@ -15,18 +15,18 @@
 import org.larkkeel.http.upstream.EngineRequestId;
 
 /**
- * What the listener towards callers needs from the rest of the node.
+ * The services of the node that the listener for callers uses.
  *
- * <p>Every part must be safe for use by several threads and must not block.
+ * <p>Every component must be safe for use by several threads and must not block.
  *
- * @param origin this start of this node, which made request ids begin with
- * @param table takes the requests
- * @param events takes arrivals and departures of callers
- * @param workspaces the workspaces in force
- * @param ready whether the node takes requests, for {@code /readyz}
- * @param scrape the text of {@code /metrics}
- * @param clock the node's monotonic clock, nanoseconds
- * @param wallClock the time that answers carry
+ * @param origin the host and incarnation of this node, the prefix of generated request ids
+ * @param table the requests in progress
+ * @param events receives the arrivals of requests and the departures of callers
+ * @param workspaces returns the workspaces of the current configuration
+ * @param ready returns whether the node accepts requests, for {@code /readyz}
+ * @param scrape returns the text of {@code /metrics}
+ * @param clock the monotonic clock of the node, nanoseconds
+ * @param wallClock the wall clock, for the creation time in answers
  * @since 0.1
  */
 public record CallerServices(
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CallerSettings.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CallerSettings.java
@@ -12,19 +12,20 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * Limits and address of the listener towards callers.
+ * The address, limits and timeouts of the listener for callers.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param bind IP number and port; port 0 takes a free one
- * @param tls makes the TLS context, at the start and at each reload; empty for plain HTTP
- * @param maxBodyBytes the largest request body
- * @param maxBodiesBytes the most that bodies of all requests in progress may take together
- * @param maxPendingBytes the most that waits for one caller to read its stream
- * @param headerMillis a request whose headers are not complete after this time is dropped
- * @param bodyMillis a request whose body is not complete after this time is refused
- * @param idleMillis a connection without a request is closed after this time
- * @param stallMillis a caller that reads nothing for this time is cut off
+ * @param bind the IP address and port to bind; port 0 selects a free port
+ * @param tls creates the TLS context, at the start and at each reload; empty for plain HTTP
+ * @param maxBodyBytes the maximum size of a request body
+ * @param maxBodiesBytes the maximum total size of the bodies of all requests in progress
+ * @param maxPendingBytes the maximum number of bytes of a stream that are buffered for one caller
+ * @param headerMillis the time after which the connection of a request with incomplete headers is
+ *     closed
+ * @param bodyMillis the time after which a request with an incomplete body is refused
+ * @param idleMillis the time after which a connection without a request is closed
+ * @param stallMillis the time after which the connection of a caller that reads nothing is closed
  * @since 0.1
  */
 public record CallerSettings(
@@ -46,9 +47,9 @@
   private static final int DEFAULT_STALL_MILLIS = 10_000;
 
   /**
-   * Settings with the default limits and without TLS.
+   * Returns settings with the default limits and without TLS.
    *
-   * @param bind IP number and port
+   * @param bind the IP address and port to bind
    * @return the settings
    */
   public static CallerSettings on(InetSocketAddress bind) {
@@ -65,9 +66,9 @@
   }
 
   /**
-   * Sets TLS.
+   * Returns a copy that uses TLS.
    *
-   * @param context makes the TLS context, at the start and at each reload
+   * @param context creates the TLS context, at the start and at each reload
    * @return a copy with TLS
    */
   public CallerSettings withTls(Supplier<SSLContext> context) {
@@ -84,11 +85,11 @@
   }
 
   /**
-   * Sets the limits of bodies and streams.
+   * Returns a copy with other limits on bodies and streams.
    *
-   * @param body the largest request body, bytes
-   * @param bodies the most that all bodies may take together, bytes
-   * @param pending the most that waits for one caller, bytes
+   * @param body the maximum size of a request body, bytes
+   * @param bodies the maximum total size of all request bodies, bytes
+   * @param pending the maximum number of bytes buffered for one caller
    * @return a copy with these limits
    */
   public CallerSettings withSizes(int body, long bodies, int pending) {
@@ -97,12 +98,12 @@
   }
 
   /**
-   * Sets the timeouts.
+   * Returns a copy with other timeouts.
    *
-   * @param header for the headers, milliseconds
-   * @param body for the body, milliseconds
-   * @param idle for a connection without a request, milliseconds
-   * @param stall for a caller that reads nothing, milliseconds
+   * @param header the timeout for complete headers, milliseconds
+   * @param body the timeout for a complete body, milliseconds
+   * @param idle the timeout of a connection without a request, milliseconds
+   * @param stall the timeout of a caller that reads nothing, milliseconds
    * @return a copy with these timeouts
    */
   public CallerSettings withTimeouts(int header, int body, int idle, int stall) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/ChatPrompt.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/ChatPrompt.java
@@ -9,25 +9,26 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Makes one prompt of the messages of a chat.
+ * Converts the messages of a chat into one prompt.
  *
  * <p>Each message becomes {@code role: content} and a line feed; {@code assistant:} ends the
- * prompt. A longer chat thus begins with the prompt of the shorter one, which prefix caches need.
- * Stateless and safe for use by several threads.
+ * prompt. The prompt of a continued chat therefore begins with the prompt of the shorter chat, as
+ * the prefix caches of engines require. Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
 public final class ChatPrompt {
-  private static final String ANSWER_FOLLOWS = "assistant:";
+  private static final String ANSWER_PREFIX = "assistant:";
 
   private ChatPrompt() {}
 
   /**
-   * Makes the prompt.
+   * Converts messages into a prompt.
    *
    * @param messages an array of objects with {@code role} and {@code content}
    * @return the prompt
-   * @throws org.larkkeel.errors.LarkkeelException if the messages are something else
+   * @throws org.larkkeel.errors.LarkkeelException if {@code messages} is empty or has another form,
+   *     or the text is not valid Unicode
    */
   public static String of(JsonNode messages) {
     if (!messages.isArray() || messages.isEmpty()) {
@@ -36,15 +37,15 @@
     }
     StringBuilder prompt = new StringBuilder();
     for (int i = 0; i < messages.size(); i++) {
-      prompt.append(text(messages.path(i), i, "role"));
+      prompt.append(textField(messages.path(i), i, "role"));
       prompt.append(": ");
-      prompt.append(text(messages.path(i), i, "content"));
+      prompt.append(textField(messages.path(i), i, "content"));
       prompt.append('\n');
     }
-    return CompletionParser.checked(prompt.append(ANSWER_FOLLOWS).toString());
+    return CompletionParser.requireValidUnicode(prompt.append(ANSWER_PREFIX).toString());
   }
 
-  private static String text(JsonNode message, int index, String field) {
+  private static String textField(JsonNode message, int index, String field) {
     JsonNode value = message.path(field);
     if (!value.isTextual()) {
       throw CompletionParser.malformed(
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CompletionParser.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/CompletionParser.java
@@ -25,14 +25,14 @@
 import org.larkkeel.lib.ModelName;
 
 /**
- * Makes completions of requests.
+ * Parses requests to the completion endpoints.
  *
  * <p>Stateless and safe for use by several threads.
  */
 final class CompletionParser {
   private static final int DEFAULT_MAX_TOKENS = 16;
-  private static final int MAX_MAX_TOKENS = 1_000_000;
-  private static final ImmutableList<String> OWN_FIELDS =
+  private static final int MAX_TOKENS_LIMIT = 1_000_000;
+  private static final ImmutableList<String> REMOVED_FIELDS =
       ImmutableList.of(
           "model",
           "prompt",
@@ -58,7 +58,7 @@
     ObjectNode root = object(body);
     boolean chat = path.equals(RequestParser.CHAT_COMPLETIONS);
     String prompt = chat ? ChatPrompt.of(root.path("messages")) : prompt(root.path("prompt"));
-    checkOneAnswer(root.path("n"));
+    checkSingleChoice(root.path("n"));
     Call.Completion call =
         new Call.Completion(
             identity.id(),
@@ -75,8 +75,8 @@
             (chat ? "chatcmpl-" : "cmpl-") + identity.wireId(),
             call.model().value(),
             nowSeconds);
-    Delivery delivery = streams(root.path("stream")) ? Delivery.STREAM : Delivery.WHOLE;
-    root.remove(OWN_FIELDS);
+    Delivery delivery = isStream(root.path("stream")) ? Delivery.STREAM : Delivery.SINGLE_BODY;
+    root.remove(REMOVED_FIELDS);
     return new CompletionRecord(call, identity.wireId(), channel, root, prompt, format, delivery);
   }
 
@@ -98,11 +98,14 @@
     if (!node.isTextual() || node.asText().isEmpty()) {
       throw malformed("prompt is missing or not a text: send one text of at least a character.");
     }
-    return checked(node.asText());
+    return requireValidUnicode(node.asText());
   }
 
-  /** A lone surrogate has no UTF-8 form, so engines could not agree on the prompt's prefixes. */
-  static String checked(String prompt) {
+  /**
+   * Returns the prompt if it is valid Unicode. A lone surrogate has no UTF-8 form, so engines would
+   * not agree on the prefixes of such a prompt.
+   */
+  static String requireValidUnicode(String prompt) {
     if (!StandardCharsets.UTF_8.newEncoder().canEncode(prompt)) {
       throw malformed("The prompt has a lone surrogate: send valid Unicode.");
     }
@@ -127,14 +130,14 @@
     if (node.isMissingNode() || node.isNull()) {
       return DEFAULT_MAX_TOKENS;
     }
-    if (!node.isInt() || node.asInt() < 1 || node.asInt() > MAX_MAX_TOKENS) {
+    if (!node.isInt() || node.asInt() < 1 || node.asInt() > MAX_TOKENS_LIMIT) {
       throw malformed(
-          field + " is " + node + ": use a whole number from 1 to " + MAX_MAX_TOKENS + ".");
+          field + " is " + node + ": use a whole number from 1 to " + MAX_TOKENS_LIMIT + ".");
     }
     return node.asInt();
   }
 
-  private static boolean streams(JsonNode node) {
+  private static boolean isStream(JsonNode node) {
     if (node.isMissingNode() || node.isNull()) {
       return false;
     }
@@ -144,7 +147,7 @@
     return node.asBoolean();
   }
 
-  private static void checkOneAnswer(JsonNode node) {
+  private static void checkSingleChoice(JsonNode node) {
     boolean one = node.isMissingNode() || node.isNull() || (node.isInt() && node.asInt() == 1);
     if (!one) {
       throw malformed("n is " + node + ": only 1 is served.");
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/DisconnectWatch.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/DisconnectWatch.java
@@ -16,12 +16,13 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Notices that a caller has closed its connection while it waits for an answer.
+ * Detects that a caller has closed its connection while its request is in progress.
  *
  * <p>Undertow does not read a connection between the end of a request and the end of its answer, so
- * a close would go unnoticed until something is written. The watch reads meanwhile; bytes of a next
- * request are put back, up to a bound, past which it stops reading. A caller that has closed only
- * its sending side counts as gone. Used on the connection's I/O thread.
+ * a close would go unnoticed until something is written. The watch reads the connection during that
+ * time. Bytes of a pipelined request are put back for Undertow; from {@code MAX_EARLY_BYTES} on,
+ * the watch stops reading. A caller that has closed only its sending side also counts as gone.
+ * Confined to the I/O thread of the connection.
  */
 final class DisconnectWatch {
   private static final AttachmentKey<DisconnectWatch> KEY =
@@ -29,15 +30,19 @@
   private static final int MAX_EARLY_BYTES = 16 * 1024;
 
   private final AbstractServerConnection connection;
-  private Optional<Runnable> gone = Optional.empty();
+  private Optional<Runnable> onDisconnect = Optional.empty();
 
   private DisconnectWatch(AbstractServerConnection connection) {
     this.connection = connection;
-    connection.addCloseListener(c -> fire());
+    connection.addCloseListener(c -> runOnDisconnect());
   }
 
-  /** Watches until the exchange is complete. */
-  static void start(HttpServerExchange exchange, Runnable gone) {
+  /**
+   * Watches the connection of an exchange until the exchange is complete.
+   *
+   * @param onDisconnect run at most once, when the connection is closed
+   */
+  static void start(HttpServerExchange exchange, Runnable onDisconnect) {
     if (!(exchange.getConnection() instanceof AbstractServerConnection connection)) {
       return;
     }
@@ -46,70 +51,70 @@
       watch = new DisconnectWatch(connection);
       connection.putAttachment(KEY, watch);
     }
-    watch.begin(exchange, gone);
+    watch.watch(exchange, onDisconnect);
   }
 
-  private void begin(HttpServerExchange exchange, Runnable action) {
-    gone = Optional.of(action);
+  private void watch(HttpServerExchange exchange, Runnable action) {
+    onDisconnect = Optional.of(action);
     exchange.addExchangeCompleteListener(
         (e, next) -> {
-          gone = Optional.empty();
+          onDisconnect = Optional.empty();
           next.proceed();
         });
     if (!connection.isOpen()) {
-      fire();
+      runOnDisconnect();
       return;
     }
     ConduitStreamSourceChannel source = connection.getChannel().getSourceChannel();
-    source.setReadListener(c -> readable());
+    source.setReadListener(c -> onReadable());
     connection.getOriginalSourceConduit().resumeReads();
   }
 
-  private void fire() {
-    Optional<Runnable> action = gone;
-    gone = Optional.empty();
+  private void runOnDisconnect() {
+    Optional<Runnable> action = onDisconnect;
+    onDisconnect = Optional.empty();
     action.ifPresent(Runnable::run);
   }
 
-  private void readable() {
-    if (gone.isEmpty()) {
+  private void onReadable() {
+    if (onDisconnect.isEmpty()) {
       return;
     }
     try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
       ByteBuffer bytes = pooled.getBuffer();
       int n = connection.getOriginalSourceConduit().read(bytes);
       if (n < 0) {
-        stop();
-        fire();
+        stopReading();
+        runOnDisconnect();
       } else if (n > 0) {
-        keep(bytes.flip());
+        putBack(bytes.flip());
       }
     } catch (IOException e) {
-      stop();
-      fire();
+      stopReading();
+      runOnDisconnect();
     }
   }
 
-  private void stop() {
+  private void stopReading() {
     connection.getOriginalSourceConduit().suspendReads();
   }
 
-  private void keep(ByteBuffer bytes) {
-    PooledByteBuffer before = connection.getExtraBytes();
-    int size = bytes.remaining() + (before == null ? 0 : before.getBuffer().remaining());
+  private void putBack(ByteBuffer bytes) {
+    PooledByteBuffer earlier = connection.getExtraBytes();
+    int size = bytes.remaining() + (earlier == null ? 0 : earlier.getBuffer().remaining());
     ByteBuffer all = ByteBuffer.allocate(size);
-    if (before != null) {
-      all.put(before.getBuffer());
-      before.close();
+    if (earlier != null) {
+      all.put(earlier.getBuffer());
+      earlier.close();
     }
     all.put(bytes).flip();
     connection.setExtraBytes(new HeapBytes(all));
     if (size >= MAX_EARLY_BYTES) {
-      stop();
+      stopReading();
     }
   }
 
-  /** Bytes outside the pool. */
+  /** A buffer that is not from the pool; closing it frees nothing. */
   private static final class HeapBytes implements PooledByteBuffer {
     private final ByteBuffer bytes;
     private boolean open = true;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/ParsedHead.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/ParsedHead.java
@@ -20,11 +20,12 @@
 import org.larkkeel.lib.IdempotencyKey;
 
 /**
- * The parts of a request that both kinds of calls share.
+ * The parts of a request that completions and plain calls have in common.
  *
- * @param target the path and query as sent
- * @param runKey the key under which the request runs at most once
- * @param deadlineMillis the caller's own deadline, 0 for none
+ * @param target the path and query, as sent
+ * @param runKey the key under which the request runs at most once, with a digest of method, target
+ *     and body; empty without {@code Idempotency-Key}
+ * @param deadlineMillis the deadline set by the caller, milliseconds from arrival; 0 for none
  */
 record ParsedHead(String target, Optional<RunKey> runKey, long deadlineMillis) {
 
@@ -34,7 +35,8 @@
     Optional<RunKey> key =
         Optional.ofNullable(headers.getFirst(HeaderNames.IDEMPOTENCY_KEY))
             .map(k -> runKey(k, digest(exchange, target, body)));
-    return new ParsedHead(target, key, deadline(headers.getFirst(HeaderNames.DEADLINE_MILLIS)));
+    return new ParsedHead(
+        target, key, parseDeadlineMillis(headers.getFirst(HeaderNames.DEADLINE_MILLIS)));
   }
 
   private static RunKey runKey(String key, long digest) {
@@ -55,7 +57,7 @@
     return ByteBuffer.wrap(hasher.hash().asBytes()).getLong();
   }
 
-  private static long deadline(String value) {
+  private static long parseDeadlineMillis(String value) {
     if (value == null) {
       return 0;
     }
@@ -65,7 +67,7 @@
         return millis;
       }
     } catch (NumberFormatException e) {
-      // Told below like a number out of range.
+      // Reported below, like a number out of range.
     }
     throw new LarkkeelException(
         ErrorKind.MALFORMED_REQUEST,
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/RequestParser.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/RequestParser.java
@@ -26,7 +26,7 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Makes plain calls of requests.
+ * Parses requests that are plain calls to a service.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -36,7 +36,7 @@
 
   private static final ImmutableSet<HttpString> IDEMPOTENT =
       ImmutableSet.of(Methods.GET, Methods.HEAD, Methods.OPTIONS, Methods.PUT, Methods.DELETE);
-  private static final ImmutableSet<HttpString> OWN_HEADERS =
+  private static final ImmutableSet<HttpString> REMOVED_HEADERS =
       ImmutableSet.of(
           Headers.AUTHORIZATION,
           HeaderNames.REQUEST_ID,
@@ -46,7 +46,13 @@
 
   private RequestParser() {}
 
-  /** Who asks, and under which ids. */
+  /**
+   * The ids and the workspace of a request.
+   *
+   * @param id the id within this node
+   * @param wireId the id as the caller knows it
+   * @param workspace the workspace of the caller
+   */
   record Identity(RequestId id, String wireId, WorkspaceName workspace) {}
 
   static boolean isCompletion(String path) {
@@ -69,11 +75,12 @@
             path,
             IDEMPOTENT.contains(method),
             head.deadlineMillis());
-    UpstreamRequest request = new UpstreamRequest(method, head.target(), passedOn(exchange), body);
+    UpstreamRequest request =
+        new UpstreamRequest(method, head.target(), forwardedHeaders(exchange), body);
     return new PlainRecord(call, identity.wireId(), channel, request);
   }
 
-  /** Rules match prefixes of the path, which dot segments would get round. */
+  /** Rejects dot segments, which would bypass the rules, since these match prefixes of the path. */
   private static String checkedPath(String path) {
     if (Arrays.stream(path.split("/")).anyMatch(DOT_SEGMENTS::contains)) {
       throw new LarkkeelException(
@@ -82,11 +89,12 @@
     return path;
   }
 
-  private static ImmutableListMultimap<HttpString, String> passedOn(HttpServerExchange exchange) {
+  private static ImmutableListMultimap<HttpString, String> forwardedHeaders(
+      HttpServerExchange exchange) {
     ImmutableListMultimap.Builder<HttpString, String> headers = ImmutableListMultimap.builder();
     for (HeaderValues values : exchange.getRequestHeaders()) {
       HttpString name = values.getHeaderName();
-      if (!HopHeaders.isHop(name) && !OWN_HEADERS.contains(name)) {
+      if (!HopHeaders.isHop(name) && !REMOVED_HEADERS.contains(name)) {
         headers.putAll(name, values);
       }
     }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/RequestTarget.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/RequestTarget.java
@@ -12,7 +12,7 @@
 import org.larkkeel.errors.LarkkeelException;
 
 /**
- * The target of a request: its path and query.
+ * Reads the target of a request: its path and query.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -22,10 +22,10 @@
   private RequestTarget() {}
 
   /**
-   * Reads it.
+   * Returns the target of a request.
    *
-   * @return path and query as they were sent, never decoded
-   * @throws LarkkeelException if it is no target
+   * @return the path and query as they were sent, not decoded
+   * @throws LarkkeelException if the request has an absolute URI that cannot be parsed
    */
   public static String of(HttpServerExchange exchange) {
     String path = exchange.getRequestURI();
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/UndertowChannel.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/UndertowChannel.java
@@ -31,11 +31,11 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Writes the answer of one request over Undertow.
+ * Writes the answer to one request through Undertow.
  *
- * <p>Invariants: at most {@code maxPendingBytes} of a stream wait for the caller; a decode slot is
- * never held up by a slow caller, who is cut off instead. Safe for use by several threads; the
- * connection is touched on its I/O thread only.
+ * <p>Invariants: at most {@link CallerSettings#maxPendingBytes} of a stream are buffered. The
+ * connection of a caller that reads too slowly is closed, so that a slow caller cannot hold up a
+ * decode slot. Safe for use by several threads; the connection is used on its I/O thread only.
  */
 public final class UndertowChannel implements CallerChannel {
   private static final Logger log = LoggerFactory.getLogger(UndertowChannel.class);
@@ -48,14 +48,14 @@
   private final CallerSettings settings;
   private final Runnable release;
   private final Deque<ByteBuffer> pending = new ArrayDeque<>();
-  private Runnable onGone = () -> {};
+  private Runnable onDisconnect = () -> {};
   private Optional<RecordedAnswer> streamHead = Optional.empty();
   private int pendingBytes;
   private boolean streaming;
   private boolean ended;
   private boolean closed;
-  private boolean cut;
-  private boolean flushPlanned;
+  private boolean truncated;
+  private boolean flushScheduled;
 
   // Used on the I/O thread only.
   private StreamSinkChannel sink;
@@ -63,11 +63,11 @@
   private long written;
 
   /**
-   * Takes over the answering of an exchange.
+   * Creates a channel that answers an exchange.
    *
-   * @param exchange dispatched by the caller of this
-   * @param settings bounds of what may wait
-   * @param release runs once, when the exchange is over
+   * @param exchange the exchange, which the caller of this constructor dispatches
+   * @param settings the limits on buffered bytes and on the time without progress
+   * @param release run once, when the exchange has ended
    */
   public UndertowChannel(HttpServerExchange exchange, CallerSettings settings, Runnable release) {
     this.exchange = exchange;
@@ -76,46 +76,46 @@
     this.release = release;
     exchange.addExchangeCompleteListener(
         (e, next) -> {
-          finished();
+          exchangeCompleted();
           next.proceed();
         });
   }
 
-  /** Sets what runs once if the caller goes away before the end of its answer. */
-  public synchronized void onGone(Runnable action) {
-    onGone = action;
+  /** Sets the action that runs once if the caller disconnects before the end of its answer. */
+  public synchronized void onDisconnect(Runnable action) {
+    onDisconnect = action;
   }
 
-  /** Begins to watch for the caller's departure; on the I/O thread. */
-  public void watch() {
-    DisconnectWatch.start(exchange, this::gone);
+  /** Starts to watch for a disconnect of the caller. Must be called on the I/O thread. */
+  public void watchForDisconnect() {
+    DisconnectWatch.start(exchange, this::disconnect);
   }
 
   @Override
   public void answer(RecordedAnswer answer) {
-    if (end()) {
-      thread.execute(() -> writeWhole(answer));
+    if (markEnded()) {
+      thread.execute(() -> writeAnswer(answer));
     }
   }
 
   @Override
   public synchronized void stream(byte[] part) {
-    if (ended || closed || cut) {
+    if (ended || closed || truncated) {
       return;
     }
     streaming = true;
     if (pendingBytes + part.length > settings.maxPendingBytes()) {
-      cut = true;
-      thread.execute(this::gone);
+      truncated = true;
+      thread.execute(this::disconnect);
       return;
     }
-    add(part);
-    planFlush();
+    enqueue(part);
+    scheduleFlush();
   }
 
   /**
-   * Sets status and headers of the stream that follows, in place of those of an event stream;
-   * before its first part. The body of the head is not used.
+   * Sets the status and headers of the stream, in place of the default ones of an event stream.
+   * Must be called before the first part. The body of {@code head} is ignored.
    */
   public synchronized void beginStream(RecordedAnswer head) {
     streamHead = Optional.of(head);
@@ -123,7 +123,7 @@
 
   @Override
   public void endStream() {
-    if (end()) {
+    if (markEnded()) {
       thread.execute(this::flush);
     }
   }
@@ -134,14 +134,14 @@
     synchronized (this) {
       started = streaming;
     }
-    if (!end()) {
+    if (!markEnded()) {
       return;
     }
     if (started) {
       synchronized (this) {
-        add(ERROR_EVENT);
-        add(problem.bytes());
-        add(EVENT_END);
+        enqueue(ERROR_EVENT);
+        enqueue(problem.bytes());
+        enqueue(EVENT_END);
       }
       thread.execute(this::flush);
     } else {
@@ -152,20 +152,21 @@
   @Override
   public void drop() {
     synchronized (this) {
-      // Parts that still wait may be written before the connection closes, but never an end.
-      cut |= !ended;
+      // Buffered parts may be written before the connection closes, but never the end of the
+      // stream.
+      truncated |= !ended;
     }
-    if (end()) {
-      thread.execute(this::breakOff);
+    if (markEnded()) {
+      thread.execute(this::abortConnection);
     }
   }
 
-  /** Ends the connection so that the caller sees that the answer is not whole. */
-  private void breakOff() {
+  /** Closes the connection such that the caller sees that the answer is incomplete. */
+  private void abortConnection() {
     ServerConnection connection = exchange.getConnection();
     try {
       if (!exchange.getProtocol().equals(Protocols.HTTP_1_1)) {
-        // Without chunks the end of the connection is that of the answer; only a reset is not.
+        // Without chunks an orderly close ends the answer normally; only a reset shows a failure.
         connection.setOption(Options.CLOSE_ABORT, true);
       }
     } catch (IOException e) {
@@ -174,25 +175,25 @@
     IoUtils.safeClose(connection);
   }
 
-  private synchronized boolean end() {
+  private synchronized boolean markEnded() {
     boolean first = !ended && !closed;
     ended = true;
     return first;
   }
 
-  private void add(byte[] part) {
+  private void enqueue(byte[] part) {
     pending.add(ByteBuffer.wrap(part));
     pendingBytes += part.length;
   }
 
-  private void planFlush() {
-    if (!flushPlanned) {
-      flushPlanned = true;
+  private void scheduleFlush() {
+    if (!flushScheduled) {
+      flushScheduled = true;
       thread.execute(this::flush);
     }
   }
 
-  private void writeWhole(RecordedAnswer answer) {
+  private void writeAnswer(RecordedAnswer answer) {
     setHead(answer);
     writeBody(answer.body());
   }
@@ -220,7 +221,7 @@
     }
     synchronized (this) {
       if (body.length > 0) {
-        add(body);
+        enqueue(body);
       }
     }
     sink = exchange.getResponseChannel();
@@ -229,7 +230,7 @@
 
   private void flush() {
     synchronized (this) {
-      flushPlanned = false;
+      flushScheduled = false;
       if (closed) {
         return;
       }
@@ -240,7 +241,7 @@
       }
       writePending();
     } catch (IOException e) {
-      gone();
+      disconnect();
     }
   }
 
@@ -254,27 +255,27 @@
       exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-cache");
     }
     if (exchange.getProtocol().equals(Protocols.HTTP_1_1)) {
-      // Else a connection that is to close would end the stream, and a cut one would look whole.
+      // Without chunks the close of the connection ends the stream; a truncated one looks complete.
       exchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
     }
     sink = exchange.getResponseChannel();
     if (sink == null) {
-      throw new IOException("the answer has ended");
+      throw new IOException("the response channel was already taken; the answer has ended");
     }
   }
 
   private void writePending() throws IOException {
-    ByteBuffer head = head();
-    while (head != null) {
-      int n = sink.write(head);
+    ByteBuffer buffer = firstUnwritten();
+    while (buffer != null) {
+      int n = sink.write(buffer);
       if (n == 0) {
         waitForCaller();
         return;
       }
       written += n;
-      head = head();
+      buffer = firstUnwritten();
     }
-    if (isEnded()) {
+    if (isCompletelyWritten()) {
       sink.shutdownWrites();
     }
     if (!sink.flush()) {
@@ -283,47 +284,47 @@
     }
     stopStallTimer();
     sink.suspendWrites();
-    if (isEnded()) {
+    if (isCompletelyWritten()) {
       exchange.endExchange();
     }
   }
 
-  /** The first buffer with bytes left; those written whole are dropped. */
-  private synchronized ByteBuffer head() {
-    ByteBuffer head = pending.peekFirst();
-    while (head != null && !head.hasRemaining()) {
+  /** Returns the first buffer with unwritten bytes, or null. Removes the buffers before it. */
+  private synchronized ByteBuffer firstUnwritten() {
+    ByteBuffer buffer = pending.peekFirst();
+    while (buffer != null && !buffer.hasRemaining()) {
       pending.removeFirst();
-      pendingBytes -= head.capacity();
-      head = pending.peekFirst();
+      pendingBytes -= buffer.capacity();
+      buffer = pending.peekFirst();
     }
-    return head;
+    return buffer;
   }
 
-  private synchronized boolean isEnded() {
-    return ended && !cut && pending.isEmpty();
+  private synchronized boolean isCompletelyWritten() {
+    return ended && !truncated && pending.isEmpty();
   }
 
   private void waitForCaller() {
     sink.getWriteSetter().set(c -> flush());
     sink.resumeWrites();
     if (stallTimer == null) {
-      armStallTimer();
+      startStallTimer();
     }
   }
 
-  private void armStallTimer() {
-    long before = written;
+  private void startStallTimer() {
+    long writtenBefore = written;
     stallTimer =
         thread.executeAfter(
-            () -> checkStall(before), settings.stallMillis(), TimeUnit.MILLISECONDS);
+            () -> checkStall(writtenBefore), settings.stallMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void checkStall(long before) {
+  private void checkStall(long writtenBefore) {
     stallTimer = null;
-    if (written == before) {
-      gone();
+    if (written == writtenBefore) {
+      disconnect();
     } else {
-      armStallTimer();
+      startStallTimer();
     }
   }
 
@@ -334,15 +335,18 @@
     }
   }
 
-  /** The caller is gone or too slow; on the I/O thread. */
-  private void gone() {
-    Runnable tell = close();
+  /**
+   * Closes the connection of a caller that has disconnected or reads too slowly. Runs on the I/O
+   * thread.
+   */
+  private void disconnect() {
+    Runnable notification = close();
     IoUtils.safeClose(exchange.getConnection());
-    tell.run();
+    notification.run();
   }
 
-  /** The exchange is over, in whatever way; on an I/O thread. */
-  private void finished() {
+  /** Releases all resources when the exchange has completed or failed. Runs on an I/O thread. */
+  private void exchangeCompleted() {
     close().run();
   }
 
@@ -355,6 +359,6 @@
     pending.clear();
     pendingBytes = 0;
     release.run();
-    return ended ? () -> {} : onGone;
+    return ended ? () -> {} : onDisconnect;
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/Workspaces.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/Workspaces.java
@@ -16,12 +16,12 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Finds the workspace of a caller.
+ * Index of the configured workspaces, to find the workspace of a caller.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param byToken workspaces by the digest of their token
- * @param open names of the workspaces that need no token
+ * @param byToken the workspaces by the digest of their token
+ * @param open the names of the workspaces that need no token
  * @since 0.1
  */
 public record Workspaces(
@@ -29,7 +29,7 @@
   /**
    * Indexes the workspaces of a configuration.
    *
-   * @param configuration the configuration in force
+   * @param configuration the current configuration
    * @return the index
    */
   public static Workspaces of(Configuration configuration) {
@@ -59,8 +59,8 @@
   /**
    * Finds a workspace that needs no token.
    *
-   * @param name its name as the caller wrote it, may be null
-   * @return the workspace; empty if there is none or it has a token
+   * @param name the name as the caller sent it; may be null
+   * @return the workspace; empty if there is none of this name or it requires a token
    */
   public Optional<WorkspaceName> open(String name) {
     return name != null && open.contains(name)
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Tells whether no workspace is known, as on a node that has no configuration yet.
+   * Returns whether there are no workspaces, as on a node that has not received a configuration.
    *
-   * @return true if no caller can be told from another
+   * @return true if no caller can be authenticated
    */
   public boolean isEmpty() {
     return byToken.isEmpty() && open.isEmpty();
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/package-info.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The listener towards callers: completions, routed plain calls, health and metrics. */
+/** The HTTP listener for callers: completions, routed plain calls, health and metrics. */
 package org.larkkeel.http.caller;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/metrics/FactMeters.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/metrics/FactMeters.java
@@ -16,12 +16,12 @@
 import org.larkkeel.errors.Slugs;
 
 /**
- * Turns facts into meters.
+ * Records facts as metrics.
  *
  * <p>Goodput is the rate of {@code larkkeel.requests.answered} with {@code within_targets=true};
- * wasted prefill is {@code larkkeel.prefill.tokens} with {@code use=wasted}. Tags are bounded by
- * the numbers of rules, upstreams, pools and error kinds; nothing is tagged with a request or a
- * workspace. Safe for use by several threads.
+ * wasted prefill is {@code larkkeel.prefill.tokens} with {@code use=wasted}. The number of tag
+ * values is bounded by the numbers of rules, upstreams, pools, error kinds and failure causes;
+ * nothing is tagged with a request or a workspace. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -29,16 +29,16 @@
   private static final String PREFIX = "larkkeel.";
   private static final String USE = "use";
   private static final String UPSTREAM = "upstream";
-  private static final Duration SHORTEST = Duration.ofMillis(1);
-  private static final Duration LONGEST = Duration.ofMinutes(2);
+  private static final Duration MIN_EXPECTED = Duration.ofMillis(1);
+  private static final Duration MAX_EXPECTED = Duration.ofMinutes(2);
 
   private final MeterRegistry registry;
   private final AtomicLong revision = new AtomicLong();
 
   /**
-   * Creates the meters.
+   * Creates the recorder.
    *
-   * @param registry holds them
+   * @param registry the registry that holds the meters
    */
   public FactMeters(MeterRegistry registry) {
     this.registry = registry;
@@ -46,13 +46,13 @@
   }
 
   /**
-   * Counts a fact.
+   * Records a fact.
    *
    * @param fact the fact
    */
   public void record(Fact fact) {
     switch (fact) {
-      case Fact.Answered f -> answered(f);
+      case Fact.Answered f -> recordAnswered(f);
       case Fact.Refused f -> counter("requests.refused", "kind", f.kind().slug()).increment();
       case Fact.Placed f -> counter("attempts.placed", UPSTREAM, f.upstream().value()).increment();
       case Fact.Retried f -> counter("attempts.retried", "cause", Slugs.of(f.cause())).increment();
@@ -67,7 +67,7 @@
     }
   }
 
-  private void answered(Fact.Answered f) {
+  private void recordAnswered(Fact.Answered f) {
     String rule = f.rule().value();
     String within = Boolean.toString(f.withinTargets());
     counter("requests.answered", "rule", rule, "within_targets", within).increment();
@@ -88,8 +88,8 @@
     return Timer.builder(PREFIX + name)
         .tag("rule", rule)
         .publishPercentileHistogram()
-        .minimumExpectedValue(SHORTEST)
-        .maximumExpectedValue(LONGEST)
+        .minimumExpectedValue(MIN_EXPECTED)
+        .maximumExpectedValue(MAX_EXPECTED)
         .register(registry);
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/metrics/package-info.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** The meters of a node. */
+/** The metrics of a node. */
 package org.larkkeel.http.metrics;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/package-info.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/package-info.java
@@ -1,2 +1,2 @@
-/** What every HTTP listener of larkkeel shares: the I/O threads, problem bodies, bearer tokens. */
+/** Classes shared by all HTTP listeners of larkkeel: I/O threads, problem bodies, bearer tokens. */
 package org.larkkeel.http;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/AnswerVerdict.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/AnswerVerdict.java
@@ -7,26 +7,26 @@
 package org.larkkeel.http.relay;
 
 /**
- * What the head of an upstream's answer says.
+ * The classification of an upstream's answer by its status and headers.
  *
  * @since 0.1
  */
 public enum AnswerVerdict {
-  /** It ran with success. */
+  /** The call ran successfully. */
   GOOD,
 
-  /** It ran, or may have, and failed. */
+  /** The call ran, or may have run, and failed. */
   FAILED,
 
-  /** No upstream can accept such a request. */
+  /** No upstream accepts such a request. */
   REJECTED,
 
-  /** It has not run and never will. */
+  /** The call has not run at this upstream and will not run there. */
   NOT_RUN,
 
-  /** Another upstream has the address; it has not run. */
+  /** Another upstream has the address; the call has not run. */
   WRONG_UPSTREAM,
 
-  /** No answer to this request, or none that may be passed on. */
+  /** Not an answer to this request, or one that must not be forwarded. */
   UNUSABLE
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/CallFacts.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/CallFacts.java
@@ -12,16 +12,17 @@
 import org.larkkeel.relay.PromptKey;
 
 /**
- * What a caller declares of its request.
+ * The properties of a call that the caller declares in headers.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param wireId what the caller calls it; empty if it has no id
- * @param deadlineMillis how long the caller waits; 0 if it does not say
- * @param size the size of its generation
- * @param prompt names its prompt
- * @param resumes whether it has had the beginning of its stream
- * @param key shows for which workspace it calls; empty if it has none
+ * @param wireId the id of the call as the caller knows it; empty if the caller sent none
+ * @param deadlineMillis the time for which the caller waits, milliseconds from arrival; 0 if not
+ *     declared
+ * @param size the declared sizes of prompt and output
+ * @param prompt identifies the prompt
+ * @param resumes true if the caller has received the beginning of the stream before
+ * @param key the key that identifies the workspace of the caller; empty if the caller sent none
  * @since 0.1
  */
 public record CallFacts(
@@ -31,7 +32,7 @@
     PromptKey prompt,
     boolean resumes,
     Optional<CallerKey> key) {
-  /** Of a caller whose headers can not be read. */
+  /** The value for a call whose headers cannot be parsed. */
   static final CallFacts NONE =
       new CallFacts("", 0, CallSize.NONE, PromptKey.NONE, false, Optional.empty());
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlCall.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlCall.java
@@ -7,12 +7,12 @@
 package org.larkkeel.http.relay;
 
 /**
- * A call, with POST, by which an upstream is told something that is no request of a caller.
+ * A POST request of the relay itself to an upstream, not made for the answer of a caller.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param path where
- * @param body JSON text
+ * @param path the path
+ * @param body the body, JSON
  * @since 0.1
  */
 public record ControlCall(String path, String body) {}
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
@@ -29,12 +29,12 @@
 import org.larkkeel.relay.RelayUpstream;
 
 /**
- * Sends upstreams what is no request of a caller.
+ * Sends control calls to upstreams.
  *
  * <p>Safe for use by several threads.
  */
 final class ControlSender {
-  private static final int MAX_BYTES = 64 << 10;
+  private static final int MAX_ANSWER_BYTES = 64 << 10;
   private static final String JSON = "application/json";
 
   private final UpstreamClient client;
@@ -48,25 +48,26 @@
   }
 
   /**
-   * Sends a call to one incarnation of an upstream.
+   * Sends a control call to one incarnation of an upstream.
    *
-   * @param upstream which
-   * @param call path and body
-   * @param nanos how long its answer is waited for
-   * @param allowed asked right before the call is written
-   * @param done gets the answer, whatever its status
-   * @param failed gets the failure if there is no answer
+   * @param upstream the upstream
+   * @param call the path and the body
+   * @param timeoutNanos the timeout for the complete answer, nanoseconds
+   * @param mayBeWritten called right before the call is written; if it returns false, the call is
+   *     not sent
+   * @param done receives the answer, whatever its status
+   * @param failed receives the failure if there is no answer
    */
   void send(
       RelayUpstream upstream,
       ControlCall call,
-      long nanos,
-      BooleanSupplier allowed,
+      long timeoutNanos,
+      BooleanSupplier mayBeWritten,
       Consumer<WholeAnswer.Answer> done,
       Consumer<UpstreamFailure> failed) {
     final long sentAt = notices.now();
     ListMultimap<HttpString, String> headers = LinkedListMultimap.create();
-    long millis = TimeUnit.NANOSECONDS.toMillis(nanos);
+    long millis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos);
     dialect.prepare(
         headers,
         new SendFacts(
@@ -82,14 +83,14 @@
             call.path(),
             ImmutableListMultimap.copyOf(headers),
             call.body().getBytes(StandardCharsets.UTF_8),
-            allowed);
+            mayBeWritten);
     client.send(
         UpstreamAddress.parse(upstream.address()),
         wire,
-        AnswerTimeout.whole(nanos),
+        AnswerTimeout.whole(timeoutNanos),
         ConnectionUse.CONTROL,
         new WholeAnswer(
-            MAX_BYTES,
+            MAX_ANSWER_BYTES,
             answer -> {
               notices.read(upstream.life(), sentAt, answer);
               done.accept(answer);
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/EventSplitter.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/EventSplitter.java
@@ -12,7 +12,7 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts an event stream into whole events without changing a byte.
+ * Splits an event stream into complete events, with their bytes unchanged.
  *
  * <p>An event ends with an empty line. Not safe for use by several threads.
  */
@@ -20,64 +20,69 @@
   private static final String ID_FIELD = "id:";
 
   private final int maxBytes;
-  private final ByteArrayOutputStream part = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
   private int lineLength;
-  private boolean afterReturn;
+  private boolean afterCarriageReturn;
 
-  /** An event, with its bytes as they came and its number if it has one. */
-  @SuppressWarnings("ArrayRecordComponent") // The bytes are handed on and never changed.
-  record Whole(byte[] bytes, OptionalLong id) {}
+  /** A complete event: its bytes as received, and its id if that is a number. */
+  @SuppressWarnings("ArrayRecordComponent") // The array is passed on and never modified.
+  record StreamEvent(byte[] bytes, OptionalLong id) {}
 
-  /** Takes events of at most so many bytes. */
+  /** Creates a splitter for events of at most {@code maxBytes} bytes. */
   EventSplitter(int maxBytes) {
     this.maxBytes = maxBytes;
   }
 
-  /** Whether an event is larger than it may be. */
+  /** Returns whether the incomplete event is larger than the limit. */
   boolean isTooLarge() {
-    return part.size() > maxBytes;
+    return buffered.size() > maxBytes;
   }
 
-  /** The next whole event; null if the bytes hold none. */
-  Whole next(ByteBuffer bytes) {
+  /**
+   * Reads the next complete event; returns null, and keeps the bytes, if they do not complete one.
+   */
+  StreamEvent next(ByteBuffer bytes) {
     while (bytes.hasRemaining()) {
       byte b = bytes.get();
-      part.write(b);
+      buffered.write(b);
       if (b == '\n' || b == '\r') {
-        boolean secondOfPair = b == '\n' && afterReturn;
-        afterReturn = b == '\r';
+        boolean secondOfPair = b == '\n' && afterCarriageReturn;
+        afterCarriageReturn = b == '\r';
         if (!secondOfPair && endLine(bytes)) {
-          return take();
+          return takeEvent();
         }
       } else {
-        afterReturn = false;
+        afterCarriageReturn = false;
         lineLength++;
       }
     }
     return null;
   }
 
-  /** The bytes after the last whole event. */
-  byte[] rest() {
-    byte[] rest = part.toByteArray();
-    part.reset();
+  /** Removes and returns the bytes after the last complete event. */
+  byte[] takeRest() {
+    byte[] rest = buffered.toByteArray();
+    buffered.reset();
     return rest;
   }
 
   private boolean endLine(ByteBuffer bytes) {
     boolean empty = lineLength == 0;
     lineLength = 0;
-    if (empty && afterReturn && bytes.hasRemaining() && bytes.get(bytes.position()) == '\n') {
-      part.write(bytes.get());
-      afterReturn = false;
+    if (empty
+        && afterCarriageReturn
+        && bytes.hasRemaining()
+        && bytes.get(bytes.position()) == '\n') {
+      buffered.write(bytes.get());
+      afterCarriageReturn = false;
     }
     return empty;
   }
 
-  private Whole take() {
-    byte[] whole = part.toByteArray();
-    part.reset();
-    return new Whole(whole, id(whole));
+  private StreamEvent takeEvent() {
+    byte[] event = buffered.toByteArray();
+    buffered.reset();
+    return new StreamEvent(event, id(event));
   }
 
   private static OptionalLong id(byte[] event) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/NoticeReader.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/NoticeReader.java
@@ -16,7 +16,8 @@
 import org.larkkeel.relay.UpstreamNotice;
 
 /**
- * Tells the router what upstreams say of themselves in their answers, whatever these are to.
+ * Reads the notices that upstreams put into the heads of their answers, and submits them to the
+ * router. Notices may come with any answer, to calls as well as to control calls.
  *
  * <p>Safe for use by several threads.
  */
@@ -31,23 +32,24 @@
     this.dialect = dialect;
   }
 
-  /** The time that notices carry. */
+  /** Returns the current time of the clock that events carry. */
   long now() {
     return loop.now();
   }
 
   /**
-   * Reads the head of an answer to a request. One of another life that has the address says nothing
-   * of the life that was asked.
+   * Reads the head of an answer to a request. An answer with status 421 is ignored: it comes from
+   * another incarnation at the same address and does not describe the requested one.
    *
-   * @param asked the life that was asked
-   * @param sentAt when the request was sent
-   * @param status the status
-   * @param headers the values of a header; null or empty if there is none
-   * @param isOwn whether it is the answer to this request, as far as can be told
+   * @param upstream the incarnation to which the request was sent
+   * @param sentAt the time at which the request was sent
+   * @param status the status of the answer
+   * @param headers returns the values of a header; null or empty if there is none
+   * @param isOwn true if this appears to be the answer to a caller's request; only such an answer
+   *     shows, by naming no rate limit, that the limit has ended
    */
   void read(
-      UpstreamLife asked,
+      UpstreamLife upstream,
       long sentAt,
       int status,
       Function<HttpString, List<String>> headers,
@@ -55,19 +57,19 @@
     if (status == MISDIRECTED_REQUEST) {
       return;
     }
-    UpstreamNotice read = dialect.notice(status, headers);
-    UpstreamNotice notice = isOwn ? read : read.withoutEndOfLimit();
-    if (!notice.isEmpty() || (endsLimit(notice) && loop.isRateLimited(asked))) {
-      loop.submit(new RelayEvent.Noticed(loop.now(), asked, sentAt, notice));
+    UpstreamNotice parsed = dialect.notice(status, headers);
+    UpstreamNotice notice = isOwn ? parsed : parsed.withoutEndOfLimit();
+    if (!notice.isEmpty() || (endsLimit(notice) && loop.isRateLimited(upstream))) {
+      loop.submit(new RelayEvent.Noticed(loop.now(), upstream, sentAt, notice));
     }
   }
 
   /**
-   * As the other, of a whole answer to what is no request of a caller. That it names no limit does
-   * not show that requests have none.
+   * Reads the head of the answer to a control call. That it names no rate limit does not show that
+   * requests have none.
    */
-  void read(UpstreamLife asked, long sentAt, WholeAnswer.Answer answer) {
-    read(asked, sentAt, answer.status(), name -> answer.headers().get(name), false);
+  void read(UpstreamLife upstream, long sentAt, WholeAnswer.Answer answer) {
+    read(upstream, sentAt, answer.status(), name -> answer.headers().get(name), false);
   }
 
   private static boolean endsLimit(UpstreamNotice notice) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/OrderSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/OrderSender.java
@@ -16,7 +16,7 @@
 import org.larkkeel.relay.Stage;
 
 /**
- * Gives orders to upstreams.
+ * Sends orders to upstreams.
  *
  * <p>Safe for use by several threads.
  *
@@ -30,11 +30,11 @@
   private final RelayLoop loop;
 
   /**
-   * Sends by a client.
+   * Creates a sender.
    *
-   * @param client sends
-   * @param dialect the words of upstreams
-   * @param loop gets what upstreams say of themselves
+   * @param client sends the requests
+   * @param dialect the protocol of the upstreams
+   * @param loop receives the notices of upstreams
    */
   public OrderSender(UpstreamClient client, RelayDialect dialect, RelayLoop loop) {
     this.sender = new ControlSender(client, dialect, new NoticeReader(loop, dialect));
@@ -43,23 +43,29 @@
   }
 
   /**
-   * Orders an upstream to take another part of the work, unless it limits its requests.
+   * Orders an upstream to change to another stage. The order is not sent to an upstream that has a
+   * rate limit.
    *
-   * @param upstream which
-   * @param stage the part
-   * @param holder who orders
-   * @param fencing the number of the holder's lease
-   * @param allowed asked again right before the order is written
-   * @return the status of the answer; fails with a {@link LarkkeelException} without one
+   * @param upstream the upstream
+   * @param stage the stage
+   * @param holder the node that gives the order
+   * @param fencing the fencing number of the holder's lease
+   * @param mayBeWritten called right before the order is written; if it returns false, the order is
+   *     not sent
+   * @return the status of the answer; fails with a {@link LarkkeelException} if there is no answer
    */
   public CompletableFuture<Integer> send(
-      RelayUpstream upstream, Stage stage, String holder, long fencing, BooleanSupplier allowed) {
+      RelayUpstream upstream,
+      Stage stage,
+      String holder,
+      long fencing,
+      BooleanSupplier mayBeWritten) {
     CompletableFuture<Integer> answered = new CompletableFuture<>();
     sender.send(
         upstream,
         dialect.order(stage, holder, fencing),
         TIMEOUT.toNanos(),
-        () -> allowed.getAsBoolean() && !loop.isRateLimited(upstream.life()),
+        () -> mayBeWritten.getAsBoolean() && !loop.isRateLimited(upstream.life()),
         answer -> answered.complete(answer.status()),
         failure ->
             answered.completeExceptionally(
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
@@ -33,10 +33,10 @@
 import org.larkkeel.relay.RelayFact;
 
 /**
- * One send to an upstream: reads the answer and tells the router what it is.
+ * One attempt at an upstream: reads the answer and submits its progress and outcome to the router.
  *
- * <p>Invariants: the router hears of one end; of a stream only whole events are passed on, those of
- * the event before the last byte included. Used on the I/O thread only.
+ * <p>Invariants: at most one outcome is submitted. While a stream runs, only complete events are
+ * forwarded to the caller. Confined to the I/O thread.
  */
 final class RelayAttempt implements ResponseHandler {
   private static final int MAX_EVENT_BYTES = 1 << 20;
@@ -50,9 +50,9 @@
   private final UpstreamLife upstream;
   private final RelayRequest request;
   private final Purpose purpose;
-  private final int maxBytes;
-  private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
-  private final Deque<EventSplitter.Whole> waiting = new ArrayDeque<>();
+  private final int maxAnswerBytes;
+  private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+  private final Deque<EventSplitter.StreamEvent> pendingEvents = new ArrayDeque<>();
   private final OptionalLong resumedAfter;
   private final long placedAt;
   private Optional<EventSplitter> splitter = Optional.empty();
@@ -62,10 +62,10 @@
   private boolean endsWithConnection;
   private boolean sent;
   private long sentAt;
-  private boolean sawEvent;
-  private boolean begun;
-  private boolean followed;
-  private boolean over;
+  private boolean hasEvent;
+  private boolean hasNewEvent;
+  private boolean forwarding;
+  private boolean ended;
   private byte[] rest = new byte[0];
 
   RelayAttempt(
@@ -74,7 +74,7 @@
       NoticeReader notices,
       RelayEffect.Send send,
       RelayRequest request,
-      int maxBytes) {
+      int maxAnswerBytes) {
     this.loop = loop;
     this.dialect = dialect;
     this.notices = notices;
@@ -82,8 +82,8 @@
     this.upstream = send.upstream().life();
     this.request = request;
     this.purpose = send.purpose();
-    this.maxBytes = maxBytes;
-    this.resumedAfter = request.lastEvent;
+    this.maxAnswerBytes = maxAnswerBytes;
+    this.resumedAfter = request.lastEventId;
     this.placedAt = loop.now();
   }
 
@@ -91,37 +91,40 @@
     return request;
   }
 
-  void inFlight(InFlight flying) {
-    inFlight = Optional.of(flying);
-    if (over) {
-      flying.abort();
+  void inFlight(InFlight started) {
+    inFlight = Optional.of(started);
+    if (ended) {
+      started.abort();
     }
   }
 
-  /** Notes that the request is about to be written; says whether it still may be. */
-  boolean mayBeSent() {
-    sent = !over && loop.mayReach(upstream);
+  /**
+   * Called right before the request is written; records the time and returns whether it may be
+   * sent.
+   */
+  boolean markSentIfAllowed() {
+    sent = !ended && loop.acceptsRequests(upstream);
     sentAt = loop.now();
     return sent;
   }
 
-  /** Gives up waiting for a connection. */
-  void connectTimedOut() {
-    if (!sent && !over) {
+  /** Aborts the attempt if the request has not been written yet. */
+  void abortIfNotSent() {
+    if (!sent && !ended) {
       inFlight.ifPresent(InFlight::abort);
     }
   }
 
-  /** Ends it without a word to the router. */
+  /** Aborts the attempt without submitting an outcome. */
   void cancel() {
-    over = true;
+    ended = true;
     inFlight.ifPresent(InFlight::abort);
   }
 
-  /** How far it has come, and for how long it has been under way. */
-  RelayFact.Cancelled cancelled() {
-    AttemptProgress sofar = sent ? AttemptProgress.SENT : AttemptProgress.NOT_SENT;
-    AttemptProgress progress = head.status() > 0 ? AttemptProgress.ANSWERING : sofar;
+  /** Returns the fact to report when this attempt is cancelled: its progress and age. */
+  RelayFact.Cancelled cancelledFact() {
+    AttemptProgress beforeAnswer = sent ? AttemptProgress.SENT : AttemptProgress.NOT_SENT;
+    AttemptProgress progress = head.status() > 0 ? AttemptProgress.ANSWERING : beforeAnswer;
     return new RelayFact.Cancelled(request.call.wireId(), id, progress, loop.now() - placedAt);
   }
 
@@ -146,7 +149,7 @@
 
   @Override
   public boolean onBody(ByteBuffer bytes) {
-    if (over || verdict == AnswerVerdict.UNUSABLE) {
+    if (ended || verdict == AnswerVerdict.UNUSABLE) {
       return false;
     }
     if (splitter.isPresent()) {
@@ -154,50 +157,52 @@
     }
     byte[] copy = new byte[bytes.remaining()];
     bytes.get(copy);
-    whole.writeBytes(copy);
-    return whole.size() <= maxBytes;
+    body.writeBytes(copy);
+    return body.size() <= maxAnswerBytes;
   }
 
   private boolean onEvents(EventSplitter events, ByteBuffer bytes) {
-    for (EventSplitter.Whole e = events.next(bytes); e != null; e = events.next(bytes)) {
-      sawEvent = true;
-      if (isRepeated(e)) {
+    for (EventSplitter.StreamEvent e = events.next(bytes); e != null; e = events.next(bytes)) {
+      hasEvent = true;
+      if (isAlreadyForwarded(e)) {
         continue;
       }
-      waiting.add(e);
-      if (!begun) {
-        begun = true;
+      pendingEvents.add(e);
+      if (!hasNewEvent) {
+        hasNewEvent = true;
         loop.submit(new RelayEvent.Began(loop.now(), id));
       }
     }
-    passOn();
+    forwardPending();
     return !events.isTooLarge();
   }
 
-  private boolean isRepeated(EventSplitter.Whole event) {
+  private boolean isAlreadyForwarded(EventSplitter.StreamEvent event) {
     return resumedAfter.isPresent()
         && event.id().isPresent()
         && event.id().getAsLong() <= resumedAfter.getAsLong();
   }
 
-  /** Passes the stream on, from the first event that was not yet passed on. */
-  void follow() {
-    followed = true;
+  /**
+   * Starts to forward the stream to the caller, beginning with the first event not yet forwarded.
+   */
+  void startForwarding() {
+    forwarding = true;
     if (!request.headSent) {
       request.headSent = true;
       request.channel.beginStream(head);
     }
-    passOn();
+    forwardPending();
   }
 
-  private void passOn() {
-    if (!followed) {
+  private void forwardPending() {
+    if (!forwarding) {
       return;
     }
     int events = 0;
-    for (EventSplitter.Whole e = waiting.poll(); e != null; e = waiting.poll()) {
+    for (EventSplitter.StreamEvent e = pendingEvents.poll(); e != null; e = pendingEvents.poll()) {
       if (e.id().isPresent()) {
-        request.lastEvent = e.id();
+        request.lastEventId = e.id();
       }
       request.channel.stream(e.bytes());
       events++;
@@ -207,50 +212,53 @@
     }
   }
 
-  /** Gives the caller the whole answer, or what is left of the stream and its end. */
+  /** Delivers the complete answer to the caller, or the remainder and end of the stream. */
   void deliver() {
-    if (followed) {
-      passOn();
+    if (forwarding) {
+      forwardPending();
       if (rest.length > 0) {
         request.channel.stream(rest);
       }
       request.channel.endStream();
     } else if (request.headSent) {
-      // Another attempt has begun the stream, and nothing was left of it but its end.
+      // Another attempt has started the stream, and only its end was missing.
       request.channel.endStream();
     } else {
-      byte[] body = whole.toByteArray();
-      request.channel.answer(new RecordedAnswer(head.status(), head.headers(), body));
+      byte[] bytes = body.toByteArray();
+      request.channel.answer(new RecordedAnswer(head.status(), head.headers(), bytes));
     }
   }
 
   @Override
   public void onEnd() {
-    if (over) {
+    if (ended) {
       return;
     }
-    over = true;
-    splitter.ifPresent(s -> rest = s.rest());
-    if (isBrokenOff()) {
+    ended = true;
+    splitter.ifPresent(s -> rest = s.takeRest());
+    if (isTruncated()) {
       loop.submit(new RelayEvent.Lost(loop.now(), id, FailureCause.CONNECTION_LOST));
       return;
     }
-    if (splitter.isPresent() && !begun) {
-      whole.writeBytes(rest);
+    if (splitter.isPresent() && !hasNewEvent) {
+      body.writeBytes(rest);
     }
     loop.submit(outcome());
   }
 
   /**
-   * Whether a stream whose end is that of its connection ends inside an event, or before the first.
-   * An upstream that dies ends the connection as well, and without a length only this shows it.
+   * Returns whether a stream that ends with its connection ended inside an event, or before the
+   * first one. An upstream that crashes also closes the connection, and without chunks or a length
+   * nothing else shows that the stream is truncated.
    */
-  private boolean isBrokenOff() {
-    return endsWithConnection && splitter.isPresent() && (endsInEvent(rest) || !sawEvent);
+  private boolean isTruncated() {
+    return endsWithConnection && splitter.isPresent() && (hasPartialEvent(rest) || !hasEvent);
   }
 
-  /** Whether bytes after the last whole event are more than the second half of its line end. */
-  private static boolean endsInEvent(byte[] rest) {
+  /**
+   * Returns whether the bytes after the last complete event are more than the rest of its line end.
+   */
+  private static boolean hasPartialEvent(byte[] rest) {
     for (byte b : rest) {
       if (b != '\n' && b != '\r') {
         return true;
@@ -264,24 +272,24 @@
     return switch (verdict) {
       case GOOD ->
           purpose instanceof Purpose.ReadPrompt
-              ? promptRead(at)
+              ? prefillOutcome(at)
               : new RelayEvent.Answered(at, id, AnswerGrade.GOOD);
-      case FAILED -> failed(at, AnswerGrade.FAILED);
-      case REJECTED -> failed(at, AnswerGrade.REJECTED);
+      case FAILED -> failedOutcome(at, AnswerGrade.FAILED);
+      case REJECTED -> failedOutcome(at, AnswerGrade.REJECTED);
       case NOT_RUN -> new RelayEvent.Refused(at, id, RefusalCause.DECLINED);
       case WRONG_UPSTREAM -> new RelayEvent.Refused(at, id, RefusalCause.WRONG_UPSTREAM);
       case UNUSABLE -> new RelayEvent.Lost(at, id, FailureCause.BAD_ANSWER);
     };
   }
 
-  private RelayEvent promptRead(long at) {
+  private RelayEvent prefillOutcome(long at) {
     return dialect
-        .promptHandle(whole.toByteArray())
+        .promptHandle(body.toByteArray())
         .<RelayEvent>map(handle -> new RelayEvent.PromptRead(at, id, handle))
         .orElseGet(() -> new RelayEvent.Lost(at, id, FailureCause.BAD_ANSWER));
   }
 
-  private RelayEvent failed(long at, AnswerGrade grade) {
+  private RelayEvent failedOutcome(long at, AnswerGrade grade) {
     return purpose instanceof Purpose.ReadPrompt
         ? new RelayEvent.Lost(at, id, FailureCause.BAD_ANSWER)
         : new RelayEvent.Answered(at, id, grade);
@@ -289,15 +297,15 @@
 
   @Override
   public void onFailure(UpstreamFailure failure) {
-    if (over) {
+    if (ended) {
       return;
     }
-    over = true;
+    ended = true;
     long at = loop.now();
-    boolean told = verdict == AnswerVerdict.NOT_RUN || verdict == AnswerVerdict.WRONG_UPSTREAM;
+    boolean declined = verdict == AnswerVerdict.NOT_RUN || verdict == AnswerVerdict.WRONG_UPSTREAM;
     if (failure.exposure() != Exposure.MAY_HAVE_RUN) {
       loop.submit(new RelayEvent.Refused(at, id, RefusalCause.NOT_SENT));
-    } else if (told) {
+    } else if (declined) {
       loop.submit(new RelayEvent.Refused(at, id, RefusalCause.DECLINED));
     } else {
       loop.submit(new RelayEvent.Lost(at, id, failure.cause()));
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayClientSettings.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayClientSettings.java
@@ -7,15 +7,16 @@
 package org.larkkeel.http.relay;
 
 /**
- * Bounds of the relay's sending.
+ * Limits of the relay's requests to upstreams.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param connectMillis how long a connection is waited for
- * @param maxAnswerBytes the largest answer that is not a stream
+ * @param connectMillis the maximum time until a connection is available and the request is written,
+ *     milliseconds
+ * @param maxAnswerBytes the maximum size of an answer that is not a stream
  * @since 0.1
  */
 public record RelayClientSettings(long connectMillis, int maxAnswerBytes) {
-  /** What fits small answers in one region. */
+  /** Defaults for small answers within one region. */
   public static final RelayClientSettings DEFAULT = new RelayClientSettings(600, 8 << 20);
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayDialect.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayDialect.java
@@ -21,8 +21,8 @@
 import org.larkkeel.relay.UpstreamNotice;
 
 /**
- * The words that callers and upstreams use: translates between them and the relay, and decides
- * nothing.
+ * The protocol of callers and upstreams: translates between their headers and bodies and the types
+ * of the relay, and makes no decisions.
  *
  * <p>Implementations are safe for use by several threads.
  *
@@ -30,60 +30,63 @@
  */
 public interface RelayDialect {
   /**
-   * Reads what a caller declares.
+   * Reads the metadata of a call from its headers.
    *
-   * @throws org.larkkeel.errors.LarkkeelException if a declaration can not be read
+   * @throws org.larkkeel.errors.LarkkeelException if a header cannot be parsed
    */
   CallFacts facts(HeaderMap headers);
 
-  /** Sets what an upstream is told, in a copy of the caller's headers. */
+  /** Adds the metadata for an upstream to a copy of the caller's headers, which it modifies. */
   void prepare(ListMultimap<HttpString, String> headers, SendFacts facts);
 
   /**
-   * Judges the head of an answer.
+   * Classifies an answer by its head.
    *
    * @param wireId the id of the request that was sent
-   * @param purpose what it was for
-   * @param status the status
-   * @param headers the headers
+   * @param purpose the purpose of the attempt
+   * @param status the status of the answer
+   * @param headers the headers of the answer
    */
   AnswerVerdict verdict(String wireId, RelayEffect.Purpose purpose, int status, HeaderMap headers);
 
   /**
-   * What the head of an answer says of the upstream itself, whatever the answer is to. A time that
-   * can not be meant counts as none; a very long one is shortened. A rate that can not be read says
-   * nothing.
+   * Reads the notice of the upstream from the head of an answer to any request. A duration that is
+   * out of range counts as absent, and a very long one is shortened. A rate limit that cannot be
+   * parsed counts as unknown.
    *
-   * @param status the status
-   * @param headers the values of a header; null or empty if there is none
+   * @param status the status of the answer
+   * @param headers returns the values of a header; null or empty if there is none
    */
   UpstreamNotice notice(int status, Function<HttpString, List<String>> headers);
 
-  /** The handle in the answer of an upstream that has read a prompt. */
+  /**
+   * Returns the handle in the answer of an upstream that has prefilled a prompt; empty if there is
+   * none.
+   */
   Optional<String> promptHandle(byte[] body);
 
   /**
-   * The call that has the memory of a run copied to another upstream; {@link #promptHandle} reads
-   * its answer.
+   * Returns the control call that copies the memory of a run to another upstream; {@link
+   * #promptHandle} reads its answer.
    *
-   * @param wireId the id of the request that runs
-   * @param destination gets the copy
-   * @param step whether the run goes on
+   * @param wireId the id of the request of the run
+   * @param destination the upstream that receives the copy
+   * @param step the step of the move, which says whether the run continues
    */
   ControlCall move(String wireId, RelayUpstream destination, MoveStep step);
 
-  /** The path by which a handle is freed with DELETE. */
+  /** Returns the path that frees a handle when requested with DELETE. */
   String freePath(String handle);
 
   /**
-   * The call that orders an upstream to take another part of the work.
+   * Returns the control call that orders an upstream to change to another stage.
    *
-   * @param stage the part
-   * @param holder who gives the order
-   * @param fencing grows with each holder
+   * @param stage the stage
+   * @param holder the node that gives the order
+   * @param fencing the fencing number, which grows with each holder
    */
   ControlCall order(Stage stage, String holder, long fencing);
 
-  /** The answer to a caller in place of an upstream's. */
+  /** Returns the answer that reports a problem to a caller. */
   RecordedAnswer refusal(Problem problem);
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayExecutor.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayExecutor.java
@@ -36,23 +36,23 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Carries out what the router wants: sends, gives up, and answers callers.
+ * Executes the effects of the relay router: sends and cancels attempts, and answers callers.
  *
- * <p>Used on the I/O thread only.
+ * <p>Confined to the I/O thread.
  *
  * @since 0.1
  */
 public final class RelayExecutor implements Consumer<RelayEffect> {
-  private static final long MILLI = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** How long the upstream's answer is waited for beyond the time that it was given. */
-  private static final long MARGIN = 1_000 * MILLI;
+  /** The time by which the timeout of an answer exceeds the time left that the upstream is told. */
+  private static final long ANSWER_MARGIN_NANOS = 1_000 * NANOS_PER_MILLI;
 
-  /** How long a copy may take. */
-  private static final long MOVE_NANOS = 900 * MILLI;
+  /** The timeout for copying the memory of a run to another upstream. */
+  private static final long MOVE_TIMEOUT_NANOS = 900 * NANOS_PER_MILLI;
 
-  private static final long FREE_NANOS = 500 * MILLI;
-  private static final int MAX_FREE_BYTES = 64 << 10;
+  private static final long FREE_TIMEOUT_NANOS = 500 * NANOS_PER_MILLI;
+  private static final int MAX_FREE_ANSWER_BYTES = 64 << 10;
 
   private final RelayLoop loop;
   private final RelayDialect dialect;
@@ -65,18 +65,18 @@
   private final Consumer<RelayFact> facts;
   private final Map<RequestId, RelayRequest> requests = new HashMap<>();
   private final Map<AttemptId, RelayAttempt> attempts = new HashMap<>();
-  private Consumer<RelayEffect.GrantRoom> grants = e -> {};
-  private Consumer<RelayEffect.TellSuspect> suspects = e -> {};
+  private Consumer<RelayEffect.GrantRoom> grantSender = e -> {};
+  private Consumer<RelayEffect.TellSuspect> suspectReporter = e -> {};
 
   /**
-   * Sends by a client.
+   * Creates an executor.
    *
-   * @param loop gets what comes back
-   * @param dialect the words of callers and upstreams
-   * @param client sends
-   * @param thread the loop's
-   * @param settings bounds
-   * @param facts gets what is to be logged and counted
+   * @param loop receives the resulting events
+   * @param dialect the protocol of callers and upstreams
+   * @param client sends requests to upstreams
+   * @param thread the I/O thread of the loop
+   * @param settings the limits of requests to upstreams
+   * @param facts receives the facts to be logged and counted
    */
   public RelayExecutor(
       RelayLoop loop,
@@ -97,27 +97,28 @@
   }
 
   /**
-   * Sets who tells other nodes; before the first event.
+   * Sets the consumers that send reports to other nodes. Must be called before the first event.
    *
-   * @param room tells of the room that they are given
-   * @param found tells of requests under which upstreams ended
+   * @param grants sends a reservation granted to another node
+   * @param suspects reports a suspect request
    */
-  public void tells(Consumer<RelayEffect.GrantRoom> room, Consumer<RelayEffect.TellSuspect> found) {
-    grants = room;
-    suspects = found;
+  public void tells(
+      Consumer<RelayEffect.GrantRoom> grants, Consumer<RelayEffect.TellSuspect> suspects) {
+    grantSender = grants;
+    suspectReporter = suspects;
   }
 
-  /** Takes a request in; before its arrival is submitted. */
+  /** Adds a request. Must be called before its arrival is submitted. */
   void add(RelayRequest request) {
     requests.put(request.call.id(), request);
   }
 
-  /** The caller of a request is gone. */
-  void gone(RequestId id) {
+  /** Removes the request of a caller that has disconnected, and submits the departure. */
+  void callerGone(RequestId id) {
     if (requests.remove(id) != null) {
       loop.submit(new RelayEvent.CallerLeft(loop.now(), id));
       if (!loop.isClosed()) {
-        thread.execute(() -> forgetAttempts(id));
+        thread.execute(() -> removeAttempts(id));
       }
     }
   }
@@ -129,22 +130,22 @@
       case RelayEffect.Cancel e -> cancel(e.attempt());
       case RelayEffect.Move e -> move(e);
       case RelayEffect.Free e -> free(e.source(), e.handle());
-      case RelayEffect.Follow e -> follow(e);
+      case RelayEffect.Follow e -> startForwarding(e);
       case RelayEffect.Deliver e -> deliver(e);
       case RelayEffect.Refuse e -> refuse(e);
-      case RelayEffect.Cut e -> cut(e);
-      case RelayEffect.GrantRoom e -> grants.accept(e);
+      case RelayEffect.Cut e -> dropCaller(e);
+      case RelayEffect.GrantRoom e -> grantSender.accept(e);
       case RelayEffect.Probe e -> probe(e.upstream());
-      case RelayEffect.TellSuspect e -> suspects.accept(e);
+      case RelayEffect.TellSuspect e -> suspectReporter.accept(e);
       case RelayEffect.Report e -> facts.accept(e.fact());
     }
   }
 
   /**
-   * Gives up all that is under way, as the node ends: upstreams see a reset and do not go on for
-   * callers whose node is no more, and callers see that what they have is not whole. On the I/O
-   * thread, which carries out the ends after this; the loop must be closed before, so that nothing
-   * is sent anew.
+   * Aborts all attempts and drops all callers when the node ends. Upstreams see a reset and stop
+   * runs whose node has ended; callers see that their answers are incomplete. Must be called on the
+   * I/O thread, which executes the aborts afterwards, and after the loop was closed, so that
+   * nothing is sent again.
    */
   public void abandonAll() {
     ImmutableList.copyOf(attempts.keySet()).forEach(this::cancel);
@@ -160,18 +161,18 @@
     RelayAttempt attempt =
         new RelayAttempt(loop, dialect, notices, e, request, settings.maxAnswerBytes());
     attempts.put(e.attempt(), attempt);
-    long left = Math.max(MILLI, e.until() - loop.now());
+    long leftNanos = Math.max(NANOS_PER_MILLI, e.until() - loop.now());
     AnswerTimeout timeout =
         e.silenceNanos() > 0
             ? AnswerTimeout.silence(e.silenceNanos())
-            : AnswerTimeout.whole(left + MARGIN);
+            : AnswerTimeout.whole(leftNanos + ANSWER_MARGIN_NANOS);
     UpstreamRequest wire =
         new UpstreamRequest(
             request.method,
             request.target,
-            headers(request, e, left),
+            headers(request, e, leftNanos),
             request.body,
-            attempt::mayBeSent);
+            attempt::markSentIfAllowed);
     attempt.inFlight(
         client.send(
             UpstreamAddress.parse(e.upstream().address()),
@@ -179,29 +180,34 @@
             timeout,
             ConnectionUse.REQUEST,
             attempt));
-    thread.executeAfter(attempt::connectTimedOut, settings.connectMillis(), TimeUnit.MILLISECONDS);
+    thread.executeAfter(attempt::abortIfNotSent, settings.connectMillis(), TimeUnit.MILLISECONDS);
   }
 
   private ImmutableListMultimap<HttpString, String> headers(
-      RelayRequest request, RelayEffect.Send e, long left) {
+      RelayRequest request, RelayEffect.Send e, long leftNanos) {
     ListMultimap<HttpString, String> headers = LinkedListMultimap.create(request.headers);
-    OptionalLong resume = request.headSent ? request.lastEvent : OptionalLong.empty();
+    OptionalLong resume = request.headSent ? request.lastEventId : OptionalLong.empty();
     dialect.prepare(
-        headers, new SendFacts(e.upstream(), e.purpose(), left / MILLI, resume, e.workspace()));
+        headers,
+        new SendFacts(
+            e.upstream(), e.purpose(), leftNanos / NANOS_PER_MILLI, resume, e.workspace()));
     return ImmutableListMultimap.copyOf(headers);
   }
 
   private void cancel(AttemptId id) {
     RelayAttempt attempt = attempts.remove(id);
     if (attempt != null) {
-      facts.accept(attempt.cancelled());
+      facts.accept(attempt.cancelledFact());
       attempt.cancel();
     }
   }
 
-  /** Frees a prompt or copy, unless its upstream is to be left alone: it lapses by itself soon. */
+  /**
+   * Frees the handle of a prompt or copy. Sends nothing to an upstream that accepts no requests or
+   * limits their rate; there the handle expires soon.
+   */
   private void free(RelayUpstream source, String handle) {
-    if (!loop.mayReach(source.life()) || loop.isRateLimited(source.life())) {
+    if (!loop.acceptsRequests(source.life()) || loop.isRateLimited(source.life())) {
       return;
     }
     final long sentAt = loop.now();
@@ -211,28 +217,30 @@
     client.send(
         UpstreamAddress.parse(source.address()),
         wire,
-        AnswerTimeout.whole(FREE_NANOS),
+        AnswerTimeout.whole(FREE_TIMEOUT_NANOS),
         ConnectionUse.CONTROL,
         new WholeAnswer(
-            MAX_FREE_BYTES, answer -> notices.read(source.life(), sentAt, answer), failure -> {}));
+            MAX_FREE_ANSWER_BYTES,
+            answer -> notices.read(source.life(), sentAt, answer),
+            failure -> {}));
   }
 
   private void move(RelayEffect.Move e) {
     RelayRequest request = requests.get(e.call());
     if (request == null) {
-      moved(e.attempt(), new MoveResult.Failed());
+      submitMoved(e.attempt(), new MoveResult.Failed());
       return;
     }
     control.send(
         e.source(),
         dialect.move(request.call.wireId(), e.destination(), e.step()),
-        MOVE_NANOS,
+        MOVE_TIMEOUT_NANOS,
         () -> true,
-        answer -> moved(e.attempt(), result(answer)),
-        failure -> moved(e.attempt(), new MoveResult.Failed()));
+        answer -> submitMoved(e.attempt(), moveResult(answer)),
+        failure -> submitMoved(e.attempt(), new MoveResult.Failed()));
   }
 
-  private MoveResult result(WholeAnswer.Answer answer) {
+  private MoveResult moveResult(WholeAnswer.Answer answer) {
     return switch (answer.status()) {
       case StatusCodes.OK ->
           dialect
@@ -244,7 +252,7 @@
     };
   }
 
-  private void moved(AttemptId attempt, MoveResult result) {
+  private void submitMoved(AttemptId attempt, MoveResult result) {
     loop.submit(new RelayEvent.Moved(loop.now(), attempt, result));
   }
 
@@ -254,10 +262,10 @@
         result -> loop.submit(new RelayEvent.Probed(loop.now(), upstream.life(), result)));
   }
 
-  private void follow(RelayEffect.Follow e) {
+  private void startForwarding(RelayEffect.Follow e) {
     RelayAttempt attempt = attempts.get(e.attempt());
     if (attempt != null) {
-      attempt.follow();
+      attempt.startForwarding();
     }
   }
 
@@ -266,12 +274,12 @@
     if (requests.remove(e.call()) != null && attempt != null) {
       attempt.deliver();
     }
-    forgetAttempts(e.call());
+    removeAttempts(e.call());
   }
 
   private void refuse(RelayEffect.Refuse e) {
     RelayRequest request = requests.remove(e.call());
-    forgetAttempts(e.call());
+    removeAttempts(e.call());
     if (request != null) {
       Problem problem =
           new Problem(e.kind(), e.detail(), request.call.wireId(), e.retryAfterMillis());
@@ -279,15 +287,15 @@
     }
   }
 
-  private void cut(RelayEffect.Cut e) {
+  private void dropCaller(RelayEffect.Cut e) {
     RelayRequest request = requests.remove(e.call());
-    forgetAttempts(e.call());
+    removeAttempts(e.call());
     if (request != null) {
       request.channel.drop();
     }
   }
 
-  private void forgetAttempts(RequestId call) {
+  private void removeAttempts(RequestId call) {
     attempts.values().removeIf(a -> a.request().call.id().equals(call));
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayListener.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayListener.java
@@ -34,7 +34,7 @@
 import org.xnio.Options;
 
 /**
- * Accepts opaque requests and hands them to the router.
+ * Accepts opaque HTTP requests of callers and submits them to the router.
  *
  * <p>Safe for use by several threads; requests are handled on I/O threads.
  *
@@ -43,7 +43,13 @@
 public final class RelayListener implements AutoCloseable {
   private static final int MAX_HEADER_BYTES = 64 << 10;
   private static final int BACKLOG = 1024;
-  private static final long DRAINED = 2;
+
+  /**
+   * The part of an oversized body that is read and discarded, in multiples of the body limit; see
+   * {@link org.larkkeel.http.caller.CallerListener}.
+   */
+  private static final long DRAINED_BODY_FACTOR = 2;
+
   private static final long STOPPING_RETRY_MILLIS = 50;
   private static final Logger log = LoggerFactory.getLogger(RelayListener.class);
 
@@ -67,13 +73,13 @@
   }
 
   /**
-   * Listens.
+   * Binds the address and starts to accept connections.
    *
-   * @param settings address and bounds; TLS is not used
-   * @param worker has one I/O thread, the loop's
-   * @param loop gets arrivals
-   * @param executor answers
-   * @param dialect the words of callers
+   * @param settings the address and the limits; TLS is not used
+   * @param worker a worker with one I/O thread, that of the loop
+   * @param loop receives the arrivals
+   * @param executor answers the callers
+   * @param dialect the protocol of the callers
    */
   public static RelayListener start(
       CallerSettings settings,
@@ -94,7 +100,8 @@
             .setServerOption(UndertowOptions.DECODE_URL, false)
             .setServerOption(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
             .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, DRAINED * settings.maxBodyBytes())
+            .setServerOption(
+                UndertowOptions.MAX_ENTITY_SIZE, DRAINED_BODY_FACTOR * settings.maxBodyBytes())
             .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, settings.headerMillis())
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, settings.idleMillis())
             .addHttpListener(bind.getPort(), bind.getAddress().getHostAddress(), handler)
@@ -103,17 +110,19 @@
     return listener;
   }
 
-  /** Where it listens. */
+  /** Returns the bound address. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getListenerInfo().getFirst().getAddress();
   }
 
-  /** From now on ends each connection with the answer on it. */
+  /** From now on closes each connection after the next answer on it. */
   public void closeAfterAnswers() {
     closing = true;
   }
 
-  /** From now on takes no request any more: each is told to go elsewhere, as not run. */
+  /**
+   * From now on refuses each new request as not run, so that the caller retries at another node.
+   */
   public void refuseNew() {
     refusing = true;
   }
@@ -124,23 +133,23 @@
   }
 
   private void handle(HttpServerExchange exchange) {
-    CallFacts facts = CallFacts.NONE;
+    CallFacts metadata = CallFacts.NONE;
     try {
-      facts = dialect.facts(exchange.getRequestHeaders());
-      CallFacts read = facts;
-      bodies.read(exchange, facts.wireId(), body -> accept(exchange, read, body));
+      metadata = dialect.facts(exchange.getRequestHeaders());
+      CallFacts read = metadata;
+      bodies.read(exchange, metadata.wireId(), body -> accept(exchange, read, body));
     } catch (LarkkeelException e) {
-      answer(exchange, Problem.of(e.kind(), e.getMessage(), facts.wireId()));
+      answer(exchange, Problem.of(e.kind(), e.getMessage(), metadata.wireId()));
     }
   }
 
-  private void accept(HttpServerExchange exchange, CallFacts facts, BodyReader.Body body) {
+  private void accept(HttpServerExchange exchange, CallFacts metadata, BodyReader.Body body) {
     if (closing) {
       exchange.setPersistent(false);
     }
     if (refusing) {
       body.release().run();
-      refuse(exchange, facts);
+      refuseStopping(exchange, metadata);
       return;
     }
     UndertowChannel channel = new UndertowChannel(exchange, settings, body.release());
@@ -149,15 +158,15 @@
     RelayCall call =
         new RelayCall(
             new RequestId(++lastId),
-            facts.wireId(),
+            metadata.wireId(),
             host(exchange),
             query < 0 ? target : target.substring(0, query),
-            facts.deadlineMillis(),
-            facts.size(),
-            facts.prompt(),
-            facts.resumes(),
-            identity(exchange, target, facts, body.bytes()),
-            facts.key());
+            metadata.deadlineMillis(),
+            metadata.size(),
+            metadata.prompt(),
+            metadata.resumes(),
+            identity(exchange, target, metadata, body.bytes()),
+            metadata.key());
     RelayRequest request =
         new RelayRequest(
             call,
@@ -166,7 +175,7 @@
             RelayRequest.endToEnd(exchange.getRequestHeaders(), true),
             body.bytes(),
             channel);
-    exchange.dispatch(SameThreadExecutor.INSTANCE, () -> arrived(request));
+    exchange.dispatch(SameThreadExecutor.INSTANCE, () -> submitArrival(request));
   }
 
   private static String host(HttpServerExchange exchange) {
@@ -174,31 +183,35 @@
   }
 
   private static RequestIdentity identity(
-      HttpServerExchange exchange, String target, CallFacts facts, byte[] body) {
+      HttpServerExchange exchange, String target, CallFacts metadata, byte[] body) {
     return new RequestIdentity(
         exchange.getRequestMethod().toString(),
         host(exchange),
         target,
-        facts.key().map(k -> k.digest().toString()).orElse(""),
+        metadata.key().map(k -> k.digest().toString()).orElse(""),
         body);
   }
 
-  private void refuse(HttpServerExchange exchange, CallFacts facts) {
+  private void refuseStopping(HttpServerExchange exchange, CallFacts metadata) {
     String detail = "This node stops.";
     Problem problem =
-        new Problem(ErrorKind.NOT_READY, detail, facts.wireId(), STOPPING_RETRY_MILLIS);
-    log.info("event=refused call={} kind={} detail=\"{}\"", cleaned(facts), problem.kind(), detail);
+        new Problem(ErrorKind.NOT_READY, detail, metadata.wireId(), STOPPING_RETRY_MILLIS);
+    log.info(
+        "event=refused call={} kind={} detail=\"{}\"",
+        printableId(metadata),
+        problem.kind(),
+        detail);
     exchange.dispatch(SameThreadExecutor.INSTANCE, () -> answer(exchange, problem));
   }
 
-  private static String cleaned(CallFacts facts) {
-    return facts.wireId().replaceAll("[^\\x21\\x23-\\x7e]", "?");
+  private static String printableId(CallFacts metadata) {
+    return metadata.wireId().replaceAll("[^\\x21\\x23-\\x7e]", "?");
   }
 
-  private void arrived(RelayRequest request) {
+  private void submitArrival(RelayRequest request) {
     executor.add(request);
-    request.channel.onGone(() -> executor.gone(request.call.id()));
-    request.channel.watch();
+    request.channel.onDisconnect(() -> executor.callerGone(request.call.id()));
+    request.channel.watchForDisconnect();
     loop.submit(new RelayEvent.Arrived(loop.now(), request.call));
   }
 
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayLoop.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayLoop.java
@@ -21,11 +21,11 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Applies events to the router, one after the other, on one I/O thread, and ticks when something is
- * due.
+ * Applies events to the router one after the other on one I/O thread, and submits a tick when the
+ * router has something due.
  *
- * <p>Events that come up while effects are carried out wait for their turn. {@link #submit} is safe
- * for use by several threads; the router is touched by the I/O thread only.
+ * <p>Events that are submitted while effects are executed are queued. {@link #submit} is safe for
+ * use by several threads; the router is used by the I/O thread only.
  *
  * @since 0.1
  */
@@ -37,57 +37,63 @@
   private final BootClock clock;
   private final Deque<RelayEvent> queue = new ArrayDeque<>();
   private Consumer<RelayEffect> effects = e -> {};
-  private Runnable after = () -> {};
+  private Runnable afterBatch = () -> {};
   private volatile boolean closed;
   private boolean applying;
   private XnioExecutor.Key timer;
   private long timerAt = Long.MAX_VALUE;
-  private long suspended;
+  private long suspendedNanos;
 
-  /** Runs a router on a thread. */
+  /** Creates a loop that runs a router on a thread. */
   public RelayLoop(XnioIoThread thread, RelayRouter router, BootClock clock) {
     this.thread = thread;
     this.router = router;
     this.clock = clock;
   }
 
-  /** Sets who carries effects out; before the first event. */
+  /** Sets the consumer that executes effects. Must be called before the first event. */
   public void effects(Consumer<RelayEffect> sink) {
     effects = sink;
   }
 
-  /** Sets what runs after each batch of events; before the first event. */
+  /** Sets an action that runs after each batch of events. Must be called before the first event. */
   public void afterEach(Runnable action) {
-    after = action;
+    afterBatch = action;
   }
 
-  /** The time that events carry. */
+  /** Returns the current time of the clock that events carry, nanoseconds. */
   public long now() {
     return clock.nanoTime();
   }
 
-  /** Whether requests may be sent to a life of an upstream still; on the loop's thread. */
-  boolean mayReach(UpstreamLife upstream) {
+  /**
+   * Returns whether an incarnation of an upstream accepts requests now. Must be called on the
+   * loop's thread.
+   */
+  boolean acceptsRequests(UpstreamLife upstream) {
     return router.mayReach(now(), upstream);
   }
 
-  /** Whether an upstream limits its requests; on the loop's thread. */
+  /**
+   * Returns whether an incarnation of an upstream has a rate limit. Must be called on the loop's
+   * thread.
+   */
   boolean isRateLimited(UpstreamLife upstream) {
     return router.isRateLimited(upstream);
   }
 
-  /** Applies no more events. */
+  /** Stops applying events. */
   @Override
   public void close() {
     closed = true;
   }
 
-  /** Whether it applies no more events. */
+  /** Returns whether the loop was closed. */
   boolean isClosed() {
     return closed;
   }
 
-  /** Applies an event, after those before it. */
+  /** Applies an event after the events submitted before it. */
   public void submit(RelayEvent event) {
     if (closed) {
       return;
@@ -103,23 +109,23 @@
     applying = true;
     try {
       for (RelayEvent next = queue.poll(); next != null; next = queue.poll()) {
-        resume(next.at());
+        reportSuspension(next.at());
         apply(next);
       }
     } finally {
       applying = false;
     }
-    after.run();
-    arm();
+    afterBatch.run();
+    scheduleTick();
   }
 
-  /** Lets the router know that the machine was suspended before anything else is decided. */
-  private void resume(long at) {
-    long now = clock.suspendedNanos();
-    if (now > suspended) {
-      long since = now - suspended;
-      suspended = now;
-      apply(new RelayEvent.Resumed(at, since));
+  /** Reports a suspension of the machine to the router before the next event is applied. */
+  private void reportSuspension(long at) {
+    long total = clock.suspendedNanos();
+    if (total > suspendedNanos) {
+      long newlySuspended = total - suspendedNanos;
+      suspendedNanos = total;
+      apply(new RelayEvent.Resumed(at, newlySuspended));
     }
   }
 
@@ -131,7 +137,7 @@
     }
   }
 
-  private void arm() {
+  private void scheduleTick() {
     long due = router.nextDue();
     if (due >= timerAt) {
       return;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayRequest.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayRequest.java
@@ -20,9 +20,9 @@
 import org.larkkeel.relay.RelayCall;
 
 /**
- * A caller's request that waits for its answer.
+ * A request of a caller whose answer is not complete.
  *
- * <p>Used on the I/O thread only.
+ * <p>Confined to the I/O thread.
  */
 final class RelayRequest {
   final RelayCall call;
@@ -32,10 +32,10 @@
   final byte[] body;
   final UndertowChannel channel;
 
-  /** The last whole event that the caller got. */
-  OptionalLong lastEvent = OptionalLong.empty();
+  /** The id of the last event that was forwarded to the caller; empty if there is none. */
+  OptionalLong lastEventId = OptionalLong.empty();
 
-  /** Whether the caller has the head of a stream. */
+  /** True if the head of a stream was sent to the caller. */
   boolean headSent;
 
   RelayRequest(
@@ -53,7 +53,12 @@
     this.channel = channel;
   }
 
-  /** A copy of headers without those that concern one connection; with the host if asked for. */
+  /**
+   * Returns a copy of headers without hop-by-hop headers, including those that the {@code
+   * Connection} header names.
+   *
+   * @param withHost whether the {@code Host} header is kept
+   */
   static ImmutableListMultimap<HttpString, String> endToEnd(HeaderMap headers, boolean withHost) {
     Set<String> named = new HashSet<>();
     HeaderValues connection = headers.get(Headers.CONNECTION);
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/SendFacts.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/SendFacts.java
@@ -13,15 +13,16 @@
 import org.larkkeel.relay.RelayUpstream;
 
 /**
- * What an upstream is told beside the request.
+ * The metadata of an attempt that is sent to the upstream with the request.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param upstream the upstream for which it is meant
- * @param purpose what it is to do
- * @param leftMillis how long it may take, at least 1
- * @param resumeAfter the last whole event that the caller got from an earlier run
- * @param workspace for whom the request is; empty if nobody's
+ * @param upstream the upstream to which the request is sent
+ * @param purpose the purpose of the attempt
+ * @param leftMillis the time left for the answer, milliseconds, at least 1
+ * @param resumeAfter the id of the last event that the caller got from an earlier run; empty if
+ *     there is none
+ * @param workspace the workspace of the request; empty if the request has none
  * @since 0.1
  */
 public record SendFacts(
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/package-info.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/package-info.java
@@ -4,5 +4,8 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Opaque requests over HTTP: their listener, their sending to upstreams, and the loop between. */
+/**
+ * Relay of opaque HTTP requests: the listener for callers, the requests to upstreams, and the event
+ * loop of the router.
+ */
 package org.larkkeel.http.relay;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/Attempts.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/Attempts.java
@@ -19,7 +19,8 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * The attempts in progress, and the way of their outcomes to the reducer.
+ * The attempts in progress, and what their steps share: the clients, addresses, clock and event
+ * sink.
  *
  * <p>Safe for use by several threads.
  */
@@ -30,7 +31,7 @@
   private final KnownAddresses addresses;
   private final EventSink events;
   private final LongSupplier clock;
-  private final ConcurrentMap<AttemptId, Running> running = new ConcurrentHashMap<>();
+  private final ConcurrentMap<AttemptId, RunningStep> running = new ConcurrentHashMap<>();
 
   Attempts(
       EngineRequestId.Origin origin,
@@ -46,12 +47,15 @@
     this.clock = clock;
   }
 
-  /** One step of an attempt in progress; identity matters. */
-  static final class Running {
+  /**
+   * A step of an attempt in progress. Steps are compared by identity, as an attempt has several one
+   * after the other.
+   */
+  static final class RunningStep {
     private InFlight call;
     private boolean aborted;
 
-    synchronized void started(InFlight inFlight) {
+    synchronized void setInFlight(InFlight inFlight) {
       call = inFlight;
       if (aborted) {
         inFlight.abort();
@@ -78,33 +82,33 @@
     return addresses;
   }
 
-  EngineRequestId wireId(AttemptId attempt) {
+  EngineRequestId engineRequestId(AttemptId attempt) {
     return new EngineRequestId(origin, attempt);
   }
 
-  Running begin(AttemptId attempt) {
-    Running step = new Running();
+  RunningStep begin(AttemptId attempt) {
+    RunningStep step = new RunningStep();
     running.put(attempt, step);
     return step;
   }
 
-  /** Ends a step and tells its outcome. */
-  void end(AttemptId attempt, Running step, LongFunction<Event> outcome) {
+  /** Removes a step and submits the event with its outcome. */
+  void end(AttemptId attempt, RunningStep step, LongFunction<Event> outcome) {
     running.remove(attempt, step);
-    tell(outcome);
+    submit(outcome);
   }
 
-  void fail(AttemptId attempt, Running step, UpstreamFailure failure, int tokens) {
+  void fail(AttemptId attempt, RunningStep step, UpstreamFailure failure, int tokens) {
     end(attempt, step, at -> failed(at, attempt, failure, tokens));
   }
 
-  void tell(LongFunction<Event> event) {
+  void submit(LongFunction<Event> event) {
     events.accept(event.apply(clock.getAsLong()));
   }
 
-  /** Gives up whatever an attempt is doing. */
+  /** Aborts the current step of an attempt, if any. */
   void abort(AttemptId attempt) {
-    Running step = running.get(attempt);
+    RunningStep step = running.get(attempt);
     if (step != null) {
       step.abort();
     }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/CallerChannel.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/CallerChannel.java
@@ -9,39 +9,39 @@
 import org.larkkeel.http.Problem;
 
 /**
- * The way back to one caller.
+ * Sends the answer of one request to its caller.
  *
- * <p>Safe for use by several threads; no method blocks. Everything after the end, or after the
- * caller has gone, is dropped. Bounded: a caller that takes the answer too slowly is cut off and
- * counts as gone.
+ * <p>Safe for use by several threads; no method blocks. Calls after the end of the answer, or after
+ * the caller has disconnected, have no effect. Buffering is bounded: the connection of a caller
+ * that reads too slowly is closed, and the caller counts as gone.
  *
  * @since 0.1
  */
 public interface CallerChannel {
   /**
-   * Sends a whole answer and ends.
+   * Sends a complete answer.
    *
    * @param answer the answer
    */
   void answer(RecordedAnswer answer);
 
   /**
-   * Sends a part of a stream; the first part starts the answer.
+   * Sends a part of a streamed answer; the first part starts the answer.
    *
-   * @param part the bytes, not to be changed afterwards
+   * @param part the bytes; must not be modified afterwards
    */
   void stream(byte[] part);
 
-  /** Ends a stream. */
+  /** Ends a streamed answer normally. */
   void endStream();
 
   /**
-   * Ends with an error: a problem body, or an error event if the stream has started.
+   * Ends the answer with an error: a problem body, or an error event if a stream has started.
    *
    * @param problem the error
    */
   void refuse(Problem problem);
 
-  /** Drops the connection without an answer. */
+  /** Closes the connection without completing the answer. */
   void drop();
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/Canceller.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/Canceller.java
@@ -15,10 +15,10 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * Frees what upstreams hold for attempts.
+ * Cancels attempts, so that upstreams free what they hold for them.
  *
- * <p>A service has no call to cancel with; closing the connection is all that can be done there.
- * Safe for use by several threads.
+ * <p>A service has no cancel call, so there the connection is closed, and the cancel counts as
+ * acknowledged. Safe for use by several threads.
  */
 final class Canceller {
   private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -34,30 +34,30 @@
   void cancel(Effect.Cancel e) {
     RequestRecord request = table.find(e.request()).orElse(null);
     if (request instanceof CompletionRecord completion) {
-      completion.stop(e.attempt());
+      completion.dropFurtherTokens(e.attempt());
     }
     attempts.abort(e.attempt());
     if (attempts.addresses().isService(e.upstream())) {
-      settle(e.attempt(), CancelOutcome.ACKNOWLEDGED);
+      submitSettled(e.attempt(), CancelOutcome.ACKNOWLEDGED);
       return;
     }
     UpstreamAddress address = attempts.addresses().find(e.upstream()).orElse(null);
     if (address == null) {
-      settle(e.attempt(), CancelOutcome.FAILED);
+      submitSettled(e.attempt(), CancelOutcome.FAILED);
       return;
     }
     attempts
         .engines()
         .cancel(
             address,
-            attempts.wireId(e.attempt()).toString(),
+            attempts.engineRequestId(e.attempt()).toString(),
             TIMEOUT_NANOS,
             new EngineClient.JsonCallback(
-                answer -> settle(e.attempt(), CancelOutcome.ACKNOWLEDGED),
-                f -> settle(e.attempt(), CancelOutcome.FAILED)));
+                answer -> submitSettled(e.attempt(), CancelOutcome.ACKNOWLEDGED),
+                f -> submitSettled(e.attempt(), CancelOutcome.FAILED)));
   }
 
-  private void settle(AttemptId attempt, CancelOutcome outcome) {
-    attempts.tell(at -> new Event.CancelSettled(at, attempt, outcome));
+  private void submitSettled(AttemptId attempt, CancelOutcome outcome) {
+    attempts.submit(at -> new Event.CancelSettled(at, attempt, outcome));
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/CompletionFormat.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/CompletionFormat.java
@@ -17,26 +17,27 @@
 import org.larkkeel.http.upstream.Token;
 
 /**
- * Writes the answer of a completion in the form asked for.
+ * Formats the answer of a completion in the style of the endpoint that was called.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param style the form
+ * @param style the style
  * @param id the id of the answer
- * @param model the model asked for
- * @param createdSeconds when the request arrived, seconds since 1970
+ * @param model the name of the requested model
+ * @param createdSeconds the arrival time of the request, seconds since 1970
  * @since 0.1
  */
 public record CompletionFormat(
     CompletionStyle style, String id, String model, long createdSeconds) {
-  /** The last event of a whole stream. */
-  static final byte[] END = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
+  /** The last event of a complete stream. */
+  static final byte[] DONE_EVENT = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
 
-  private static final String STOP = "stop";
+  private static final String DEFAULT_FINISH_REASON = "stop";
 
-  /** One event of a stream. */
+  /** Returns the stream event of a token. */
   byte[] event(Token token) {
-    ObjectNode root = head(style == CompletionStyle.CHAT ? "chat.completion.chunk" : textObject());
+    ObjectNode root =
+        commonFields(style == CompletionStyle.CHAT ? "chat.completion.chunk" : textObjectType());
     ObjectNode choice = root.putArray("choices").addObject();
     choice.put("index", 0);
     if (style == CompletionStyle.CHAT) {
@@ -50,12 +51,13 @@
     }
     choice.put("token_index", token.index());
     choice.put("finish_reason", token.finishReason().isEmpty() ? null : token.finishReason());
-    return sse(Json.bytes(root));
+    return dataEvent(Json.bytes(root));
   }
 
-  /** The whole answer in one body. */
-  RecordedAnswer whole(String text, String finishReason, int promptTokens, int tokens) {
-    ObjectNode root = head(style == CompletionStyle.CHAT ? "chat.completion" : textObject());
+  /** Returns the complete answer in one body. */
+  RecordedAnswer completeAnswer(String text, String finishReason, int promptTokens, int tokens) {
+    ObjectNode root =
+        commonFields(style == CompletionStyle.CHAT ? "chat.completion" : textObjectType());
     ObjectNode choice = root.putArray("choices").addObject();
     choice.put("index", 0);
     if (style == CompletionStyle.CHAT) {
@@ -63,7 +65,7 @@
     } else {
       choice.put("text", text);
     }
-    choice.put("finish_reason", finishReason.isEmpty() ? STOP : finishReason);
+    choice.put("finish_reason", finishReason.isEmpty() ? DEFAULT_FINISH_REASON : finishReason);
     root.putObject("usage")
         .put("prompt_tokens", promptTokens)
         .put("completion_tokens", tokens)
@@ -74,34 +76,34 @@
         Json.bytes(root));
   }
 
-  /** The one event of a stream that repeats a recorded body. */
-  byte[] replayed(byte[] body) {
+  /** Returns the single content event of a stream that replays a recorded body. */
+  byte[] replayEvent(byte[] body) {
     JsonNode choice;
     try {
       choice = Json.parse(body).path("choices").path(0);
     } catch (IOException e) {
-      throw new UncheckedIOException("a recorded answer is not JSON", e);
+      throw new UncheckedIOException("the recorded answer is not JSON", e);
     }
     JsonNode text = choice.path(style == CompletionStyle.CHAT ? "message" : "text");
     String content = text.isObject() ? text.path("content").asText() : text.asText();
     return event(new Token(0, content, choice.path("finish_reason").asText()));
   }
 
-  private static byte[] sse(byte[] data) {
-    byte[] before = "data: ".getBytes(StandardCharsets.UTF_8);
-    byte[] event = new byte[before.length + data.length + 2];
-    System.arraycopy(before, 0, event, 0, before.length);
-    System.arraycopy(data, 0, event, before.length, data.length);
+  private static byte[] dataEvent(byte[] json) {
+    byte[] prefix = "data: ".getBytes(StandardCharsets.UTF_8);
+    byte[] event = new byte[prefix.length + json.length + 2];
+    System.arraycopy(prefix, 0, event, 0, prefix.length);
+    System.arraycopy(json, 0, event, prefix.length, json.length);
     event[event.length - 2] = '\n';
     event[event.length - 1] = '\n';
     return event;
   }
 
-  private static String textObject() {
+  private static String textObjectType() {
     return "text_completion";
   }
 
-  private ObjectNode head(String object) {
+  private ObjectNode commonFields(String object) {
     ObjectNode root = Json.object();
     root.put("id", id);
     root.put("object", object);
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/CompletionRecord.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/CompletionRecord.java
@@ -16,10 +16,10 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * A completion in progress.
+ * A completion request in progress.
  *
- * <p>Invariants: each token index is passed on exactly once and in order; tokens of an attempt that
- * is not the current one are dropped. Safe for use by several threads.
+ * <p>Invariants: each token index is forwarded at most once and in order, without gaps; tokens of
+ * an attempt that is not the current one are dropped. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -38,21 +38,21 @@
   private int nextToken;
   private boolean complete;
 
-  /** How the answer goes to the caller. */
+  /** How the answer is delivered to the caller. */
   public enum Delivery {
-    /** Token by token. */
+    /** As a stream, token by token. */
     STREAM,
     /** In one body. */
-    WHOLE
+    SINGLE_BODY
   }
 
-  /** What became of a token. */
-  enum Passed {
-    /** Passed on, the first of its attempt or not. */
-    YES,
-    /** Dropped: it was passed on before, or its attempt is no longer current. */
+  /** The result of forwarding a token. */
+  enum ForwardResult {
+    /** Forwarded: it was the next token of the answer. */
+    FORWARDED,
+    /** Dropped: its index was forwarded before, or its attempt is not the current one. */
     DROPPED,
-    /** A token before it is missing. */
+    /** Not forwarded: a token before it is missing. */
     GAP
   }
 
@@ -61,12 +61,12 @@
    *
    * @param call the call
    * @param wireId the id of the request as the caller knows it
-   * @param channel the way back
-   * @param fields what the caller asked for besides prompt and messages; not to be changed
-   *     afterwards
-   * @param prompt the prompt for engines
-   * @param format the form of the answer
-   * @param delivery how the answer goes to the caller
+   * @param channel sends the answer to the caller
+   * @param fields the fields of the request that are forwarded to engines as they are; must not be
+   *     modified afterwards
+   * @param prompt the prompt that engines get
+   * @param format formats the answer
+   * @param delivery how the answer is delivered
    */
   public CompletionRecord(
       Call.Completion call,
@@ -100,7 +100,7 @@
     return channel;
   }
 
-  /** The body for an engine, to be extended. */
+  /** Returns a new request body for an engine, which the caller may extend. */
   ObjectNode engineBody(int priority) {
     ObjectNode body = fields.deepCopy();
     body.put("model", call.model().value());
@@ -110,7 +110,7 @@
     return body;
   }
 
-  synchronized void prefilled(AttemptId prefill, JsonNode params) {
+  synchronized void storeKvParams(AttemptId prefill, JsonNode params) {
     kvParams.put(prefill, params);
   }
 
@@ -119,24 +119,24 @@
   }
 
   /** Makes a decode attempt the current one. */
-  synchronized void start(AttemptId attempt) {
+  synchronized void makeCurrent(AttemptId attempt) {
     current = attempt;
     complete = false;
   }
 
-  /** Makes sure that no further token of an attempt is passed on. */
-  synchronized void stop(AttemptId attempt) {
+  /** Drops all further tokens of an attempt. */
+  synchronized void dropFurtherTokens(AttemptId attempt) {
     if (attempt.equals(current)) {
       current = null;
     }
   }
 
-  synchronized Passed pass(AttemptId attempt, Token token) {
+  synchronized ForwardResult forward(AttemptId attempt, Token token) {
     if (!attempt.equals(current) || token.index() < nextToken) {
-      return Passed.DROPPED;
+      return ForwardResult.DROPPED;
     }
     if (token.index() > nextToken) {
-      return Passed.GAP;
+      return ForwardResult.GAP;
     }
     nextToken++;
     finishReason = token.finishReason();
@@ -146,15 +146,15 @@
     if (delivery == Delivery.STREAM) {
       channel.stream(format.event(token));
     }
-    return Passed.YES;
+    return ForwardResult.FORWARDED;
   }
 
-  /** Marks the answer as whole. */
-  synchronized void finish(AttemptId attempt) {
+  /** Marks the answer as complete if the attempt is the current one. */
+  synchronized void markComplete(AttemptId attempt) {
     complete |= attempt.equals(current);
   }
 
-  synchronized int tokens() {
+  synchronized int tokenCount() {
     return nextToken;
   }
 
@@ -163,35 +163,35 @@
     if (!complete || !attempt.equals(current) || !keepsText()) {
       return Optional.empty();
     }
-    return Optional.of(whole());
+    return Optional.of(completeAnswer());
   }
 
   @Override
   public synchronized void complete(AttemptId attempt) {
     if (delivery == Delivery.STREAM) {
-      channel.stream(CompletionFormat.END);
+      channel.stream(CompletionFormat.DONE_EVENT);
       channel.endStream();
     } else {
-      channel.answer(whole());
+      channel.answer(completeAnswer());
     }
   }
 
   @Override
   public void replay(RecordedAnswer recorded) {
-    if (delivery == Delivery.WHOLE) {
+    if (delivery == Delivery.SINGLE_BODY) {
       channel.answer(recorded);
       return;
     }
-    channel.stream(format.replayed(recorded.body()));
-    channel.stream(CompletionFormat.END);
+    channel.stream(format.replayEvent(recorded.body()));
+    channel.stream(CompletionFormat.DONE_EVENT);
     channel.endStream();
   }
 
-  private RecordedAnswer whole() {
-    return format.whole(text.toString(), finishReason, call.prompt(), nextToken);
+  private RecordedAnswer completeAnswer() {
+    return format.completeAnswer(text.toString(), finishReason, call.prompt(), nextToken);
   }
 
   private boolean keepsText() {
-    return delivery == Delivery.WHOLE || call.runKey().isPresent();
+    return delivery == Delivery.SINGLE_BODY || call.runKey().isPresent();
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/CompletionStyle.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/CompletionStyle.java
@@ -7,13 +7,13 @@
 package org.larkkeel.http.request;
 
 /**
- * The form of a completion's answer.
+ * The style of a completion's answer.
  *
  * @since 0.1
  */
 public enum CompletionStyle {
-  /** As {@code /v1/completions} answers. */
+  /** The style of {@code /v1/completions}. */
   TEXT,
-  /** As {@code /v1/chat/completions} answers. */
+  /** The style of {@code /v1/chat/completions}. */
   CHAT
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/DecodeAttempt.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/DecodeAttempt.java
@@ -7,25 +7,25 @@
 package org.larkkeel.http.request;
 
 import org.larkkeel.event.Event;
-import org.larkkeel.http.request.Attempts.Running;
+import org.larkkeel.http.request.Attempts.RunningStep;
 import org.larkkeel.http.upstream.Token;
 import org.larkkeel.http.upstream.TokenStream;
 import org.larkkeel.http.upstream.UpstreamFailure;
 import org.larkkeel.lib.AttemptId;
 
 /**
- * Passes the tokens of one decode attempt on.
+ * Forwards the tokens of one decode attempt to the caller and submits its events.
  *
- * <p>Used on one I/O thread.
+ * <p>Confined to one I/O thread.
  */
 final class DecodeAttempt implements TokenStream {
   private final Attempts attempts;
   private final AttemptId attempt;
-  private final Running step;
+  private final RunningStep step;
   private final CompletionRecord request;
-  private boolean passedOne;
+  private boolean firstTokenReported;
 
-  DecodeAttempt(Attempts attempts, AttemptId attempt, Running step, CompletionRecord request) {
+  DecodeAttempt(Attempts attempts, AttemptId attempt, RunningStep step, CompletionRecord request) {
     this.attempts = attempts;
     this.attempt = attempt;
     this.step = step;
@@ -34,23 +34,23 @@
 
   @Override
   public boolean onToken(Token token) {
-    CompletionRecord.Passed passed = request.pass(attempt, token);
-    if (passed == CompletionRecord.Passed.YES && !passedOne) {
-      passedOne = true;
-      attempts.tell(at -> new Event.FirstToken(at, attempt));
+    CompletionRecord.ForwardResult result = request.forward(attempt, token);
+    if (result == CompletionRecord.ForwardResult.FORWARDED && !firstTokenReported) {
+      firstTokenReported = true;
+      attempts.submit(at -> new Event.FirstToken(at, attempt));
     }
-    return passed != CompletionRecord.Passed.GAP;
+    return result != CompletionRecord.ForwardResult.GAP;
   }
 
   @Override
   public void onDone() {
-    request.finish(attempt);
-    attempts.end(attempt, step, at -> new Event.DecodeDone(at, attempt, request.tokens()));
+    request.markComplete(attempt);
+    attempts.end(attempt, step, at -> new Event.DecodeDone(at, attempt, request.tokenCount()));
   }
 
   @Override
   public void onFailure(UpstreamFailure failure) {
-    request.stop(attempt);
-    attempts.fail(attempt, step, failure, request.tokens());
+    request.dropFurtherTokens(attempt);
+    attempts.fail(attempt, step, failure, request.tokenCount());
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/EffectExecutor.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/EffectExecutor.java
@@ -17,9 +17,9 @@
 /**
  * Executes the effects that concern callers and upstreams.
  *
- * <p>Each effect on an attempt comes back as exactly one event with its outcome, timeouts included;
- * a decode also brings {@code FirstToken}. Safe for use by several threads; no method blocks.
- * Effects on one request must be given in the order of their decision.
+ * <p>Each effect on an attempt leads to exactly one event with its outcome, timeouts included; a
+ * decode also leads to {@code FirstToken}. Safe for use by several threads; no method blocks. The
+ * effects on one request must be executed in the order in which the reducer decided them.
  *
  * @since 0.1
  */
@@ -31,12 +31,12 @@
   /**
    * Creates an executor.
    *
-   * @param origin this start of this node
-   * @param table the requests
+   * @param origin the host and incarnation of this node
+   * @param table the requests in progress
    * @param client sends requests to upstreams
-   * @param directory finds upstreams
-   * @param events takes the outcomes
-   * @param clock the node's monotonic clock, nanoseconds
+   * @param directory finds the addresses of upstreams
+   * @param events receives the outcomes
+   * @param clock the monotonic clock of the node, nanoseconds
    */
   public EffectExecutor(
       EngineRequestId.Origin origin,
@@ -55,7 +55,7 @@
    * Executes an effect.
    *
    * @param effect the effect
-   * @return false if the effect is not one of this adapter; nothing was done then
+   * @return false if the effect concerns neither callers nor upstreams; nothing was done then
    */
   public boolean execute(Effect effect) {
     switch (effect) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/EventSink.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/EventSink.java
@@ -9,7 +9,7 @@
 import org.larkkeel.event.Event;
 
 /**
- * Takes events for the reducer.
+ * Receives events for the reducer.
  *
  * <p>Called from several threads at once; must be thread-safe and should not block. Each event
  * carries the time at which its producer read the clock, so events of different threads may arrive
@@ -20,9 +20,9 @@
 @FunctionalInterface
 public interface EventSink {
   /**
-   * Takes one event.
+   * Accepts an event.
    *
-   * @param event the event, never null
+   * @param event the event; never null
    */
   void accept(Event event);
 }
