--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/KnownAddresses.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/KnownAddresses.java
@@ -15,14 +15,15 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Remembers the last address of each upstream that was used, so that what it holds can be cancelled
- * after it has left the configuration, and which upstreams are services, which know no cancel.
+ * The last known address of each upstream that was used, so that attempts can be cancelled after
+ * the upstream has been removed from the configuration. Also records which upstreams are services,
+ * which have no cancel call.
  *
  * <p>Safe for use by several threads.
  */
 final class KnownAddresses {
   private final UpstreamDirectory directory;
-  private final ConcurrentMap<UpstreamName, UpstreamAddress> last = new ConcurrentHashMap<>();
+  private final ConcurrentMap<UpstreamName, UpstreamAddress> lastKnown = new ConcurrentHashMap<>();
   private final Set<UpstreamName> services = ConcurrentHashMap.newKeySet();
 
   KnownAddresses(UpstreamDirectory directory) {
@@ -30,17 +31,17 @@
   }
 
   Optional<UpstreamAddress> find(UpstreamName name) {
-    Optional<UpstreamAddress> now = directory.find(name);
-    now.ifPresent(a -> last.put(name, a));
-    return now.or(() -> Optional.ofNullable(last.get(name)));
+    Optional<UpstreamAddress> current = directory.find(name);
+    current.ifPresent(a -> lastKnown.put(name, a));
+    return current.or(() -> Optional.ofNullable(lastKnown.get(name)));
   }
 
-  /** Notes that an upstream takes plain calls. */
+  /** Records that an upstream is a service. */
   void markService(UpstreamName name) {
     services.add(name);
   }
 
-  /** Tells whether an upstream has taken plain calls. */
+  /** Returns whether plain calls were sent to an upstream. */
   boolean isService(UpstreamName name) {
     return services.contains(name);
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/PlainRecord.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/PlainRecord.java
@@ -16,7 +16,7 @@
 /**
  * A plain call in progress.
  *
- * <p>Invariant: only the answer of the attempt that was started last is kept. Safe for use by
+ * <p>Invariant: only the answer of the attempt that was started last is stored. Safe for use by
  * several threads.
  *
  * @since 0.1
@@ -34,8 +34,8 @@
    *
    * @param call the call
    * @param wireId the id of the request as the caller knows it
-   * @param channel the way back
-   * @param request what to send to a service, without the request id
+   * @param channel sends the answer to the caller
+   * @param request the request to send to a service, without the request id
    */
   public PlainRecord(
       Call.Plain call, String wireId, CallerChannel channel, UpstreamRequest request) {
@@ -64,14 +64,14 @@
     return request;
   }
 
-  synchronized void start(AttemptId attempt) {
+  synchronized void makeCurrent(AttemptId attempt) {
     current = attempt;
     answer = null;
   }
 
-  synchronized void received(AttemptId attempt, RecordedAnswer whole) {
+  synchronized void storeAnswer(AttemptId attempt, RecordedAnswer received) {
     if (attempt.equals(current)) {
-      answer = whole;
+      answer = received;
     }
   }
 
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/PlainSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/PlainSender.java
@@ -15,7 +15,7 @@
 import org.larkkeel.event.Event;
 import org.larkkeel.http.HeaderNames;
 import org.larkkeel.http.HopHeaders;
-import org.larkkeel.http.request.Attempts.Running;
+import org.larkkeel.http.request.Attempts.RunningStep;
 import org.larkkeel.http.upstream.AnswerTimeout;
 import org.larkkeel.http.upstream.ConnectionUse;
 import org.larkkeel.http.upstream.Refusals;
@@ -24,13 +24,14 @@
 import org.larkkeel.http.upstream.WholeAnswer;
 
 /**
- * Sends plain calls and collects their answers.
+ * Sends plain calls to services and collects their answers.
  *
- * <p>Every answer of the service goes to the caller as it is, but for those which say that the
- * service itself was not reached or not able. Safe for use by several threads.
+ * <p>An answer is delivered to the caller unchanged, except for the statuses 502, 503 and 504,
+ * which mean that the service was not reached or not able to answer; these fail the attempt. Safe
+ * for use by several threads.
  */
 final class PlainSender {
-  private static final ImmutableSet<Integer> UNABLE =
+  private static final ImmutableSet<Integer> UNAVAILABLE_STATUSES =
       ImmutableSet.of(
           StatusCodes.BAD_GATEWAY, StatusCodes.SERVICE_UNAVAILABLE, StatusCodes.GATEWAY_TIME_OUT);
 
@@ -42,27 +43,27 @@
 
   void send(Effect.SendPlain e, PlainRecord request, UpstreamAddress address) {
     attempts.addresses().markService(e.upstream());
-    Running step = attempts.begin(e.attempt());
-    request.start(e.attempt());
+    RunningStep step = attempts.begin(e.attempt());
+    request.makeCurrent(e.attempt());
     WholeAnswer collector =
         new WholeAnswer(
             attempts.client().settings().maxAnswerBytes(),
             a -> answered(e, step, request, a),
             f -> attempts.fail(e.attempt(), step, f, 0));
-    step.started(
+    step.setInFlight(
         attempts
             .client()
             .send(
                 address,
-                withId(request.request(), attempts.wireId(e.attempt()).toString()),
+                withRequestId(request.request(), attempts.engineRequestId(e.attempt()).toString()),
                 AnswerTimeout.whole(e.timeoutNanos()),
                 ConnectionUse.REQUEST,
                 collector));
   }
 
   private void answered(
-      Effect.SendPlain e, Running step, PlainRecord request, WholeAnswer.Answer answer) {
-    if (UNABLE.contains(answer.status())) {
+      Effect.SendPlain e, RunningStep step, PlainRecord request, WholeAnswer.Answer answer) {
+    if (UNAVAILABLE_STATUSES.contains(answer.status())) {
       attempts.fail(e.attempt(), step, Refusals.ofService(answer), 0);
       return;
     }
@@ -71,12 +72,12 @@
         .filter(h -> !HopHeaders.isHop(h.getKey()))
         .filter(h -> !h.getKey().equals(HeaderNames.REQUEST_ID))
         .forEach(h -> headers.add(new RecordedAnswer.Header(h.getKey().toString(), h.getValue())));
-    request.received(
+    request.storeAnswer(
         e.attempt(), new RecordedAnswer(answer.status(), headers.build(), answer.body()));
     attempts.end(e.attempt(), step, at -> new Event.PlainDone(at, e.attempt()));
   }
 
-  private static UpstreamRequest withId(UpstreamRequest request, String id) {
+  private static UpstreamRequest withRequestId(UpstreamRequest request, String id) {
     ImmutableListMultimap<HttpString, String> headers =
         ImmutableListMultimap.<HttpString, String>builder()
             .putAll(request.headers())
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/RecordedAnswer.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/RecordedAnswer.java
@@ -14,28 +14,28 @@
 import org.larkkeel.http.Json;
 
 /**
- * A whole answer as it goes to a caller, and as it is recorded for a later request with the same
- * key.
+ * A complete answer, as it is sent to a caller and recorded for later requests with the same
+ * idempotency key.
  *
- * <p>Immutable as long as nobody writes to the body; safe for use by several threads.
+ * <p>Immutable provided that nobody writes to the body; safe for use by several threads.
  *
  * @param status the status code
- * @param headers the headers, without those of the connection
- * @param body the body, not to be changed
+ * @param headers the headers, without hop-by-hop headers
+ * @param body the body; must not be modified
  * @since 0.1
  */
-@SuppressWarnings("ArrayRecordComponent") // The bytes are handed on and never changed.
+@SuppressWarnings("ArrayRecordComponent") // The array is passed on and never modified.
 public record RecordedAnswer(int status, ImmutableList<Header> headers, byte[] body) {
   /**
    * A header.
    *
-   * @param name its name
-   * @param value its value
+   * @param name the name
+   * @param value the value
    */
   public record Header(String name, String value) {}
 
   /**
-   * Writes the answer for keeping.
+   * Serializes the answer for storage.
    *
    * @return a JSON object in UTF-8
    */
@@ -49,11 +49,11 @@
   }
 
   /**
-   * Reads a kept answer.
+   * Parses a stored answer.
    *
-   * @param bytes what {@link #toBytes} wrote
+   * @param bytes the result of {@link #toBytes}
    * @return the answer
-   * @throws IOException if the bytes are something else
+   * @throws IOException if the bytes are not a stored answer
    */
   public static RecordedAnswer fromBytes(byte[] bytes) throws IOException {
     JsonNode root = Json.parse(bytes);
@@ -63,7 +63,7 @@
     }
     byte[] body = root.path("body").binaryValue();
     if (body == null || !root.path("status").isInt()) {
-      throw new IOException("a recorded answer has no status or body");
+      throw new IOException("the recorded answer has no integer status or no base64 body");
     }
     return new RecordedAnswer(root.path("status").asInt(), headers.build(), body);
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/RequestRecord.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/RequestRecord.java
@@ -12,7 +12,7 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * What the adapter keeps of one request in progress.
+ * The state of one request in progress, outside the reducer.
  *
  * <p>Safe for use by several threads.
  *
@@ -20,50 +20,50 @@
  */
 public sealed interface RequestRecord permits CompletionRecord, PlainRecord {
   /**
-   * The request as the reducer sees it.
+   * Returns the request as the reducer sees it.
    *
    * @return the call
    */
   Call call();
 
   /**
-   * The id of the request as the caller knows it.
+   * Returns the id of the request as the caller knows it.
    *
    * @return the value of {@code X-Request-Id}
    */
   String wireId();
 
   /**
-   * The way back to the caller.
+   * Returns the channel to the caller.
    *
    * @return the channel
    */
   CallerChannel channel();
 
   /**
-   * The whole answer of an attempt.
+   * Returns the complete answer of an attempt.
    *
    * @param attempt the attempt
-   * @return the answer; empty unless that attempt was the last to complete it
+   * @return the answer; empty if it is incomplete or not kept, or if a later attempt has started
    */
   Optional<RecordedAnswer> answer(AttemptId attempt);
 
   /**
-   * Ends the answer to the caller.
+   * Completes the answer to the caller.
    *
-   * @param attempt the attempt whose answer counts
+   * @param attempt the attempt whose answer is delivered
    */
   void complete(AttemptId attempt);
 
   /**
-   * Answers with what an earlier run recorded.
+   * Answers the caller with the recorded answer of an earlier run.
    *
    * @param recorded the recorded answer
    */
   void replay(RecordedAnswer recorded);
 
   /**
-   * Answers with an error.
+   * Answers the caller with an error.
    *
    * @param problem the error
    */
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/RequestTable.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/RequestTable.java
@@ -14,10 +14,10 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * The requests of callers that are in progress on this node.
+ * The requests in progress on this node.
  *
- * <p>Invariant: a request is in the table from before its arrival is told to the reducer until the
- * last effect on it. Safe for use by several threads.
+ * <p>Invariant: a request is added before its arrival is submitted to the reducer and removed with
+ * the last effect on it. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -27,9 +27,9 @@
   private final AtomicLong lastId = new AtomicLong();
 
   /**
-   * Makes the id of a new request.
+   * Creates the id of a new request.
    *
-   * @return an id that is unique in this process
+   * @return an id that is unique within this process
    */
   public RequestId nextId() {
     return new RequestId(lastId.incrementAndGet());
@@ -38,7 +38,7 @@
   /**
    * Adds a request.
    *
-   * @param request its record
+   * @param request the record of the request
    */
   public void add(RequestRecord request) {
     records.put(request.call().id(), request);
@@ -47,18 +47,18 @@
   /**
    * Finds a request.
    *
-   * @param id its id
-   * @return the record; empty if it has ended
+   * @param id the id of the request
+   * @return the record; empty if the request has ended
    */
   public Optional<RequestRecord> find(RequestId id) {
     return Optional.ofNullable(records.get(id));
   }
 
   /**
-   * Takes a request out of the table.
+   * Removes a request.
    *
-   * @param id its id
-   * @return the record; empty if it had ended before
+   * @param id the id of the request
+   * @return the record; empty if the request had ended before
    */
   public Optional<RequestRecord> remove(RequestId id) {
     recorded.remove(id);
@@ -66,28 +66,28 @@
   }
 
   /**
-   * Counts the requests.
+   * Returns the number of requests in progress.
    *
-   * @return requests in progress
+   * @return the number of requests
    */
   public int size() {
     return records.size();
   }
 
   /**
-   * The whole answer of an attempt, to be recorded for later requests with the same key.
+   * Returns the complete answer of an attempt, to be recorded for later requests with the same key.
    *
    * @param request the request
    * @param attempt the attempt that ran
-   * @return the answer; empty if it is not at hand
+   * @return the answer; empty if it is not available
    */
   public Optional<RecordedAnswer> answer(RequestId request, AttemptId attempt) {
     return find(request).flatMap(r -> r.answer(attempt));
   }
 
   /**
-   * Keeps the answer of an earlier run at hand for {@code Replay}. To be called before the claim is
-   * told to the reducer.
+   * Stores the answer of an earlier run for {@code Effect.Replay}. Must be called before the result
+   * of the claim is submitted to the reducer. Does nothing if the request has ended.
    *
    * @param request the request
    * @param answer the recorded answer
@@ -98,7 +98,7 @@
     }
   }
 
-  /** The recorded answer that was kept for a request. */
+  /** Returns the answer stored by {@link #keepRecorded}. */
   Optional<RecordedAnswer> recorded(RequestId request) {
     return Optional.ofNullable(recorded.get(request));
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/package-info.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/package-info.java
@@ -1,2 +1,2 @@
-/** The requests of callers while they are in progress, and the execution of effects on them. */
+/** The requests in progress, and the execution of effects on them. */
 package org.larkkeel.http.request;
