--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/operator/FakeOperatorService.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/operator/FakeOperatorService.java
@@ -21,7 +21,7 @@
 import org.larkkeel.lib.Revision;
 import org.larkkeel.lib.UpstreamName;
 
-/** A node without a log: keeps changes in memory. Safe for use by several threads. */
+/** An {@link OperatorService} that keeps changes in memory. Safe for use by several threads. */
 final class FakeOperatorService implements OperatorService {
   static final NodeStatus STATUS =
       new NodeStatus(
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/operator/OperatorApiTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/operator/OperatorApiTest.java
@@ -46,10 +46,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link OperatorApi}. */
+/** Tests of {@link OperatorApi} over HTTP, with a {@link FakeOperatorService}. */
 public class OperatorApiTest {
-  private static final String VIEWER = "viewer-secret";
-  private static final String OPERATOR = "operator-secret";
+  private static final String VIEWER_TOKEN = "viewer-secret";
+  private static final String OPERATOR_TOKEN = "operator-secret";
   private static final long NOW = 1_234;
   private static final Workspace WORKSPACE =
       new Workspace(new WorkspaceName("w"), Labels.NONE, Limits.NONE, Optional.empty());
@@ -69,8 +69,9 @@
       OperatorTokens tokens =
           new OperatorTokens(
               ImmutableMap.of(
-                  OperatorTokens.sha256(VIEWER), new Principal("vera", OperatorRole.VIEWER),
-                  OperatorTokens.sha256(OPERATOR), new Principal("ana", OperatorRole.OPERATOR)));
+                  OperatorTokens.sha256(VIEWER_TOKEN), new Principal("vera", OperatorRole.VIEWER),
+                  OperatorTokens.sha256(OPERATOR_TOKEN),
+                      new Principal("ana", OperatorRole.OPERATOR)));
       InstantSource clock = InstantSource.fixed(Instant.ofEpochMilli(NOW));
       server =
           Undertow.builder()
@@ -130,24 +131,24 @@
         new ChangeId(id), "forged", 1, "why", new Revision(base), ImmutableList.of(operation));
   }
 
-  /** Tokens and roles. */
+  /** Authentication and authorisation by tokens and roles. */
   public static class Access extends Fixture {
-    /** Token, method, path and the expected status. */
+    /** Returns token, method, path and the expected status. */
     @DataProvider
     public Object[][] requests() {
       return new Object[][] {
         {"unknown", "GET", OperatorPaths.STATUS, 401},
         {"", "GET", OperatorPaths.CONFIGURATION, 401},
-        {VIEWER, "GET", OperatorPaths.STATUS, 200},
-        {VIEWER, "POST", OperatorPaths.DRAIN, 403},
-        {VIEWER, "POST", OperatorPaths.CHANGES, 403},
-        {VIEWER, "POST", OperatorPaths.CHANGES + "?dryRun=true", 422},
-        {OPERATOR, "POST", OperatorPaths.DRAIN, 200},
-        {OPERATOR, "POST", OperatorPaths.CHANGES + "?dryRun=maybe", 400},
-        {OPERATOR, "GET", OperatorPaths.CHANGES + "?limit=0", 400},
-        {OPERATOR, "GET", OperatorPaths.EXPLANATION + "?workspace=w", 400},
-        {OPERATOR, "GET", "/operator/v1/none", 404},
-        {OPERATOR, "GET", OperatorPaths.DRAIN, 405},
+        {VIEWER_TOKEN, "GET", OperatorPaths.STATUS, 200},
+        {VIEWER_TOKEN, "POST", OperatorPaths.DRAIN, 403},
+        {VIEWER_TOKEN, "POST", OperatorPaths.CHANGES, 403},
+        {VIEWER_TOKEN, "POST", OperatorPaths.CHANGES + "?dryRun=true", 422},
+        {OPERATOR_TOKEN, "POST", OperatorPaths.DRAIN, 200},
+        {OPERATOR_TOKEN, "POST", OperatorPaths.CHANGES + "?dryRun=maybe", 400},
+        {OPERATOR_TOKEN, "GET", OperatorPaths.CHANGES + "?limit=0", 400},
+        {OPERATOR_TOKEN, "GET", OperatorPaths.EXPLANATION + "?workspace=w", 400},
+        {OPERATOR_TOKEN, "GET", "/operator/v1/none", 404},
+        {OPERATOR_TOKEN, "GET", OperatorPaths.DRAIN, 405},
       };
     }
 
@@ -172,7 +173,7 @@
       ListAppender<ILoggingEvent> appender = new ListAppender<>();
       appender.start();
       logger.addAppender(appender);
-      get(OPERATOR, OperatorPaths.STATUS);
+      get(OPERATOR_TOKEN, OperatorPaths.STATUS);
       get("wrong-secret", OperatorPaths.STATUS);
       logger.detachAppender(appender);
       logger.setLevel(null);
@@ -181,26 +182,26 @@
     }
   }
 
-  /** Proposals. */
+  /** Proposals of changes: accepted, conflicting, invalid and failed ones. */
   public static class Proposals extends Fixture {
     private static final Operation PUT = new Operation.Put(WORKSPACE);
 
     @Test
     public void authorAndTimeComeFromTheServer() {
-      HttpResponse<byte[]> response = propose(OPERATOR, "", change("a", 0, PUT));
+      HttpResponse<byte[]> response = propose(OPERATOR_TOKEN, "", change("a", 0, PUT));
       assertEquals(read(response, ProposalOutcome.Accepted.class).revision(), new Revision(1));
-      AuditPage audit = read(get(VIEWER, OperatorPaths.CHANGES), AuditPage.class);
+      AuditPage audit = read(get(VIEWER_TOKEN, OperatorPaths.CHANGES), AuditPage.class);
       Change signed = audit.entries().getFirst().change();
       assertEquals(signed, change("a", 0, PUT).signedBy("ana", NOW));
-      Configuration now = read(get(VIEWER, OperatorPaths.CONFIGURATION), Configuration.class);
+      Configuration now = read(get(VIEWER_TOKEN, OperatorPaths.CONFIGURATION), Configuration.class);
       assertEquals(now.workspaces().get(WORKSPACE.name()), WORKSPACE);
       assertEquals(now.revision(), new Revision(1));
     }
 
     @Test
     public void conflictNamesTheOtherChange() {
-      propose(OPERATOR, "", change("first", 0, PUT));
-      HttpResponse<byte[]> response = propose(OPERATOR, "", change("second", 0, PUT));
+      propose(OPERATOR_TOKEN, "", change("first", 0, PUT));
+      HttpResponse<byte[]> response = propose(OPERATOR_TOKEN, "", change("second", 0, PUT));
       assertEquals(response.statusCode(), 409);
       ProblemDocument problem = read(response, ProblemDocument.class);
       assertEquals(problem.conflicts().getFirst().change().id(), new ChangeId("first"));
@@ -209,8 +210,8 @@
 
     @Test
     public void dryRunChangesNothing() {
-      assertEquals(propose(VIEWER, "?dryRun=true", change("a", 0, PUT)).statusCode(), 200);
-      Configuration now = read(get(VIEWER, OperatorPaths.CONFIGURATION), Configuration.class);
+      assertEquals(propose(VIEWER_TOKEN, "?dryRun=true", change("a", 0, PUT)).statusCode(), 200);
+      Configuration now = read(get(VIEWER_TOKEN, OperatorPaths.CONFIGURATION), Configuration.class);
       assertEquals(now, Configuration.EMPTY);
     }
 
@@ -218,39 +219,41 @@
     public void refusalListsEveryProblem() {
       ObjectId none = new ObjectId(ObjectKind.POOL, "none");
       HttpResponse<byte[]> response =
-          propose(OPERATOR, "", change("a", 0, new Operation.Delete(none)));
+          propose(OPERATOR_TOKEN, "", change("a", 0, new Operation.Delete(none)));
       assertEquals(response.statusCode(), 422);
       assertEquals(
           read(response, ProblemDocument.class).problems().all().getFirst().path(), none.path());
     }
 
     @Test
-    public void outageIsToldWithTimeToComeBack() {
+    public void outageIsReportedWithRetryAfter() {
       service.failWith(new LarkkeelException(ErrorKind.STORE_UNAVAILABLE, "the log is down"));
-      HttpResponse<byte[]> response = propose(OPERATOR, "", change("a", 0, PUT));
+      HttpResponse<byte[]> response = propose(OPERATOR_TOKEN, "", change("a", 0, PUT));
       assertEquals(response.statusCode(), 503);
       assertEquals(response.headers().firstValue("Retry-After"), Optional.of("1"));
       assertEquals(read(response, ProblemDocument.class).detail(), "the log is down");
     }
 
     @Test
-    public void tooLargeBodyIsRefused() {
+    public void oversizedBodyIsRejected() {
       String body = "{\"reason\": \"" + "x".repeat(1 << 20) + "\"}";
-      assertEquals(post(OPERATOR, OperatorPaths.CHANGES, body).statusCode(), 413);
+      assertEquals(post(OPERATOR_TOKEN, OperatorPaths.CHANGES, body).statusCode(), 413);
     }
   }
 
-  /** Reading. */
+  /** Records that a client reads back from their JSON bodies. */
   public static class Reads extends Fixture {
     @Test
     public void recordsReadBackEqual() {
       assertEquals(
-          read(get(VIEWER, OperatorPaths.STATUS), NodeStatus.class), FakeOperatorService.STATUS);
+          read(get(VIEWER_TOKEN, OperatorPaths.STATUS), NodeStatus.class),
+          FakeOperatorService.STATUS);
       String explain = OperatorPaths.EXPLANATION + "?workspace=w&model=m";
       assertEquals(
-          read(get(VIEWER, explain), RouteExplanation.class), FakeOperatorService.EXPLANATION);
+          read(get(VIEWER_TOKEN, explain), RouteExplanation.class),
+          FakeOperatorService.EXPLANATION);
       RolloutStatus rollout =
-          read(get(VIEWER, OperatorPaths.ROLLOUT + "?revision=5"), RolloutStatus.class);
+          read(get(VIEWER_TOKEN, OperatorPaths.ROLLOUT + "?revision=5"), RolloutStatus.class);
       assertEquals(rollout, service.rollout(new Revision(5)).join());
       assertFalse(rollout.isComplete());
     }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/AuditPage.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/AuditPage.java
@@ -11,16 +11,16 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * A part of the log of accepted changes.
+ * One page of the log of accepted changes.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param entries by ascending revision
- * @param next where the next page begins; {@link Revision#NONE} if this is the last
+ * @param entries the accepted changes, by ascending revision
+ * @param next the first revision of the next page; {@link Revision#NONE} if this is the last page
  * @since 0.1
  */
 public record AuditPage(List<Entry> entries, Revision next) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public AuditPage {
     entries = List.copyOf(entries);
   }
@@ -28,7 +28,7 @@
   /**
    * One accepted change.
    *
-   * @param revision the revision that it made
+   * @param revision the revision that the change produced
    * @param change the change
    */
   public record Entry(Revision revision, Change change) {}
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/DryRun.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/DryRun.java
@@ -7,12 +7,12 @@
 package org.larkkeel.http.operator;
 
 /**
- * Whether a proposal is carried out.
+ * Selects whether a proposed change is applied or only checked.
  *
  * @since 0.1
  */
 public enum DryRun {
-  /** The change is checked and accepted. */
+  /** The change is checked and, if it is valid, accepted. */
   NO,
   /** The change is only checked. */
   YES
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/Endpoint.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/Endpoint.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** The operations of the API by method and path. */
+/** The operations of the operators' API, each with its method, path and required role. */
 enum Endpoint {
   CONFIGURATION(Methods.GET_STRING, OperatorPaths.CONFIGURATION, OperatorRole.VIEWER),
   AUDIT(Methods.GET_STRING, OperatorPaths.CHANGES, OperatorRole.VIEWER),
@@ -24,17 +24,17 @@
 
   private final String method;
   private final String path;
-  private final OperatorRole role;
+  private final OperatorRole requiredRole;
 
   Endpoint(String method, String path, OperatorRole role) {
     this.method = method;
     this.path = path;
-    this.role = role;
+    this.requiredRole = role;
   }
 
-  /** The role needed; a check of a change needs no more than reading. */
-  OperatorRole role(DryRun dryRun) {
-    return this == PROPOSE && dryRun == DryRun.YES ? OperatorRole.VIEWER : role;
+  /** Returns the required role; a dry run of a change only requires the role for reading. */
+  OperatorRole requiredRole(DryRun dryRun) {
+    return this == PROPOSE && dryRun == DryRun.YES ? OperatorRole.VIEWER : requiredRole;
   }
 
   static Optional<Endpoint> find(HttpString method, String path) {
@@ -43,8 +43,8 @@
         .findFirst();
   }
 
-  /** The methods of a path for {@code Allow}; empty if there is no such path. */
-  static String methods(String path) {
+  /** Returns the value of {@code Allow} for a path; empty if the path does not exist. */
+  static String allowedMethods(String path) {
     return Arrays.stream(values())
         .filter(e -> e.path.equals(path))
         .map(e -> e.method)
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/ExplainRequest.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/ExplainRequest.java
@@ -11,22 +11,23 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Describes a request that is not run.
+ * A request whose routing is to be explained; it is not executed.
  *
- * <p>Invariant: it has either a model or a path. Immutable and safe for use by several threads.
+ * <p>Invariant: either the model or the path is present. Immutable and safe for use by several
+ * threads.
  *
- * @param model the model of a completion, empty for a plain call
- * @param path the path of a plain call, empty for a completion
+ * @param model the model of a completion; empty for a plain call
+ * @param path the path of a plain call; empty for a completion
  * @param workspace the caller's workspace
- * @param promptTokens the length of the prompt, at least 1; of no meaning for a plain call
+ * @param promptTokens the length of the prompt in tokens, at least 1; ignored for a plain call
  * @since 0.1
  */
 public record ExplainRequest(
     Optional<ModelName> model, Optional<String> path, WorkspaceName workspace, int promptTokens) {
-  /** The length of a prompt if none is given. */
+  /** The prompt length in tokens that is assumed if none is given. */
   public static final int DEFAULT_PROMPT_TOKENS = 1000;
 
-  /** Checks that there is one of model and path. */
+  /** Checks that exactly one of model and path is present and that the prompt is not empty. */
   public ExplainRequest {
     if (model.isPresent() == path.isPresent()) {
       throw new IllegalArgumentException("give either a model or a path");
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/LimitStatus.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/LimitStatus.java
@@ -9,27 +9,27 @@
 import java.util.List;
 
 /**
- * The limits of requests that upstreams name, as one node knows them.
+ * The rate limits announced by upstreams, as known to one node.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param limits one for each upstream that has one
+ * @param limits one entry for each upstream with a known limit
  * @since 0.1
  */
 public record LimitStatus(List<Entry> limits) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public LimitStatus {
     limits = List.copyOf(limits);
   }
 
   /**
-   * One upstream.
+   * The rate limit of one upstream.
    *
-   * @param upstream its name
-   * @param start the start of its life
-   * @param perSecond the requests a second that it takes of all nodes
-   * @param ageMillis how long ago an answer has shown it, at the latest
-   * @param sent requests of this node since it has known a limit
+   * @param upstream the name of the upstream
+   * @param start the incarnation of the upstream
+   * @param perSecond the maximum number of requests per second, summed over all nodes
+   * @param ageMillis an upper bound of the time since a response last showed this limit
+   * @param sent the number of requests that this node has sent since it first knew a limit
    */
   public record Entry(String upstream, long start, double perSecond, long ageMillis, long sent) {}
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/NodeStatus.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/NodeStatus.java
@@ -14,20 +14,20 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * The state of one node.
+ * The state of one node, as reported by the node itself.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param host the host
+ * @param host the host of the node
  * @param dataCentre its data centre
- * @param incarnation the start of its process
- * @param phase whether it takes requests
+ * @param incarnation the incarnation of its process
+ * @param phase whether the node accepts requests
  * @param revision the configuration in force
- * @param store whether the object API answers
- * @param liveNodes nodes that it believes live, itself included
- * @param requests requests in progress, those that wait included
- * @param queued requests that wait for an upstream
- * @param upstreams one line an upstream, in order of name
+ * @param store whether the object API responds
+ * @param liveNodes the number of nodes that this node considers live, including itself
+ * @param requests the number of requests in progress, including queued ones
+ * @param queued the number of requests that wait for an upstream
+ * @param upstreams one entry per upstream, ordered by name
  * @since 0.1
  */
 public record NodeStatus(
@@ -41,53 +41,53 @@
     int requests,
     int queued,
     List<UpstreamStatus> upstreams) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public NodeStatus {
     upstreams = List.copyOf(upstreams);
   }
 
-  /** Whether a node takes requests. */
+  /** The phase of a node, which determines whether it accepts requests. */
   public enum Phase {
-    /** It has no configuration yet. */
+    /** The node has no configuration yet. */
     STARTING,
-    /** It takes requests. */
+    /** The node accepts requests. */
     READY,
-    /** It is cut off and takes no requests. */
+    /** The node is partitioned from the object API and all peers, and accepts no requests. */
     UNREADY,
-    /** It finishes requests in progress and takes no more. */
+    /** The node finishes requests in progress and accepts no new ones. */
     DRAINING
   }
 
-  /** Whether the object API answers. */
+  /** The reachability of the object API. */
   public enum StoreState {
-    /** The last call was answered. */
+    /** The last call to the object API got a response. */
     REACHABLE,
-    /** The last call was not answered. */
+    /** The last call to the object API got no response. */
     UNREACHABLE
   }
 
-  /** Whether an upstream gets requests. */
+  /** The phase of an upstream, which determines whether it gets requests. */
   public enum UpstreamPhase {
-    /** It gets requests. */
+    /** The upstream gets requests. */
     AVAILABLE,
-    /** It failed repeatedly and gets none for a time. */
+    /** The upstream failed repeatedly and temporarily gets no requests. */
     EJECTED,
-    /** Its label says that it is leaving. */
+    /** The upstream's label marks it as leaving. */
     LEAVING,
-    /** The configuration no longer has it; work there comes to its end. */
+    /** The upstream was removed from the configuration; requests in progress there may finish. */
     REMOVED
   }
 
   /**
-   * One upstream as this node sees it.
+   * The state of one upstream, as known to this node.
    *
-   * @param name its name
-   * @param phase whether it gets requests
-   * @param slots slots that this node may use
-   * @param freeSlots those that are free
-   * @param outstanding attempts of this node at it
-   * @param prefillTokensPerSecond learnt rate; 0 if unknown
-   * @param decodeMillisPerToken learnt time between tokens; 0 if unknown
+   * @param name the name of the upstream
+   * @param phase whether the upstream gets requests
+   * @param slots the number of slots that this node may use
+   * @param freeSlots the number of those slots that are free
+   * @param outstanding the number of this node's attempts in progress at the upstream
+   * @param prefillTokensPerSecond the estimated prefill rate; 0 if unknown
+   * @param decodeMillisPerToken the estimated time between tokens; 0 if unknown
    */
   public record UpstreamStatus(
       UpstreamName name,
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorApi.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorApi.java
@@ -32,20 +32,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts an {@link OperatorService} on HTTP.
+ * The HTTP handler that exposes an {@link OperatorService}.
  *
- * <p>Every request needs a bearer token whose role allows it. Tokens are never logged. Safe for use
- * by several threads.
+ * <p>Every request needs a bearer token whose role permits the operation. Tokens are never logged.
+ * Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class OperatorApi implements HttpHandler {
   private static final Logger log = LoggerFactory.getLogger(OperatorApi.class);
 
-  /** The largest body of a change: an object of the platform's service holds no more. */
+  /** The maximum size of a change, which must fit into one object of the platform's object API. */
   private static final int MAX_BODY_BYTES = 1 << 20;
 
-  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(30);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(30);
   private static final String JSON = "application/json";
   private static final String NO_STORE = "no-store";
   private static final String RETRY_AFTER_SECONDS = "1";
@@ -57,9 +57,9 @@
   /**
    * Creates the handler.
    *
-   * @param service what the node does
-   * @param tokens who may use it
-   * @param clock gives changes their time
+   * @param service carries out the operations
+   * @param tokens the accepted tokens and their roles
+   * @param clock the time source for accepted changes
    */
   public OperatorApi(OperatorService service, OperatorTokens tokens, InstantSource clock) {
     this.service = service;
@@ -70,29 +70,29 @@
   @Override
   public void handleRequest(HttpServerExchange exchange) {
     try {
-      Endpoint endpoint = endpoint(exchange);
+      Endpoint endpoint = findEndpoint(exchange);
       QueryReader query = new QueryReader(exchange);
       Principal principal = authorise(exchange, endpoint, query);
       handle(exchange, endpoint, query, principal);
     } catch (LarkkeelException e) {
       exchange.setPersistent(false);
-      fail(exchange, "none", e);
+      sendFailure(exchange, "none", e);
     }
   }
 
-  private static Endpoint endpoint(HttpServerExchange exchange) {
+  private static Endpoint findEndpoint(HttpServerExchange exchange) {
     String path = exchange.getRequestPath();
     Optional<Endpoint> endpoint = Endpoint.find(exchange.getRequestMethod(), path);
     if (endpoint.isPresent()) {
       return endpoint.get();
     }
-    String methods = Endpoint.methods(path);
-    if (methods.isEmpty()) {
+    String allowedMethods = Endpoint.allowedMethods(path);
+    if (allowedMethods.isEmpty()) {
       throw new LarkkeelException(ErrorKind.NOT_FOUND, "There is no path " + path + ".");
     }
-    exchange.getResponseHeaders().put(Headers.ALLOW, methods);
+    exchange.getResponseHeaders().put(Headers.ALLOW, allowedMethods);
     throw new LarkkeelException(
-        ErrorKind.METHOD_NOT_ALLOWED, path + " takes " + methods + " only.");
+        ErrorKind.METHOD_NOT_ALLOWED, path + " takes " + allowedMethods + " only.");
   }
 
   private Principal authorise(HttpServerExchange exchange, Endpoint endpoint, QueryReader query) {
@@ -103,11 +103,11 @@
           ErrorKind.UNAUTHENTICATED, "No known token stands in the header Authorization.");
     }
     DryRun dryRun = endpoint == Endpoint.PROPOSE ? query.dryRun() : DryRun.NO;
-    OperatorRole needed = endpoint.role(dryRun);
-    if (!principal.get().role().allows(needed)) {
+    OperatorRole required = endpoint.requiredRole(dryRun);
+    if (!principal.get().role().allows(required)) {
       throw new LarkkeelException(
           ErrorKind.FORBIDDEN,
-          "The token of " + principal.get().name() + " lacks the role " + needed + ".");
+          "The token of " + principal.get().name() + " lacks the role " + required + ".");
     }
     return principal.get();
   }
@@ -115,20 +115,20 @@
   private void handle(
       HttpServerExchange exchange, Endpoint endpoint, QueryReader query, Principal principal) {
     switch (endpoint) {
-      case CONFIGURATION -> answer(exchange, principal, service.configuration());
+      case CONFIGURATION -> respond(exchange, principal, service.configuration());
       case AUDIT ->
-          answer(
+          respond(
               exchange,
               principal,
               service.audit(query.revision(OperatorPaths.FROM), query.auditLimit()));
       case PROPOSE -> receiveChange(exchange, principal, query.dryRun());
-      case EXPLAIN -> answer(exchange, principal, service.explain(query.explainRequest()));
-      case STATUS -> answer(exchange, principal, service.status());
+      case EXPLAIN -> respond(exchange, principal, service.explain(query.explainRequest()));
+      case STATUS -> respond(exchange, principal, service.status());
       case ROLLOUT ->
-          answer(exchange, principal, service.rollout(query.revision(OperatorPaths.REVISION)));
+          respond(exchange, principal, service.rollout(query.revision(OperatorPaths.REVISION)));
       case DRAIN ->
-          answer(exchange, principal, service.drain().thenCompose(done -> service.status()));
-      default -> throw new IllegalStateException("no operation of " + endpoint);
+          respond(exchange, principal, service.drain().thenCompose(done -> service.status()));
+      default -> throw new IllegalStateException("unhandled endpoint " + endpoint);
     }
   }
 
@@ -137,10 +137,10 @@
     receiver.setMaxBufferSize(MAX_BODY_BYTES);
     receiver.receiveFullBytes(
         (e, bytes) -> propose(e, principal, dryRun, new String(bytes, StandardCharsets.UTF_8)),
-        (e, failure) -> fail(e, principal.name(), bodyFailure(failure)));
+        (e, failure) -> sendFailure(e, principal.name(), toBodyException(failure)));
   }
 
-  private static LarkkeelException bodyFailure(IOException failure) {
+  private static LarkkeelException toBodyException(IOException failure) {
     if (failure instanceof Receiver.RequestToLargeException) {
       return new LarkkeelException(
           ErrorKind.BODY_TOO_LARGE, "The change is larger than " + MAX_BODY_BYTES + " bytes.");
@@ -155,29 +155,29 @@
           send(exchange, principal.name(), ProblemDocument.of(invalid.problems()));
       case Checked.Valid<Change> valid -> {
         Change change = valid.value().signedBy(principal.name(), clock.millis());
-        answer(exchange, principal, service.propose(change, dryRun));
+        respond(exchange, principal, service.propose(change, dryRun));
       }
     }
   }
 
-  /** Sends what a future brings; the exchange stays open until then. */
-  private static void answer(
+  /** Sends the result of a future; the exchange stays open until it completes or times out. */
+  private static void respond(
       HttpServerExchange exchange, Principal principal, CompletableFuture<?> future) {
-    Runnable wait =
+    Runnable awaitResult =
         () -> {
           CompletableFuture<?> unused =
               future
                   .copy()
-                  .orTimeout(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
-                  .whenComplete((body, failure) -> finish(exchange, principal, body, failure));
+                  .orTimeout(RESPONSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
+                  .whenComplete((body, failure) -> sendResult(exchange, principal, body, failure));
         };
-    exchange.dispatch(SameThreadExecutor.INSTANCE, wait);
+    exchange.dispatch(SameThreadExecutor.INSTANCE, awaitResult);
   }
 
-  private static void finish(
+  private static void sendResult(
       HttpServerExchange exchange, Principal principal, Object body, Throwable failure) {
     if (failure != null) {
-      fail(exchange, principal.name(), toLarkkeel(failure));
+      sendFailure(exchange, principal.name(), toLarkkeelException(failure));
       return;
     }
     switch (body) {
@@ -189,7 +189,7 @@
     }
   }
 
-  private static LarkkeelException toLarkkeel(Throwable failure) {
+  private static LarkkeelException toLarkkeelException(Throwable failure) {
     Throwable cause =
         failure instanceof CompletionException && failure.getCause() != null
             ? failure.getCause()
@@ -199,13 +199,14 @@
       case TimeoutException timeout ->
           new LarkkeelException(
               ErrorKind.DEADLINE_EXCEEDED,
-              "No answer within " + ANSWER_TIMEOUT.toSeconds() + " s.",
+              "No answer within " + RESPONSE_TIMEOUT.toSeconds() + " s.",
               timeout);
       default -> new LarkkeelException(ErrorKind.INTERNAL, "The operation failed.", cause);
     };
   }
 
-  private static void fail(HttpServerExchange exchange, String principal, LarkkeelException e) {
+  private static void sendFailure(
+      HttpServerExchange exchange, String principal, LarkkeelException e) {
     if (e.kind() == ErrorKind.INTERNAL) {
       log.error("event=operator_failure path={}", exchange.getRequestPath(), e);
     }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorCodec.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorCodec.java
@@ -42,10 +42,9 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * The bodies of the operators' API as JSON, for both sides.
+ * Converts the bodies of the operators' API to and from JSON, for server and client.
  *
- * <p>Members that the reader does not know are passed over. Stateless and safe for use by several
- * threads.
+ * <p>Unknown members are ignored. Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
@@ -59,41 +58,41 @@
   private OperatorCodec() {}
 
   /**
-   * Writes a body.
+   * Writes a body as compact JSON.
    *
    * @param body one of the records of this package, a change or a configuration
-   * @return UTF-8
+   * @return the JSON text in UTF-8
    */
   public static byte[] write(Object body) {
     try {
       return MAPPER.writeValueAsBytes(body);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("records of this package can always be written", e);
+      throw new IllegalStateException("cannot write a body of the operators' API as JSON", e);
     }
   }
 
   /**
-   * Writes a body for people.
+   * Writes a body as indented JSON for human readers.
    *
    * @param body one of the records of this package, a change or a configuration
-   * @return the text, with one member a line
+   * @return the JSON text with one member per line
    */
   public static String writePretty(Object body) {
     try {
       return MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(body);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("records of this package can always be written", e);
+      throw new IllegalStateException("cannot write a body of the operators' API as JSON", e);
     }
   }
 
   /**
    * Reads a body.
    *
-   * @param body UTF-8
+   * @param body the JSON text in UTF-8
    * @param type the type of the body
    * @param <T> the type of the body
    * @return the body
-   * @throws IOException if it is not such a body
+   * @throws IOException if the body is not valid JSON for the type
    */
   public static <T> T read(byte[] body, Class<T> type) throws IOException {
     return MAPPER.readValue(body, type);
@@ -174,32 +173,32 @@
         type, reader(in -> read.apply(in.<TreeNode>readValueAsTree().toString())));
   }
 
-  /** Writes one value. */
-  private interface Writing<T> {
+  /** Writes one value to a JSON generator. */
+  private interface ValueWriter<T> {
     void write(T value, JsonGenerator out) throws IOException;
   }
 
-  /** Reads one value. */
-  private interface Reading<T> {
+  /** Reads one value from a JSON parser. */
+  private interface ValueReader<T> {
     T read(JsonParser in) throws IOException;
   }
 
-  private static <T> JsonSerializer<T> writer(Writing<T> writing) {
+  private static <T> JsonSerializer<T> writer(ValueWriter<T> valueWriter) {
     return new JsonSerializer<>() {
       @Override
       public void serialize(T value, JsonGenerator out, SerializerProvider provider)
           throws IOException {
-        writing.write(value, out);
+        valueWriter.write(value, out);
       }
     };
   }
 
-  private static <T> JsonDeserializer<T> reader(Reading<T> reading) {
+  private static <T> JsonDeserializer<T> reader(ValueReader<T> valueReader) {
     return new JsonDeserializer<>() {
       @Override
       public T deserialize(JsonParser in, DeserializationContext context) throws IOException {
         try {
-          return reading.read(in);
+          return valueReader.read(in);
         } catch (IllegalArgumentException e) {
           throw context.weirdStringException(in.getText(), handledType(), e.getMessage());
         }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorPaths.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorPaths.java
@@ -14,58 +14,58 @@
  * @since 0.1
  */
 public final class OperatorPaths {
-  /** What every path begins with. */
+  /** The prefix of all paths under which {@link OperatorApi} serves. */
   public static final String PREFIX = "/operator/v1";
 
-  /** The configuration. */
+  /** The configuration; read by GET. */
   public static final String CONFIGURATION = PREFIX + "/configuration";
 
-  /** Changes: proposed by POST, read by GET. */
+  /** The changes: proposed by POST, listed by GET. */
   public static final String CHANGES = PREFIX + "/changes";
 
-  /** Why a request would go where. */
+  /** The explanation of a routing decision; read by GET. */
   public static final String EXPLANATION = PREFIX + "/explanation";
 
-  /** The state of the node. */
+  /** The state of the node; read by GET. */
   public static final String STATUS = PREFIX + "/status";
 
-  /** Where a revision is in force. */
+  /** The rollout state of a revision; read by GET. */
   public static final String ROLLOUT = PREFIX + "/rollout";
 
-  /** Graceful shutdown of the node. */
+  /** The graceful shutdown of the node; started by POST. */
   public static final String DRAIN = PREFIX + "/drain";
 
   /**
-   * Requests under which upstreams ended, at the metrics address of a relay node: listed by GET;
-   * one is released by DELETE of its name below.
+   * The suspect and quarantined requests, at the metrics address of a relay node: listed by GET; a
+   * DELETE of a request's path below this one releases the request.
    */
   public static final String QUARANTINE = "/quarantine";
 
-  /** The limits that upstreams name, at the metrics address of a relay node; read by GET. */
+  /** The rate limits announced by upstreams, at a relay node's metrics address; read by GET. */
   public static final String UPSTREAM_LIMITS = "/upstream-limits";
 
-  /** Whether a change is only checked. */
+  /** Query parameter: true if a change is only checked. */
   public static final String DRY_RUN = "dryRun";
 
-  /** The first revision wanted. */
+  /** Query parameter: the first revision to return. */
   public static final String FROM = "from";
 
-  /** The most entries wanted. */
+  /** Query parameter: the maximum number of entries to return. */
   public static final String LIMIT = "limit";
 
-  /** The revision asked about. */
+  /** Query parameter: the revision whose rollout is requested. */
   public static final String REVISION = "revision";
 
-  /** The model of a request to explain. */
+  /** Query parameter: the model of the request to explain. */
   public static final String MODEL = "model";
 
-  /** The path of a request to explain. */
+  /** Query parameter: the path of the request to explain. */
   public static final String PATH = "path";
 
-  /** The workspace of a request to explain. */
+  /** Query parameter: the workspace of the request to explain. */
   public static final String WORKSPACE = "workspace";
 
-  /** The length of the prompt of a request to explain. */
+  /** Query parameter: the prompt length, in tokens, of the request to explain. */
   public static final String PROMPT_TOKENS = "promptTokens";
 
   private OperatorPaths() {}
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorRole.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorRole.java
@@ -7,23 +7,23 @@
 package org.larkkeel.http.operator;
 
 /**
- * What a token allows; a later role includes the earlier ones.
+ * The permissions of a token; each role includes the roles declared before it.
  *
  * @since 0.1
  */
 public enum OperatorRole {
-  /** May read, and check changes. */
+  /** May read, and check changes by a dry run. */
   VIEWER,
   /** May also change the configuration and drain nodes. */
   OPERATOR;
 
   /**
-   * Tells whether this role is enough.
+   * Returns whether this role includes another one.
    *
-   * @param needed the role that an operation needs
-   * @return true if this role includes it
+   * @param required the role that an operation requires
+   * @return true if this role includes the required role
    */
-  public boolean allows(OperatorRole needed) {
-    return compareTo(needed) >= 0;
+  public boolean allows(OperatorRole required) {
+    return compareTo(required) >= 0;
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorService.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorService.java
@@ -12,9 +12,9 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * What a node does for operators; the API puts it on HTTP.
+ * The operations that a node offers to operators; {@link OperatorApi} exposes them over HTTP.
  *
- * <p>No method blocks. A future that fails carries a {@link org.larkkeel.errors.LarkkeelException}.
+ * <p>No method blocks. A future fails with a {@link org.larkkeel.errors.LarkkeelException}.
  * Implementations are safe for use by several threads.
  *
  * @since 0.1
@@ -23,61 +23,61 @@
   /**
    * Proposes a change.
    *
-   * <p>The call is idempotent by the id of the change: if the log already has a change of that id,
-   * the outcome is {@link ProposalOutcome.Accepted} with its revision, so that a client may repeat
-   * the call at another node after a lost answer.
+   * <p>The call is idempotent by the id of the change: if the log already contains a change with
+   * that id, the outcome is {@link ProposalOutcome.Accepted} with its revision. A client that got
+   * no response may therefore retry the call at another node.
    *
    * @param change the change, with author and time set by the API
-   * @param dryRun whether it is only checked
+   * @param dryRun whether the change is only checked
    * @return the outcome; fails with {@link org.larkkeel.errors.ErrorKind#STORE_UNAVAILABLE} if the
-   *     log can not be written
+   *     log of changes cannot be written
    */
   CompletableFuture<ProposalOutcome> propose(Change change, DryRun dryRun);
 
   /**
-   * The newest accepted configuration that the node can know.
+   * Returns the newest accepted configuration that this node can obtain.
    *
    * @return the configuration with its revision
    */
   CompletableFuture<Configuration> configuration();
 
   /**
-   * Reads accepted changes.
+   * Reads a page of accepted changes.
    *
-   * @param from the first revision wanted
-   * @param limit the most entries, at least 1
-   * @return entries by ascending revision
+   * @param from the first revision to return
+   * @param limit the maximum number of entries, at least 1
+   * @return the entries by ascending revision
    */
   CompletableFuture<AuditPage> audit(Revision from, int limit);
 
   /**
-   * Tells why a request would go where, without running it.
+   * Explains the routing of a request without executing it.
    *
-   * @param request describes the request
-   * @return the explanation from this node's point of view
+   * @param request the request to explain
+   * @return the explanation, based on this node's known state
    */
   CompletableFuture<RouteExplanation> explain(ExplainRequest request);
 
   /**
-   * The state of this node.
+   * Returns the state of this node.
    *
    * @return the status
    */
   CompletableFuture<NodeStatus> status();
 
   /**
-   * Tells where a revision is in force.
+   * Returns the rollout state of a revision.
    *
-   * @param revision the revision; {@link Revision#NONE} asks for the newest accepted one
-   * @return the nodes known to this node and how far they are
+   * @param revision the revision; {@link Revision#NONE} for the newest accepted one
+   * @return the rollout state over the nodes known to this node
    */
   CompletableFuture<RolloutStatus> rollout(Revision revision);
 
   /**
-   * Begins the graceful shutdown of this node: it turns unready, finishes requests in progress and
-   * ends. Repeating the call has no further effect.
+   * Starts the graceful shutdown of this node: it becomes unready, finishes requests in progress
+   * and exits. Repeated calls have no further effect.
    *
-   * @return done when the drain has begun
+   * @return a future that completes when the drain has started
    */
   CompletableFuture<Void> drain();
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/Principal.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/Principal.java
@@ -9,16 +9,16 @@
 import org.larkkeel.lib.Names;
 
 /**
- * Who holds a token.
+ * The holder of an operator token.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param name the author in the audit trail, a valid name
- * @param role what the holder may do
+ * @param name the author's name in the audit log, valid by {@link Names}
+ * @param role the role of the holder
  * @since 0.1
  */
 public record Principal(String name, OperatorRole role) {
-  /** Checks the name. */
+  /** Checks that the name is valid. */
   public Principal {
     Names.check("an operator", name);
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/ProblemDocument.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/ProblemDocument.java
@@ -13,18 +13,18 @@
 import org.larkkeel.http.Problem;
 
 /**
- * The body of a failure, after RFC 9457.
+ * The body of an error response, in the format of RFC 9457.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param type a URI that names the kind
- * @param title one sentence that describes the kind
+ * @param type a URI that identifies the kind of error
+ * @param title one sentence that describes the kind of error
  * @param status the HTTP status
- * @param detail what exactly failed
- * @param remedy what the operator can do
- * @param execution whether the operation ran
- * @param conflicts the other change, if it is a conflict
- * @param problems every problem of a change, if it is invalid
+ * @param detail a description of this failure
+ * @param remedy the action that the operator can take
+ * @param execution whether the operation was executed
+ * @param conflicts the change that was accepted first, for a conflict; otherwise empty
+ * @param problems all problems of an invalid change; otherwise empty
  * @since 0.1
  */
 public record ProblemDocument(
@@ -36,17 +36,17 @@
     String execution,
     List<AuditPage.Entry> conflicts,
     Problems problems) {
-  /** Replaces missing members, which a body may lack, by empty ones. */
+  /** Replaces members that are missing in a parsed body by empty ones. */
   public ProblemDocument {
     conflicts = conflicts == null ? List.of() : List.copyOf(conflicts);
     problems = problems == null ? Problems.NONE : problems;
   }
 
   /**
-   * Describes a failure.
+   * Creates the body for a failure.
    *
-   * @param kind its kind
-   * @param detail what exactly failed
+   * @param kind the kind of error
+   * @param detail a description of this failure
    * @return the body
    */
   public static ProblemDocument of(ErrorKind kind, String detail) {
@@ -54,10 +54,10 @@
   }
 
   /**
-   * Describes a conflict.
+   * Creates the body for a conflict.
    *
-   * @param conflict the outcome
-   * @return the body, which names the other change
+   * @param conflict the outcome of the proposal
+   * @return the body, which contains the change that was accepted first
    */
   public static ProblemDocument of(ProposalOutcome.Conflicting conflict) {
     String detail =
@@ -73,9 +73,9 @@
   }
 
   /**
-   * Describes a refusal.
+   * Creates the body for an invalid change.
    *
-   * @param problems every problem
+   * @param problems all problems of the change
    * @return the body
    */
   public static ProblemDocument of(Problems problems) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/ProposalOutcome.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/ProposalOutcome.java
@@ -11,7 +11,7 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * What became of a proposed change.
+ * The outcome of a proposed change.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -19,25 +19,25 @@
  */
 public sealed interface ProposalOutcome {
   /**
-   * The change is accepted, or would be.
+   * The change was accepted or, in a dry run, would be accepted.
    *
-   * @param revision the revision that contains it; after a dry run the present one
-   * @param warnings what the operator should know
+   * @param revision the revision that contains the change; the current revision for a dry run
+   * @param warnings warnings for the operator
    */
   record Accepted(Revision revision, Problems warnings) implements ProposalOutcome {}
 
   /**
    * Another change of the same objects was accepted first.
    *
-   * @param other the other change
-   * @param revision its revision
+   * @param other the change that was accepted first
+   * @param revision the revision that it produced
    */
   record Conflicting(Change other, Revision revision) implements ProposalOutcome {}
 
   /**
-   * The change is refused.
+   * The change is invalid.
    *
-   * @param problems every problem
+   * @param problems all problems of the change
    */
   record Refused(Problems problems) implements ProposalOutcome {}
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/QuarantineStatus.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/QuarantineStatus.java
@@ -9,30 +9,30 @@
 import java.util.List;
 
 /**
- * The requests under which upstreams ended, as one node knows them.
+ * The requests that were in progress at upstreams when these crashed, as known to one node.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param requests those with most ends first
+ * @param requests the requests, by descending number of crashes
  * @since 0.1
  */
 public record QuarantineStatus(List<Entry> requests) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public QuarantineStatus {
     requests = List.copyOf(requests);
   }
 
   /**
-   * One request.
+   * One suspect or quarantined request.
    *
-   * @param request its fingerprint, in hexadecimal digits
-   * @param remainingMillis for how long it is quarantined still; 0 if it is not
-   * @param lastEndMillis how long ago the last upstream ended
-   * @param upstreams the lives of upstreams that ended
+   * @param request the fingerprint of the request, in hexadecimal digits
+   * @param remainingMillis the remaining time of its quarantine; 0 if it is not quarantined
+   * @param lastEndMillis the time since the last crash of an upstream with this request
+   * @param upstreams the upstream incarnations that crashed with this request
    */
   public record Entry(
       String request, long remainingMillis, long lastEndMillis, List<String> upstreams) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public Entry {
       upstreams = List.copyOf(upstreams);
     }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/QueryReader.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/QueryReader.java
@@ -16,7 +16,10 @@
 import org.larkkeel.lib.Revision;
 import org.larkkeel.lib.WorkspaceName;
 
-/** Reads the query parameters of one request. Not safe for use by several threads. */
+/**
+ * Parses the query parameters of one request; an invalid value fails the request as malformed. Not
+ * safe for use by several threads.
+ */
 final class QueryReader {
   private static final int MAX_AUDIT_LIMIT = 1000;
   private static final int DEFAULT_AUDIT_LIMIT = 100;
@@ -37,25 +40,25 @@
   }
 
   Revision revision(String key) {
-    return new Revision(whole(key, 0, 0, Long.MAX_VALUE));
+    return new Revision(integer(key, 0, 0, Long.MAX_VALUE));
   }
 
   int auditLimit() {
-    return (int) whole(OperatorPaths.LIMIT, DEFAULT_AUDIT_LIMIT, 1, MAX_AUDIT_LIMIT);
+    return (int) integer(OperatorPaths.LIMIT, DEFAULT_AUDIT_LIMIT, 1, MAX_AUDIT_LIMIT);
   }
 
   ExplainRequest explainRequest() {
     int tokens =
         (int)
-            whole(
+            integer(
                 OperatorPaths.PROMPT_TOKENS,
                 ExplainRequest.DEFAULT_PROMPT_TOKENS,
                 1,
                 Integer.MAX_VALUE);
-    Optional<ModelName> model = parsed(OperatorPaths.MODEL, ModelName::new);
+    Optional<ModelName> model = parsedValue(OperatorPaths.MODEL, ModelName::new);
     Optional<String> path = text(OperatorPaths.PATH);
     WorkspaceName workspace =
-        parsed(OperatorPaths.WORKSPACE, WorkspaceName::new)
+        parsedValue(OperatorPaths.WORKSPACE, WorkspaceName::new)
             .orElseThrow(() -> malformed(OperatorPaths.WORKSPACE, "", "name a workspace"));
     if (model.isPresent() == path.isPresent()) {
       throw malformed(OperatorPaths.MODEL, "", "give either model or path");
@@ -68,7 +71,7 @@
     return Optional.ofNullable(values).map(Deque::peekFirst);
   }
 
-  private <T> Optional<T> parsed(String key, Function<String, T> parser) {
+  private <T> Optional<T> parsedValue(String key, Function<String, T> parser) {
     return text(key).map(text -> parse(key, text, parser));
   }
 
@@ -80,8 +83,8 @@
     }
   }
 
-  private long whole(String key, long absent, long min, long max) {
-    long value = parsed(key, Long::parseLong).orElse(absent);
+  private long integer(String key, long defaultValue, long min, long max) {
+    long value = parsedValue(key, Long::parseLong).orElse(defaultValue);
     if (value < min || value > max) {
       throw malformed(key, Long.toString(value), "use " + min + " to " + max);
     }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/RolloutStatus.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/RolloutStatus.java
@@ -12,26 +12,26 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * Where a revision is in force.
+ * The rollout state of a revision over the live nodes.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param revision the revision asked for
- * @param nodes live nodes in all
- * @param inForce live nodes with that revision or a later one
- * @param behind the others
+ * @param revision the requested revision
+ * @param nodes the number of live nodes
+ * @param inForce the number of live nodes with the requested revision or a later one
+ * @param behind the live nodes with an earlier revision
  * @since 0.1
  */
 public record RolloutStatus(Revision revision, int nodes, int inForce, List<NodeRevision> behind) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public RolloutStatus {
     behind = List.copyOf(behind);
   }
 
   /**
-   * Tells whether the rollout is over.
+   * Returns whether the rollout is complete.
    *
-   * @return true if every live node has the revision
+   * @return true if there are live nodes and all of them have the revision or a later one
    */
   @JsonIgnore
   public boolean isComplete() {
@@ -39,10 +39,10 @@
   }
 
   /**
-   * How far one node is.
+   * The revision in force at one node.
    *
-   * @param host the node
-   * @param revision the configuration in force there
+   * @param host the host of the node
+   * @param revision the revision of the configuration in force at the node
    */
   public record NodeRevision(HostName host, Revision revision) {}
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/RouteExplanation.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/RouteExplanation.java
@@ -12,15 +12,15 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Why a request would go where, from one node's point of view.
+ * The explanation of a routing decision, based on one node's known state.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param rule the name of the rule that takes it; empty if none does
- * @param pools the pools of that rule
- * @param candidates every upstream of those pools, in order of name
- * @param predictedWaitMillis how long it would wait in the queue
- * @param queued requests of the same kind that wait now
+ * @param rule the name of the matching rule; empty if no rule matches
+ * @param pools the pools of the matching rule
+ * @param candidates all upstreams of those pools, ordered by name
+ * @param predictedWaitMillis the predicted time of the request in the queue
+ * @param queued the number of queued requests of the same kind
  * @since 0.1
  */
 public record RouteExplanation(
@@ -29,21 +29,21 @@
     List<Candidate> candidates,
     double predictedWaitMillis,
     int queued) {
-  /** Copies the lists. */
+  /** Makes defensive copies of the lists. */
   public RouteExplanation {
     pools = List.copyOf(pools);
     candidates = List.copyOf(candidates);
   }
 
   /**
-   * What is known of one upstream with regard to the request.
+   * The evaluation of one upstream for the request.
    *
    * @param upstream the upstream
-   * @param role what it would do
-   * @param verdict whether it would take the request now
-   * @param freeSlots free slots that this node may use
-   * @param outstanding attempts of this node at it
-   * @param predictedMillis predicted time of its part of the work
+   * @param role the part of the work that the upstream would do
+   * @param verdict whether the upstream could take the request now
+   * @param freeSlots the number of free slots that this node may use
+   * @param outstanding the number of this node's attempts in progress at the upstream
+   * @param predictedMillis the predicted duration of the upstream's part of the work
    */
   public record Candidate(
       UpstreamName upstream,
@@ -53,17 +53,17 @@
       int outstanding,
       double predictedMillis) {}
 
-  /** Whether an upstream would take a request now. */
+  /** Whether an upstream could take a request now, or the reason why not. */
   public enum Verdict {
-    /** It would take it. */
+    /** The upstream can take the request. */
     FITS,
-    /** All its places are taken. */
+    /** The upstream has no free capacity. */
     FULL,
-    /** It failed repeatedly and gets no requests for a time. */
+    /** The upstream failed repeatedly and temporarily gets no requests. */
     EJECTED,
-    /** It is declared for other models, or has not loaded this one. */
+    /** The upstream is configured for other models or has not loaded the requested one. */
     OTHER_MODEL,
-    /** It is leaving and gets no new requests. */
+    /** The upstream is leaving and gets no new requests. */
     LEAVING
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/package-info.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The operators' API: reading and changing the configuration, audit, explanation, status and drain
- * over HTTP.
+ * The operators' HTTP API: reading and changing the configuration, the audit log, the explanation
+ * of routing decisions, node status and drain.
  *
  * @since 0.1
  */
