--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/GivenUpExchangeTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/AbortedExchangeTest.java
@@ -33,13 +33,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Requests that are given up at any point. */
-public class GivenUpExchangeTest {
-  private static final long LONG = TimeUnit.SECONDS.toNanos(20);
-  private static final int MOST = 4;
+/** Requests that are aborted or answered early, which must end once and free the connection. */
+public class AbortedExchangeTest {
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
+  private static final int MAX_CONNECTIONS = 4;
 
-  /** Counts the ends. */
-  private static final class Ends implements ResponseHandler {
+  /** Counts the final calls of a request and keeps the outcome of the first one. */
+  private static final class CountingHandler implements ResponseHandler {
     final AtomicInteger count = new AtomicInteger();
     final CompletableFuture<String> first = new CompletableFuture<>();
     private final StringBuilder body = new StringBuilder();
@@ -66,14 +66,14 @@
     }
   }
 
-  /** A client and a server socket. */
-  public abstract static class Rig {
+  /** Creates a client and a server socket for each test. */
+  public abstract static class Fixture {
     ServerSocket server;
     HttpWorker worker;
     UpstreamClient client;
     UpstreamAddress to;
 
-    /** Starts them. */
+    /** Opens the server socket and creates the client. */
     @BeforeMethod
     public void start() throws IOException {
       server = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
@@ -81,12 +81,12 @@
       client =
           new UpstreamClient(
               worker,
-              new UpstreamClientSettings(MOST, 1, 2_000, 60_000, 1 << 20, 500),
+              new UpstreamClientSettings(MAX_CONNECTIONS, 1, 2_000, 60_000, 1 << 20, 500),
               System::nanoTime);
       to = new UpstreamAddress((InetSocketAddress) server.getLocalSocketAddress());
     }
 
-    /** Stops them. */
+    /** Closes the client and the server socket. */
     @AfterMethod(alwaysRun = true)
     public void stop() throws IOException {
       client.close();
@@ -98,21 +98,21 @@
       return client.send(
           to,
           new UpstreamRequest(Methods.POST, target, ImmutableListMultimap.of(), body),
-          AnswerTimeout.whole(LONG),
+          AnswerTimeout.whole(TIMEOUT_NANOS),
           ConnectionUse.REQUEST,
           handler);
     }
 
-    static void await(BooleanSupplier condition, String what) throws InterruptedException {
+    static void await(BooleanSupplier condition, String message) throws InterruptedException {
       long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
       while (!condition.getAsBoolean()) {
-        assertTrue(System.nanoTime() < end, what);
+        assertTrue(System.nanoTime() < end, message);
         Thread.sleep(5);
       }
     }
   }
 
-  static String head(InputStream in) throws IOException {
+  static String readHead(InputStream in) throws IOException {
     StringBuilder all = new StringBuilder();
     while (all.indexOf("\r\n\r\n") < 0) {
       int b = in.read();
@@ -124,79 +124,85 @@
     return all.toString();
   }
 
-  /** Bodies of which a part is written. */
-  public static class WhileItIsWritten extends Rig {
+  /** Aborts while the body is written, which must reset the connection and end the request once. */
+  public static class WhileBodyIsWritten extends Fixture {
     @Test
-    public void endsOnce() throws Exception {
-      Ends ends = new Ends();
-      InFlight flying = send("/x", new byte[64 << 20], ends);
+    public void abortEndsOnceWithReset() throws Exception {
+      CountingHandler handler = new CountingHandler();
+      InFlight inFlight = send("/x", new byte[64 << 20], handler);
       try (Socket s = server.accept()) {
-        head(s.getInputStream());
+        readHead(s.getInputStream());
         Thread.sleep(200);
         assertEquals(client.openConnections(to), 1);
-        flying.abort();
-        flying.abort();
-        String end = ends.first.get(5, TimeUnit.SECONDS);
+        inFlight.abort();
+        inFlight.abort();
+        String end = handler.first.get(5, TimeUnit.SECONDS);
         assertTrue(end.contains("MAY_HAVE_RUN"), end);
-        await(() -> client.openConnections(to) == 0, "open " + client.openConnections(to));
+        await(
+            () -> client.openConnections(to) == 0,
+            "open connections: " + client.openConnections(to));
         s.setSoTimeout(3_000);
         try {
           while (s.getInputStream().read(new byte[1 << 16]) >= 0) {
-            // What was written before.
+            // Skips the part of the body that was written before the abort.
           }
-          throw new AssertionError("a proper end");
+          throw new AssertionError("the connection was closed without a reset");
         } catch (SocketException e) {
-          // The reset.
+          // Expected: the client resets the connection.
         }
         Thread.sleep(300);
-        assertEquals(ends.count.get(), 1);
+        assertEquals(handler.count.get(), 1);
         assertEquals(client.openConnections(to), 0);
       }
     }
   }
 
-  /** Answers that come before the request has been read. */
-  public static class EarlyAnswer extends Rig {
+  /** Responses before the request was read; the pool must not keep counting the connection. */
+  public static class EarlyResponse extends Fixture {
     @Test
-    public void freesTheConnectionSoon() throws Exception {
-      Ends ends = new Ends();
-      send("/x", new byte[64 << 20], ends);
+    public void closesConnectionPromptly() throws Exception {
+      CountingHandler handler = new CountingHandler();
+      send("/x", new byte[64 << 20], handler);
       try (Socket s = server.accept()) {
-        head(s.getInputStream());
+        readHead(s.getInputStream());
         s.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes());
-        assertEquals(ends.first.get(5, TimeUnit.SECONDS), "end ok");
-        await(() -> client.openConnections(to) == 0, "still counted as open after 5 s");
+        assertEquals(handler.first.get(5, TimeUnit.SECONDS), "end ok");
+        await(
+            () -> client.openConnections(to) == 0, "the connection still counts as open after 5 s");
       }
-      assertEquals(ends.count.get(), 1);
+      assertEquals(handler.count.get(), 1);
     }
   }
 
-  /** Requests that wait for a connection and are given up. */
-  public static class Waiting extends Rig {
+  /** Requests aborted while they wait for a connection; they must not keep the queue full. */
+  public static class WaitingForConnection extends Fixture {
     @Test
-    public void doesNotTakeThePlaceOfOthers() throws Exception {
+    public void abortedWaitersDoNotFillQueue() throws Exception {
       try (UpstreamClient small =
           new UpstreamClient(
               worker,
               new UpstreamClientSettings(1, 1, 2, 60_000, 1 << 20, 500),
               System::nanoTime)) {
-        UpstreamRequest r =
+        UpstreamRequest request =
             new UpstreamRequest(Methods.POST, "/x", ImmutableListMultimap.of(), new byte[1]);
-        Ends holds = new Ends();
-        small.send(to, r, AnswerTimeout.whole(LONG), ConnectionUse.REQUEST, holds);
+        CountingHandler active = new CountingHandler();
+        small.send(to, request, AnswerTimeout.whole(TIMEOUT_NANOS), ConnectionUse.REQUEST, active);
         try (Socket s = server.accept()) {
-          head(s.getInputStream());
+          readHead(s.getInputStream());
           s.getInputStream().read();
           for (int i = 0; i < 2; i++) {
-            Ends leaves = new Ends();
-            small.send(to, r, AnswerTimeout.whole(LONG), ConnectionUse.REQUEST, leaves).abort();
-            leaves.first.get(5, TimeUnit.SECONDS);
+            CountingHandler aborted = new CountingHandler();
+            small
+                .send(
+                    to, request, AnswerTimeout.whole(TIMEOUT_NANOS), ConnectionUse.REQUEST, aborted)
+                .abort();
+            aborted.first.get(5, TimeUnit.SECONDS);
           }
-          Ends next = new Ends();
-          small.send(to, r, AnswerTimeout.whole(LONG), ConnectionUse.REQUEST, next);
+          CountingHandler next = new CountingHandler();
+          small.send(to, request, AnswerTimeout.whole(TIMEOUT_NANOS), ConnectionUse.REQUEST, next);
           s.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes());
           assertTrue(!next.first.isDone(), next.first.getNow(""));
-          head(s.getInputStream());
+          readHead(s.getInputStream());
           s.getInputStream().read();
           s.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes());
           assertEquals(next.first.get(5, TimeUnit.SECONDS), "end ok");
@@ -205,10 +211,10 @@
     }
   }
 
-  /** Requests that are given up at random times, some as their answer comes. */
-  public static class AtAnyTime extends Rig {
+  /** Requests aborted at random times, some while their response arrives. */
+  public static class AtRandomTimes extends Fixture {
     @Test
-    public void endsEachOnceAndNeverHarmsAnother() throws Exception {
+    public void endsEachOnceWithoutAffectingOthers() throws Exception {
       Thread.ofVirtual()
           .start(
               () -> {
@@ -218,16 +224,16 @@
                     Thread.ofVirtual().start(() -> serve(s));
                   }
                 } catch (IOException e) {
-                  // Closed by the test.
+                  // The test closed the server socket.
                 }
               });
       Random random = new Random(5);
-      List<Ends> all = new ArrayList<>();
-      List<Ends> kept = new ArrayList<>();
+      List<CountingHandler> all = new ArrayList<>();
+      List<CountingHandler> notAborted = new ArrayList<>();
       for (int i = 0; i < 3_000; i++) {
-        Ends ends = new Ends();
-        all.add(ends);
-        InFlight flying = send("/n" + i, new byte[random.nextInt(3_000)], ends);
+        CountingHandler handler = new CountingHandler();
+        all.add(handler);
+        InFlight inFlight = send("/n" + i, new byte[random.nextInt(3_000)], handler);
         if (random.nextInt(3) > 0) {
           int micros = random.nextInt(3_000);
           Thread.ofVirtual()
@@ -238,11 +244,11 @@
                     } catch (InterruptedException e) {
                       return;
                     }
-                    flying.abort();
-                    flying.abort();
+                    inFlight.abort();
+                    inFlight.abort();
                   });
         } else {
-          kept.add(ends);
+          notAborted.add(handler);
         }
         if (i % 8 == 0) {
           Thread.sleep(1);
@@ -251,25 +257,29 @@
       for (int i = 0; i < all.size(); i++) {
         String end = all.get(i).first.get(20, TimeUnit.SECONDS);
         assertTrue(end.startsWith("failed") || end.equals("end /n" + i), i + ": " + end);
-        if (kept.contains(all.get(i))) {
+        if (notAborted.contains(all.get(i))) {
           assertEquals(end, "end /n" + i);
         }
       }
-      await(() -> client.openConnections(to) <= MOST, "open " + client.openConnections(to));
+      await(
+          () -> client.openConnections(to) <= MAX_CONNECTIONS,
+          "open connections: " + client.openConnections(to));
       assertTrue(client.openConnections(to) >= 0);
       Thread.sleep(200);
-      for (Ends e : all) {
+      for (CountingHandler e : all) {
         assertEquals(e.count.get(), 1);
       }
       client.close();
-      await(() -> client.openConnections(to) == 0, "left open " + client.openConnections(to));
+      await(
+          () -> client.openConnections(to) == 0,
+          "open connections after close: " + client.openConnections(to));
     }
 
     private static void serve(Socket s) {
       Random random = new Random(s.getPort());
       try (s) {
         InputStream in = s.getInputStream();
-        for (String h = head(in); !h.isEmpty(); h = head(in)) {
+        for (String h = readHead(in); !h.isEmpty(); h = readHead(in)) {
           int at = h.indexOf("Content-Length: ") + 16;
           in.readNBytes(Integer.parseInt(h.substring(at, h.indexOf('\r', at))));
           String target = h.split(" ")[1];
@@ -280,7 +290,7 @@
                       .getBytes());
         }
       } catch (IOException | InterruptedException e) {
-        // Reset by the client.
+        // The client reset the connection.
       }
     }
   }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamFaultsTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamFaultsTest.java
@@ -34,19 +34,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What upstreams do to requests, and what may be concluded from it. */
+/** Faults of upstreams, and the failure cause and exposure that the client derives from each. */
 public class UpstreamFaultsTest {
-  private static final long LONG = TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS);
-  private static final long SHORT = TimeUnit.MILLISECONDS.toNanos(100);
-  private static final int MAX_ANSWER = 2_000;
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS);
+  private static final long SHORT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final int MAX_RESPONSE_BYTES = 2_000;
   private static final int MAX_CONNECTIONS = 3;
 
-  /** A client that is made anew for each test. */
+  /** Creates a new client for each test. */
   public abstract static class WithClient {
-    /** The threads. */
+    /** The I/O threads of the client. */
     protected HttpWorker worker;
 
-    /** The client. */
+    /** The client under test. */
     protected UpstreamClient client;
 
     /** Starts the client. */
@@ -56,7 +56,7 @@
       client =
           new UpstreamClient(
               worker,
-              new UpstreamClientSettings(MAX_CONNECTIONS, 1, 2, 60_000, MAX_ANSWER, 500),
+              new UpstreamClientSettings(MAX_CONNECTIONS, 1, 2, 60_000, MAX_RESPONSE_BYTES, 500),
               System::nanoTime);
     }
 
@@ -67,25 +67,25 @@
       worker.close();
     }
 
-    CompletableFuture<Object> send(ScriptedServer server, HttpString method, long timeout) {
-      return send(server.address(), method, timeout);
+    CompletableFuture<Object> send(ScriptedServer server, HttpString method, long timeoutNanos) {
+      return send(server.address(), method, timeoutNanos);
     }
 
-    /** Sends a request; the future has the answer or the failure. */
-    CompletableFuture<Object> send(InetSocketAddress to, HttpString method, long timeout) {
+    /** Sends a request; the future completes with the response or the failure. */
+    CompletableFuture<Object> send(InetSocketAddress to, HttpString method, long timeoutNanos) {
       CompletableFuture<Object> outcome = new CompletableFuture<>();
       byte[] body = method.equals(Methods.POST) ? new byte[100] : new byte[0];
       client.send(
           new UpstreamAddress(to),
           new UpstreamRequest(method, "/x", ImmutableListMultimap.of(), body),
-          AnswerTimeout.whole(timeout),
+          AnswerTimeout.whole(timeoutNanos),
           ConnectionUse.REQUEST,
-          new WholeAnswer(MAX_ANSWER, outcome::complete, outcome::complete));
+          new WholeAnswer(MAX_RESPONSE_BYTES, outcome::complete, outcome::complete));
       return outcome;
     }
 
-    /** Starts a decode; the future has the tokens or the failure. */
-    CompletableFuture<Object> decode(ScriptedServer server, long silence) {
+    /** Starts a decode; the future completes with the tokens or the failure. */
+    CompletableFuture<Object> decode(ScriptedServer server, long idleTimeoutNanos) {
       CompletableFuture<Object> outcome = new CompletableFuture<>();
       List<Token> tokens = new ArrayList<>();
       new EngineClient(client)
@@ -94,7 +94,7 @@
               new EngineRequestId(Node.ORIGIN, new AttemptId(1)),
               Json.object(),
               0,
-              silence,
+              idleTimeoutNanos,
               new TokenStream() {
                 @Override
                 public boolean onToken(Token token) {
@@ -134,13 +134,13 @@
     }
   }
 
-  /** Connections that break. */
+  /** Connections that fail or are closed. */
   public static class BrokenConnections extends WithClient {
-    /** Scripts of an upstream that dies, and what they are. */
+    /** Returns the point at which the upstream closes the connection, and its script. */
     @DataProvider
-    public Object[][] deaths() {
+    public Object[][] connectionLosses() {
       return new Object[][] {
-        {"before the answer", (ScriptedServer.Script) (q, a) -> a.socket().close()},
+        {"before the response", (ScriptedServer.Script) (q, a) -> a.socket().close()},
         {
           "in the status line",
           (ScriptedServer.Script) (q, a) -> a.raw("HTTP/1.1 2").socket().close()
@@ -180,30 +180,33 @@
       };
     }
 
-    /** After a byte was sent, a lost answer means that the request may have run. */
-    @Test(dataProvider = "deaths")
+    /** If no complete response arrives after a byte was sent, the request may have run. */
+    @Test(dataProvider = "connectionLosses")
     public void mayHaveRun(String name, ScriptedServer.Script script) throws Exception {
       try (ScriptedServer server = new ScriptedServer(script)) {
-        CompletableFuture<Object> outcome = send(server, Methods.POST, LONG);
+        CompletableFuture<Object> outcome = send(server, Methods.POST, LONG_TIMEOUT_NANOS);
         assertFailure(outcome, FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN);
         server.next();
-        assertEquals(server.waitingRequests(), 0, "sent once: " + name);
+        assertEquals(
+            server.waitingRequests(), 0, "request was sent again after connection loss " + name);
       }
     }
 
-    /** No connection, no run. */
+    /** A request whose connection is refused was not sent. */
     @Test
     public void refusedConnectIsNotSent() throws Exception {
-      InetSocketAddress nobody;
+      InetSocketAddress unusedAddress;
       try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.ofLiteral("127.0.0.1"))) {
-        nobody = (InetSocketAddress) closed.getLocalSocketAddress();
+        unusedAddress = (InetSocketAddress) closed.getLocalSocketAddress();
       }
       assertFailure(
-          send(nobody, Methods.POST, LONG), FailureCause.CONNECT_FAILED, Exposure.NOT_SENT);
-      assertEquals(client.openConnections(new UpstreamAddress(nobody)), 0);
+          send(unusedAddress, Methods.POST, LONG_TIMEOUT_NANOS),
+          FailureCause.CONNECT_FAILED,
+          Exposure.NOT_SENT);
+      assertEquals(client.openConnections(new UpstreamAddress(unusedAddress)), 0);
     }
 
-    /** A pooled connection that closes under a request counts as sent, and nothing is repeated. */
+    /** A request on a pooled connection that closes during it counts as sent; it is not retried. */
     @Test
     public void pooledConnectionClosedUnderRequest() throws Exception {
       AtomicInteger requests = new AtomicInteger();
@@ -216,16 +219,18 @@
                   a.socket().close();
                 }
               })) {
-        assertEquals(status(send(server, Methods.POST, LONG)), 200);
+        assertEquals(status(send(server, Methods.POST, LONG_TIMEOUT_NANOS)), 200);
         assertFailure(
-            send(server, Methods.POST, LONG), FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN);
-        assertEquals(requests.get(), 2, "never sent again");
+            send(server, Methods.POST, LONG_TIMEOUT_NANOS),
+            FailureCause.CONNECTION_LOST,
+            Exposure.MAY_HAVE_RUN);
+        assertEquals(requests.get(), 2, "requests received, without a retry");
       }
     }
 
     /** A connection that the upstream closes while idle is replaced without a failure. */
     @Test
-    public void idleConnectionClosed() throws Exception {
+    public void idleConnectionIsReplaced() throws Exception {
       CountDownLatch closed = new CountDownLatch(1);
       try (ScriptedServer server =
           new ScriptedServer(
@@ -234,8 +239,8 @@
                 closed.countDown();
               })) {
         for (int i = 0; i < 20; i++) {
-          Object done = get(send(server, Methods.POST, LONG));
-          // The close may overtake the pool, but then nothing was written or it may have run.
+          Object done = get(send(server, Methods.POST, LONG_TIMEOUT_NANOS));
+          // The client may learn of the close only after writing; then the request may have run.
           if (done instanceof UpstreamFailure failure) {
             assertEquals(failure.exposure(), Exposure.MAY_HAVE_RUN, failure.detail());
           }
@@ -244,40 +249,43 @@
       }
     }
 
-    /** An upstream that closes its sending side after a whole answer has answered. */
+    /** A complete response counts, even if the upstream then closes its sending side. */
     @Test
-    public void halfClosedAfterAnswer() throws Exception {
+    public void halfClosedAfterResponse() throws Exception {
       try (ScriptedServer server =
           new ScriptedServer((q, a) -> a.whole(200, "ok").socket().shutdownOutput())) {
-        assertEquals(status(send(server, Methods.GET, LONG)), 200);
+        assertEquals(status(send(server, Methods.GET, LONG_TIMEOUT_NANOS)), 200);
       }
     }
 
-    /** A stream that ends without its end marker is lost, however orderly it ends. */
+    /** A stream without its end marker is a lost connection, even if its chunked body ends. */
     @Test
-    public void streamWithoutEnd() throws Exception {
+    public void streamWithoutEndMarker() throws Exception {
       try (ScriptedServer server =
           new ScriptedServer((q, a) -> a.startEvents().token(0, "a").raw("0\r\n\r\n"))) {
-        assertFailure(decode(server, LONG), FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN);
+        assertFailure(
+            decode(server, LONG_TIMEOUT_NANOS),
+            FailureCause.CONNECTION_LOST,
+            Exposure.MAY_HAVE_RUN);
       }
     }
 
-    /** A stream whose connection breaks after its end marker is whole. */
+    /** A stream is complete if its connection closes only after the end marker. */
     @Test
-    public void streamBrokenAfterEnd() throws Exception {
+    public void streamBrokenAfterEndMarker() throws Exception {
       try (ScriptedServer server =
           new ScriptedServer(
               (q, a) -> a.startEvents().token(0, "a").chunk("data: [DONE]\n\n").socket().close())) {
-        assertEquals(get(decode(server, LONG)), List.of(new Token(0, "a", "")));
+        assertEquals(get(decode(server, LONG_TIMEOUT_NANOS)), List.of(new Token(0, "a", "")));
       }
     }
   }
 
-  /** Answers that are no success. */
-  public static class Refused extends WithClient {
-    /** Status, code, and what they mean. */
+  /** Error responses and responses that cannot be used. */
+  public static class BadResponses extends WithClient {
+    /** Returns status and error code of a response, and the expected failure. */
     @DataProvider
-    public Object[][] table() {
+    public Object[][] errorResponses() {
       return new Object[][] {
         {503, "no_slot", FailureCause.NO_SLOT, Exposure.REFUSED},
         {503, "busy", FailureCause.BUSY, Exposure.REFUSED},
@@ -289,51 +297,53 @@
       };
     }
 
-    /** Only documented refusals count as not run. */
-    @Test(dataProvider = "table")
-    public void engine(int status, String code, FailureCause cause, Exposure exposure)
-        throws Exception {
+    /** Only documented refusals are known not to have run. */
+    @Test(dataProvider = "errorResponses")
+    public void engineErrorMapsToFailure(
+        int status, String code, FailureCause cause, Exposure exposure) throws Exception {
       try (ScriptedServer server =
           new ScriptedServer(
               (q, a) -> a.whole(status, "{\"error\":{\"code\":\"" + code + "\"}}"))) {
-        assertFailure(decode(server, LONG), cause, exposure);
+        assertFailure(decode(server, LONG_TIMEOUT_NANOS), cause, exposure);
       }
     }
 
-    /** What can not be read, or is too large, is a bad answer. */
+    /** An event that cannot be parsed, or an oversized event or response, is a bad answer. */
     @Test
-    public void unusable() throws Exception {
+    public void unreadableOrOversizedResponse() throws Exception {
       try (ScriptedServer text =
               new ScriptedServer((q, a) -> a.startEvents().chunk("data: {\n\n").done());
           ScriptedServer endless =
               new ScriptedServer((q, a) -> a.startEvents().chunk("data: " + "x".repeat(600)));
           ScriptedServer large =
-              new ScriptedServer((q, a) -> a.whole(200, "x".repeat(MAX_ANSWER + 1)))) {
+              new ScriptedServer((q, a) -> a.whole(200, "x".repeat(MAX_RESPONSE_BYTES + 1)))) {
         FailureCause bad = FailureCause.BAD_ANSWER;
-        assertFailure(decode(text, LONG), bad, Exposure.MAY_HAVE_RUN);
-        assertFailure(decode(endless, LONG), bad, Exposure.MAY_HAVE_RUN);
-        assertFailure(send(large, Methods.GET, LONG), bad, Exposure.MAY_HAVE_RUN);
+        assertFailure(decode(text, LONG_TIMEOUT_NANOS), bad, Exposure.MAY_HAVE_RUN);
+        assertFailure(decode(endless, LONG_TIMEOUT_NANOS), bad, Exposure.MAY_HAVE_RUN);
+        assertFailure(send(large, Methods.GET, LONG_TIMEOUT_NANOS), bad, Exposure.MAY_HAVE_RUN);
       }
     }
   }
 
-  /** Upstreams that do not answer, and requests that wait. */
-  public static class Waiting extends WithClient {
-    /** An answer that does not come in time may have run; its connection is given up. */
+  /** Upstreams that do not respond, and requests that wait for a connection. */
+  public static class TimeoutsAndQueueing extends WithClient {
+    /** A request without a response within the timeout may have run; it is abandoned. */
     @Test
     public void timesOut() throws Exception {
       CountDownLatch never = new CountDownLatch(1);
       try (ScriptedServer server = new ScriptedServer((q, a) -> never.await())) {
         assertFailure(
-            send(server, Methods.POST, SHORT), FailureCause.TIMED_OUT, Exposure.MAY_HAVE_RUN);
+            send(server, Methods.POST, SHORT_TIMEOUT_NANOS),
+            FailureCause.TIMED_OUT,
+            Exposure.MAY_HAVE_RUN);
         server.next();
       }
       never.countDown();
     }
 
-    /** A stream that falls silent times out, however long it spoke before. */
+    /** A stream that sends no more data times out, even after it has sent tokens. */
     @Test
-    public void silenceTimesOut() throws Exception {
+    public void idleStreamTimesOut() throws Exception {
       CountDownLatch never = new CountDownLatch(1);
       try (ScriptedServer server =
           new ScriptedServer(
@@ -341,43 +351,48 @@
                 a.startEvents().token(0, "a");
                 never.await();
               })) {
-        assertFailure(decode(server, SHORT), FailureCause.TIMED_OUT, Exposure.MAY_HAVE_RUN);
+        assertFailure(
+            decode(server, SHORT_TIMEOUT_NANOS), FailureCause.TIMED_OUT, Exposure.MAY_HAVE_RUN);
       }
       never.countDown();
     }
 
-    /** Connections are capped, those who wait are served in turn, and too many are refused. */
+    /**
+     * Connections are limited, queued requests are sent in order, and a full queue refuses more.
+     */
     @Test
     public void capsConnections() throws Exception {
-      Semaphore go = new Semaphore(0);
+      Semaphore allowedResponses = new Semaphore(0);
       try (ScriptedServer server =
           new ScriptedServer(
               (q, a) -> {
-                go.acquire();
+                allowedResponses.acquire();
                 a.whole(200, "ok");
               })) {
         List<CompletableFuture<Object>> sent = new ArrayList<>();
         for (int i = 0; i < MAX_CONNECTIONS + 2; i++) {
-          sent.add(send(server, Methods.POST, LONG));
+          sent.add(send(server, Methods.POST, LONG_TIMEOUT_NANOS));
         }
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
           server.next();
         }
         assertFailure(
-            send(server, Methods.POST, LONG), FailureCause.CONNECT_FAILED, Exposure.NOT_SENT);
+            send(server, Methods.POST, LONG_TIMEOUT_NANOS),
+            FailureCause.CONNECT_FAILED,
+            Exposure.NOT_SENT);
         assertEquals(
             client.openConnections(new UpstreamAddress(server.address())), MAX_CONNECTIONS);
         assertEquals(server.waitingRequests(), 0);
-        go.release(sent.size());
-        for (CompletableFuture<Object> one : sent) {
-          assertEquals(status(one), 200);
+        allowedResponses.release(sent.size());
+        for (CompletableFuture<Object> outcome : sent) {
+          assertEquals(status(outcome), 200);
         }
       }
     }
 
-    /** A request that is given up just as it gets its connection was not sent, and never is. */
+    /** A request aborted between getting its connection and using it is never sent. */
     @Test
-    public void givenUpBeforeSend() throws Exception {
+    public void abortedBeforeSend() throws Exception {
       try (ScriptedServer server = new ScriptedServer((q, a) -> a.whole(200, "ok"));
           HttpWorker oneThread = new HttpWorker(1);
           UpstreamClient single =
@@ -387,7 +402,7 @@
         start(single, to, warm);
         assertEquals(status(warm), 200);
         CompletableFuture<Object> outcome = new CompletableFuture<>();
-        // On its own thread the connection is lent at once, and used in a later task.
+        // On the I/O thread, the pool supplies the connection at once; a later task uses it.
         oneThread.worker().getIoThread().execute(() -> start(single, to, outcome).abort());
         assertFailure(outcome, FailureCause.CONNECT_FAILED, Exposure.NOT_SENT);
         CompletableFuture<Object> next = new CompletableFuture<>();
@@ -404,31 +419,33 @@
       return client.send(
           to,
           new UpstreamRequest(Methods.POST, "/x", ImmutableListMultimap.of(), new byte[1]),
-          AnswerTimeout.whole(LONG),
+          AnswerTimeout.whole(LONG_TIMEOUT_NANOS),
           ConnectionUse.REQUEST,
-          new WholeAnswer(MAX_ANSWER, outcome::complete, outcome::complete));
+          new WholeAnswer(MAX_RESPONSE_BYTES, outcome::complete, outcome::complete));
     }
 
-    /** A request that never got a connection in time was not sent, and never is. */
+    /** A request that times out while it waits for a connection is never sent. */
     @Test
-    public void timesOutUnsent() throws Exception {
-      Semaphore go = new Semaphore(0);
+    public void timesOutBeforeSend() throws Exception {
+      Semaphore allowedResponses = new Semaphore(0);
       try (ScriptedServer server =
           new ScriptedServer(
               (q, a) -> {
-                go.acquire();
+                allowedResponses.acquire();
                 a.whole(200, "ok");
               })) {
         List<CompletableFuture<Object>> sent = new ArrayList<>();
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
-          sent.add(send(server, Methods.POST, LONG));
+          sent.add(send(server, Methods.POST, LONG_TIMEOUT_NANOS));
           server.next();
         }
         assertFailure(
-            send(server, Methods.POST, SHORT), FailureCause.CONNECT_FAILED, Exposure.NOT_SENT);
-        go.release(MAX_CONNECTIONS);
-        for (CompletableFuture<Object> one : sent) {
-          assertEquals(status(one), 200);
+            send(server, Methods.POST, SHORT_TIMEOUT_NANOS),
+            FailureCause.CONNECT_FAILED,
+            Exposure.NOT_SENT);
+        allowedResponses.release(MAX_CONNECTIONS);
+        for (CompletableFuture<Object> outcome : sent) {
+          assertEquals(status(outcome), 200);
         }
         assertEquals(server.waitingRequests(), 0);
       }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamPollerTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamPollerTest.java
@@ -29,35 +29,35 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Polls and sweeps of engines, on virtual time. */
+/** Tests of polls and orphan sweeps of engines; the test runs the poll timer itself. */
 public class UpstreamPollerTest {
-  private static final long LOAD = 250;
-  private static final long CACHE = 1_000;
+  private static final long LOAD_NANOS = 250;
+  private static final long CACHE_NANOS = 1_000;
 
-  /** A poller whose timer is worked by the test. */
+  /** Creates pollers whose scheduled tasks are run by the test. */
   public abstract static class WithPoller {
-    /** The delays and tasks that wait, in the order of their coming. */
-    protected final BlockingQueue<Delayed> timer = new LinkedBlockingQueue<>();
+    /** The scheduled tasks with their delays, in the order of scheduling. */
+    protected final BlockingQueue<DelayedTask> scheduled = new LinkedBlockingQueue<>();
 
-    /** What the poller told. */
+    /** The events from the poller. */
     protected final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
-    /** The time. */
+    /** The monotonic clock, nanoseconds. */
     protected final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(100));
 
-    /** Asks engines. */
+    /** The client for engines. */
     protected EngineClient engines;
 
     private HttpWorker worker;
     private UpstreamClient client;
 
-    /** A task of the timer. */
-    protected record Delayed(long nanos, Runnable task) {}
+    /** A task and its delay. */
+    protected record DelayedTask(long nanos, Runnable task) {}
 
     /** Starts the client. */
     @BeforeMethod
     public void start() {
-      timer.clear();
+      scheduled.clear();
       events.clear();
       worker = new HttpWorker(1);
       client = new UpstreamClient(worker, UpstreamClientSettings.DEFAULT, System::nanoTime);
@@ -73,11 +73,12 @@
 
     UpstreamPoller poller(double random) {
       PollSettings settings =
-          new PollSettings(LOAD, CACHE, TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS), 0.2);
+          new PollSettings(
+              LOAD_NANOS, CACHE_NANOS, TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS), 0.2);
       return new UpstreamPoller(
           engines,
           settings,
-          (nanos, task) -> timer.add(new Delayed(nanos, task)),
+          (nanos, task) -> scheduled.add(new DelayedTask(nanos, task)),
           clock::get,
           () -> random,
           events::add);
@@ -87,15 +88,15 @@
       return new PollTarget(new UpstreamName(name), new UpstreamAddress(server.address()));
     }
 
-    Delayed nextTask() throws InterruptedException {
-      Delayed task = timer.poll(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
-      assertTrue(task != null, "nothing is planned");
+    DelayedTask nextTask() throws InterruptedException {
+      DelayedTask task = scheduled.poll(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
+      assertTrue(task != null, "no task was scheduled");
       return task;
     }
 
     Event nextEvent() throws InterruptedException {
       Event event = events.poll(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
-      assertTrue(event != null, "no event came");
+      assertTrue(event != null, "the poller sent no event");
       return event;
     }
   }
@@ -103,10 +104,10 @@
   /** Polls of the load. */
   public static class Load extends WithPoller {
     /**
-     * A report is dated back by its age from when it was asked for, and the next poll is planned.
+     * A report describes the time of its request minus its age; then the next poll is scheduled.
      */
     @Test
-    public void reportsAndPlansNext() throws Exception {
+    public void reportsAndSchedulesNextPoll() throws Exception {
       try (ScriptedServer engine =
           new ScriptedServer(
               (q, a) ->
@@ -117,70 +118,73 @@
                           + "\"models\":[\"m\",\"not valid\"]}"))) {
         UpstreamPoller poller = poller(0.5);
         poller.setTargets(ImmutableSet.of(target("e", engine)));
-        Delayed first = nextTask();
-        assertEquals(first.nanos(), LOAD / 2, "the first poll is spread over a period");
+        DelayedTask first = nextTask();
+        assertEquals(
+            first.nanos(), LOAD_NANOS / 2, "delay of the first poll, spread over one interval");
         first.task().run();
         Event.LoadReported reported = (Event.LoadReported) nextEvent();
         assertEquals(reported.report().asOf(), clock.get() - TimeUnit.MILLISECONDS.toNanos(40));
         assertEquals(reported.report().running(), 3);
         assertEquals(reported.report().models().size(), 1);
-        assertEquals(nextTask().nanos(), CACHE / 2);
-        assertEquals(nextTask().nanos(), LOAD);
+        assertEquals(nextTask().nanos(), CACHE_NANOS / 2);
+        assertEquals(nextTask().nanos(), LOAD_NANOS);
       }
     }
 
-    /** An engine that can not be asked is told as such and asked again. */
+    /** An engine that does not respond is reported as unavailable and polled again. */
     @Test
-    public void tellsUnavailable() throws Exception {
+    public void reportsUnavailable() throws Exception {
       try (ScriptedServer engine = new ScriptedServer((q, a) -> a.socket().close())) {
         poller(1.0).setTargets(ImmutableSet.of(target("e", engine)));
         nextTask().task().run();
         assertTrue(nextEvent() instanceof Event.LoadUnavailable);
-        assertEquals(nextTask().nanos(), CACHE);
-        assertEquals(nextTask().nanos(), LOAD + LOAD / 5, "with jitter");
+        assertEquals(nextTask().nanos(), CACHE_NANOS);
+        assertEquals(
+            nextTask().nanos(), LOAD_NANOS + LOAD_NANOS / 5, "delay of the next poll, with jitter");
       }
     }
 
-    /** A target that is taken out is polled no more; one that stays is not disturbed. */
+    /** A removed target is not polled again; polling of a remaining one is not restarted. */
     @Test
-    public void followsTargets() throws Exception {
+    public void pollsOnlyCurrentTargets() throws Exception {
       try (ScriptedServer engine = new ScriptedServer((q, a) -> a.whole(200, "{}"))) {
         UpstreamPoller poller = poller(0.0);
         PollTarget one = target("one", engine);
         PollTarget two = target("two", engine);
         poller.setTargets(ImmutableSet.of(one));
-        Deque<Delayed> ofOne = new ArrayDeque<>();
-        timer.drainTo(ofOne);
+        Deque<DelayedTask> tasksOfOne = new ArrayDeque<>();
+        scheduled.drainTo(tasksOfOne);
         poller.setTargets(ImmutableSet.of(one, two));
-        assertEquals(timer.size(), 2, "only the new one is started");
-        timer.clear();
+        assertEquals(
+            scheduled.size(), 2, "number of tasks, which are scheduled for the new target only");
+        scheduled.clear();
         poller.setTargets(ImmutableSet.of(two));
-        ofOne.forEach(d -> d.task().run());
+        tasksOfOne.forEach(d -> d.task().run());
         assertEquals(engine.waitingRequests(), 0);
-        assertEquals(timer.size(), 0);
+        assertEquals(scheduled.size(), 0);
       }
     }
   }
 
   /** Polls of cache events. */
   public static class Cache extends WithPoller {
-    /** Each event is told once and in order; a new incarnation is read from its beginning. */
+    /** Each event is delivered once and in order; a new incarnation is read from its start. */
     @Test
-    public void followsCursor() throws Exception {
-      String[] answers = {
+    public void deliversEventsOnceInOrder() throws Exception {
+      String[] responses = {
         "{\"incarnation\":1,\"events\":[{\"seq\":7,\"stored\":[],\"removed\":[\"02\"]},"
             + "{\"seq\":4,\"stored\":[\"ffffffffffffffff\"],\"removed\":[]}]}",
         "{\"incarnation\":1,\"events\":[{\"seq\":7,\"stored\":[],\"removed\":[\"02\"]}]}",
         "{\"incarnation\":2,\"events\":[{\"seq\":9,\"stored\":[],\"removed\":[]}]}",
         "{\"incarnation\":2,\"events\":[{\"seq\":1,\"stored\":[\"03\"],\"removed\":[]}]}",
       };
-      AtomicInteger asked = new AtomicInteger();
+      AtomicInteger requestCount = new AtomicInteger();
       try (ScriptedServer engine =
-          new ScriptedServer((q, a) -> a.whole(200, answers[asked.getAndIncrement()]))) {
+          new ScriptedServer((q, a) -> a.whole(200, responses[requestCount.getAndIncrement()]))) {
         UpstreamPoller poller = poller(0.5);
         poller.setTargets(ImmutableSet.of(target("e", engine)));
         nextTask();
-        for (int i = 0; i < answers.length; i++) {
+        for (int i = 0; i < responses.length; i++) {
           nextTask().task().run();
           assertEquals(
               engine.next().target(), "/v1/cache/events?after=" + (i == 0 || i == 3 ? 0 : 7));
@@ -198,11 +202,11 @@
     }
   }
 
-  /** Sweeps of orphans. */
+  /** Sweeps that cancel orphans at engines. */
   public static class Orphans extends WithPoller {
-    /** Only requests of dead starts are cancelled, and failed cancels are counted. */
+    /** Only requests of ended node incarnations are cancelled; failed cancels are counted. */
     @Test
-    public void touchesDeadOnly() throws Exception {
+    public void cancelsOnlyRequestsOfEndedNodes() throws Exception {
       BlockingQueue<String> cancelled = new LinkedBlockingQueue<>();
       try (ScriptedServer engine =
           new ScriptedServer(
@@ -218,13 +222,13 @@
                   a.whole(q.target().endsWith("2") ? 500 : 200, "{\"state\":\"cancelled\"}");
                 }
               })) {
-        EngineRequestId.Origin dead =
+        EngineRequestId.Origin ended =
             new EngineRequestId.Origin(new HostName("n1"), new Incarnation(7));
         OrphanSweep sweep =
             new OrphanSweep(engines, TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS));
         OrphanSweep.Result result =
             sweep
-                .sweep(new UpstreamAddress(engine.address()), dead::equals)
+                .sweep(new UpstreamAddress(engine.address()), ended::equals)
                 .get(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
         assertEquals(result, new OrphanSweep.Result(6, 1, 1));
         assertEquals(
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/package-info.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of requests to upstreams. */
+/** Tests of HTTP requests to upstreams and of polling engines. */
 package org.larkkeel.http.upstream;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/AnswerTimeout.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/AnswerTimeout.java
@@ -7,38 +7,40 @@
 package org.larkkeel.http.upstream;
 
 /**
- * When a request is given up.
+ * The timeout after which a request to an upstream is abandoned.
  *
- * @param kind what the time limits
- * @param nanos the limit, nanoseconds, at least 1
+ * <p>Immutable and safe for use by several threads.
+ *
+ * @param kind the period that the timeout limits
+ * @param nanos the timeout, nanoseconds, at least 1
  * @since 0.1
  */
 public record AnswerTimeout(Kind kind, long nanos) {
-  /** What a timeout limits. */
+  /** The period that a timeout limits. */
   public enum Kind {
-    /** The time from the start to the end of the answer. */
-    WHOLE_ANSWER,
-    /** The longest time in which nothing arrives. */
-    SILENCE
+    /** The time from the start of the request to the end of the response. */
+    TOTAL,
+    /** The time without any data from the upstream. */
+    IDLE
   }
 
   /**
-   * Limits the whole answer.
+   * Limits the total time of a request, to the end of the response.
    *
-   * @param nanos nanoseconds from the start
+   * @param nanos nanoseconds from the start of the request
    * @return the timeout
    */
   public static AnswerTimeout whole(long nanos) {
-    return new AnswerTimeout(Kind.WHOLE_ANSWER, nanos);
+    return new AnswerTimeout(Kind.TOTAL, nanos);
   }
 
   /**
-   * Limits the silence between parts of an answer.
+   * Limits the time between parts of a response.
    *
-   * @param nanos nanoseconds without a byte
+   * @param nanos nanoseconds without a received byte
    * @return the timeout
    */
   public static AnswerTimeout silence(long nanos) {
-    return new AnswerTimeout(Kind.SILENCE, nanos);
+    return new AnswerTimeout(Kind.IDLE, nanos);
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/CacheCursor.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/CacheCursor.java
@@ -17,30 +17,32 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * How far the cache events of one engine were read.
+ * The read position in the cache events of one engine.
  *
- * <p>Invariant: each event of an incarnation is given out at most once and in order. A new
- * incarnation counts from 0 again, so the first answer of one is read anew from its beginning. Safe
+ * <p>Invariant: each event of an incarnation is returned at most once and in order. A new
+ * incarnation counts from 0 again. If its first response was requested after a sequence number of
+ * the previous incarnation, it may lack events: it is dropped, and the next poll reads from 0. Safe
  * for use by several threads.
  */
 final class CacheCursor {
-  private static final int HEX = 16;
+  private static final int HEX_RADIX = 16;
 
   private long incarnation;
-  private long after;
+  private long lastSequence;
 
-  /** The last sequence number that was read. */
-  synchronized long after() {
-    return after;
+  /** Returns the last sequence number that was read; 0 if none was. */
+  synchronized long lastSequence() {
+    return lastSequence;
   }
 
+  /** Returns the events of a response that were not read before, by ascending sequence number. */
   synchronized ImmutableList<Event> read(UpstreamName upstream, JsonNode body, long now) {
-    long start = body.path("incarnation").asLong();
-    if (start != incarnation) {
-      boolean skipped = after > 0;
-      incarnation = start;
-      after = 0;
-      if (skipped) {
+    long reportedIncarnation = body.path("incarnation").asLong();
+    if (reportedIncarnation != incarnation) {
+      boolean eventsSkipped = lastSequence > 0;
+      incarnation = reportedIncarnation;
+      lastSequence = 0;
+      if (eventsSkipped) {
         return ImmutableList.of();
       }
     }
@@ -50,13 +52,13 @@
     ImmutableList.Builder<Event> events = ImmutableList.builder();
     for (JsonNode event : sorted) {
       long sequence = event.path("seq").asLong();
-      if (sequence > after) {
-        after = sequence;
+      if (sequence > lastSequence) {
+        lastSequence = sequence;
         events.add(
             new Event.CacheChanged(
                 now,
                 upstream,
-                new Incarnation(start),
+                new Incarnation(reportedIncarnation),
                 sequence,
                 keys(event.path("stored")),
                 keys(event.path("removed"))));
@@ -65,13 +67,13 @@
     return events.build();
   }
 
-  private static ImmutableLongArray keys(JsonNode hex) {
+  private static ImmutableLongArray keys(JsonNode hexKeys) {
     ImmutableLongArray.Builder keys = ImmutableLongArray.builder();
-    for (JsonNode key : hex) {
+    for (JsonNode key : hexKeys) {
       try {
-        keys.add(Long.parseUnsignedLong(key.asText(), HEX));
+        keys.add(Long.parseUnsignedLong(key.asText(), HEX_RADIX));
       } catch (NumberFormatException e) {
-        // Not a key; what it stood for is just not known to be cached.
+        // Skips the invalid key; what it stands for is then not known to be cached.
       }
     }
     return keys.build();
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ConfiguredUpstreams.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ConfiguredUpstreams.java
@@ -13,21 +13,21 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * The upstreams of one configuration.
+ * The upstream addresses of one configuration.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param addresses addresses by name
+ * @param addresses the addresses by upstream name
  * @since 0.1
  */
 public record ConfiguredUpstreams(ImmutableMap<UpstreamName, UpstreamAddress> addresses)
     implements UpstreamDirectory {
   /**
-   * Indexes the upstreams of a configuration.
+   * Collects the upstream addresses of a configuration.
    *
    * @param configuration the configuration in force
    * @return the directory
-   * @throws IllegalArgumentException if an address is not an IP number and a port
+   * @throws IllegalArgumentException if an address is not an IP address and a port
    */
   public static ConfiguredUpstreams of(Configuration configuration) {
     ImmutableMap.Builder<UpstreamName, UpstreamAddress> addresses = ImmutableMap.builder();
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ConnectProbe.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ConnectProbe.java
@@ -19,36 +19,36 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Finds out whether a process listens at an address, by a connection that carries nothing.
+ * Probes whether a process listens at an address by opening a TCP connection without sending data.
  *
- * <p>Used on its I/O thread only.
+ * <p>Confined to its I/O thread.
  *
  * @since 0.1
  */
 public final class ConnectProbe {
-  private static final long PATIENCE_MILLIS = 500;
+  private static final long TIMEOUT_MILLIS = 500;
 
   private final XnioIoThread thread;
 
-  /** Connects on an I/O thread. */
+  /** Creates a probe that runs on the given I/O thread. */
   public ConnectProbe(XnioIoThread thread) {
     this.thread = thread;
   }
 
   /**
-   * Connects once.
+   * Starts one connection attempt.
    *
-   * @param address where
-   * @param done gets the result, once, on the I/O thread
+   * @param address the address to connect to
+   * @param done receives the result, exactly once, on the I/O thread
    */
   public void start(InetSocketAddress address, Consumer<ProbeResult> done) {
     IoFuture<StreamConnection> connecting =
         thread.openStreamConnection(address, IoUtils::safeClose, OptionMap.EMPTY);
-    XnioExecutor.Key patience =
-        thread.executeAfter(connecting::cancel, PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    XnioExecutor.Key timeout =
+        thread.executeAfter(connecting::cancel, TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     connecting.addNotifier(
         (future, nothing) -> {
-          patience.remove();
+          timeout.remove();
           ProbeResult result = result(future);
           thread.execute(() -> done.accept(result));
         },
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ConnectionPool.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ConnectionPool.java
@@ -23,11 +23,11 @@
 import org.xnio.OptionMap;
 
 /**
- * The connections to one upstream.
+ * A bounded pool of connections to one upstream.
  *
  * <p>Invariants: at most {@code maxConnections} connections are open or being opened for requests,
- * and {@code reservedConnections} more for urgent use; a connection is idle, or lent to exactly one
- * request. Safe for use by several threads; callbacks run outside the lock.
+ * plus {@code reservedConnections} for urgent use; a connection is either idle or assigned to
+ * exactly one request. Safe for use by several threads; callbacks run outside the lock.
  */
 final class ConnectionPool {
   private static final OptionMap OPTIONS =
@@ -38,8 +38,8 @@
   private final HttpWorker worker;
   private final LongSupplier clock;
   private final Deque<PooledConnection> idle = new ArrayDeque<>();
-  private final Deque<Waiter> waiting = new ArrayDeque<>();
-  private int open;
+  private final Deque<Waiter> waiters = new ArrayDeque<>();
+  private int openCount;
 
   ConnectionPool(
       UpstreamAddress address,
@@ -52,49 +52,52 @@
     this.clock = clock;
   }
 
-  /** Waits for a connection. Exactly one of its methods is called, once. */
+  /**
+   * A request that needs a connection. For each {@code acquire}, exactly one of {@link
+   * #onConnection} and {@link #onUnavailable} is called, once.
+   */
   interface Waiter {
-    /** Takes a connection; it must be released. */
-    void ready(PooledConnection connection);
+    /** Receives a connection, which must be released. */
+    void onConnection(PooledConnection connection);
 
-    /** No connection can be had. */
-    void unavailable(String detail);
+    /** Is notified that no connection is available. */
+    void onUnavailable(String detail);
 
-    /** Tells whether the connection is no longer wanted. */
-    boolean abandoned();
+    /** Returns whether the connection is no longer needed. */
+    boolean isAbandoned();
 
-    /** Tells whether the reserved connections may be used. */
-    boolean urgent();
+    /** Returns whether the reserved connections may be used. */
+    boolean isUrgent();
 
-    /** Tells whether a connection that was used before will do. */
-    boolean acceptsUsed();
+    /** Returns whether an idle connection of the pool may be reused. */
+    boolean acceptsReused();
   }
 
   void acquire(Waiter waiter) {
     PooledConnection found;
-    boolean refused = false;
+    boolean queueFull = false;
     synchronized (this) {
-      found = waiter.acceptsUsed() ? pollIdle() : null;
-      if (found == null && open < limit(waiter)) {
-        open++;
+      found = waiter.acceptsReused() ? pollIdle() : null;
+      if (found == null && openCount < connectionLimit(waiter)) {
+        openCount++;
       } else if (found == null) {
-        refused = waiting.size() >= settings.maxWaiting() && !dropAbandoned();
-        if (!refused) {
+        queueFull = waiters.size() >= settings.maxWaiting() && !dropAbandoned();
+        if (!queueFull) {
           enqueue(waiter);
           return;
         }
       }
     }
-    if (refused) {
-      waiter.unavailable("too many requests wait for a connection");
+    if (queueFull) {
+      waiter.onUnavailable("the queue for connections to the upstream is full");
     } else if (found != null) {
-      waiter.ready(found);
+      waiter.onConnection(found);
     } else {
       connect(waiter);
     }
   }
 
-  /** Takes a connection back. */
+  /** Returns a connection to the pool, or closes it if it cannot be reused. */
   void release(PooledConnection connection, boolean reusable) {
     if (!reusable || !connection.isOpen()) {
       IoUtils.safeClose(connection.connection());
@@ -102,51 +105,51 @@
     }
     Waiter next;
     synchronized (this) {
-      next = pollWaiting();
+      next = pollWaiter();
       if (next == null) {
         connection.idleSince(clock.getAsLong());
         idle.addFirst(connection);
       }
     }
     if (next != null) {
-      next.ready(connection);
+      next.onConnection(connection);
     }
   }
 
-  /** Closes the connections that were idle for too long. */
+  /** Closes the connections that have been idle for at least {@code idleNanos}. */
   void closeIdle(long now, long idleNanos) {
-    List<PooledConnection> old = new ArrayList<>();
+    List<PooledConnection> expired = new ArrayList<>();
     synchronized (this) {
       for (Iterator<PooledConnection> i = idle.iterator(); i.hasNext(); ) {
         PooledConnection candidate = i.next();
         if (now - candidate.idleSince() >= idleNanos) {
           i.remove();
-          old.add(candidate);
+          expired.add(candidate);
         }
       }
     }
-    old.forEach(c -> IoUtils.safeClose(c.connection()));
+    expired.forEach(c -> IoUtils.safeClose(c.connection()));
   }
 
   synchronized int openConnections() {
-    return open;
+    return openCount;
   }
 
-  private int limit(Waiter waiter) {
-    return settings.maxConnections() + (waiter.urgent() ? settings.reservedConnections() : 0);
+  private int connectionLimit(Waiter waiter) {
+    return settings.maxConnections() + (waiter.isUrgent() ? settings.reservedConnections() : 0);
   }
 
   private void enqueue(Waiter waiter) {
-    if (waiter.urgent()) {
-      waiting.addFirst(waiter);
+    if (waiter.isUrgent()) {
+      waiters.addFirst(waiter);
     } else {
-      waiting.addLast(waiter);
+      waiters.addLast(waiter);
     }
   }
 
-  /** Forgets requests that were given up; says whether there were any. */
+  /** Removes abandoned requests from the queue; returns whether there were any. */
   private boolean dropAbandoned() {
-    return waiting.removeIf(Waiter::abandoned);
+    return waiters.removeIf(Waiter::isAbandoned);
   }
 
   private PooledConnection pollIdle() {
@@ -157,10 +160,10 @@
     return candidate;
   }
 
-  private Waiter pollWaiting() {
-    Waiter next = waiting.pollFirst();
-    while (next != null && next.abandoned()) {
-      next = waiting.pollFirst();
+  private Waiter pollWaiter() {
+    Waiter next = waiters.pollFirst();
+    while (next != null && next.isAbandoned()) {
+      next = waiters.pollFirst();
     }
     return next;
   }
@@ -172,13 +175,13 @@
             new ClientCallback<ClientConnection>() {
               @Override
               public void completed(ClientConnection connection) {
-                opened(connection, waiter);
+                onOpened(connection, waiter);
               }
 
               @Override
               public void failed(IOException e) {
-                closed();
-                waiter.unavailable(String.valueOf(e.getMessage()));
+                onClosed();
+                waiter.onUnavailable(String.valueOf(e.getMessage()));
               }
             },
             uri,
@@ -187,25 +190,25 @@
             OPTIONS);
   }
 
-  private void opened(ClientConnection connection, Waiter waiter) {
+  private void onOpened(ClientConnection connection, Waiter waiter) {
     PooledConnection pooled = new PooledConnection(connection, this);
     connection.addCloseListener(
         c -> {
           synchronized (this) {
             idle.remove(pooled);
           }
-          closed();
+          onClosed();
         });
-    waiter.ready(pooled);
+    waiter.onConnection(pooled);
   }
 
-  private void closed() {
+  private void onClosed() {
     Waiter next;
     synchronized (this) {
-      open--;
-      next = pollWaiting();
+      openCount--;
+      next = pollWaiter();
       if (next != null) {
-        open++;
+        openCount++;
       }
     }
     if (next != null) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ConnectionUse.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ConnectionUse.java
@@ -7,13 +7,13 @@
 package org.larkkeel.http.upstream;
 
 /**
- * Which connections of a pool a request may use.
+ * The connections of a pool that a request may use.
  *
  * @since 0.1
  */
 public enum ConnectionUse {
-  /** The connections for requests. */
+  /** Only the connections for requests. */
   REQUEST,
-  /** The reserved ones as well: cancels and polls, which free or protect capacity. */
+  /** Also the reserved connections: for cancels and polls, which free or protect capacity. */
   CONTROL
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/DecodeResponse.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/DecodeResponseHandler.java
@@ -16,25 +16,25 @@
 import org.larkkeel.http.Json;
 
 /**
- * Reads the stream of a decode.
+ * Parses the token stream of a decode.
  *
- * <p>The answer counts as complete only with its end marker; a connection that ends before it is
- * lost. Used on one I/O thread.
+ * <p>The response is complete only with its end marker; a stream that ends earlier counts as a lost
+ * connection. Confined to one I/O thread.
  */
-final class DecodeResponse implements ResponseHandler {
-  private static final String END = "[DONE]";
+final class DecodeResponseHandler implements ResponseHandler {
+  private static final String END_MARKER = "[DONE]";
 
   private final TokenStream stream;
   private final SseParser parser;
-  private final WholeAnswer refusal;
+  private final WholeAnswer errorResponse;
   private boolean streaming;
-  private boolean done;
-  private UpstreamFailure unusable;
+  private boolean hasEndMarker;
+  private UpstreamFailure eventFailure;
 
-  DecodeResponse(UpstreamClientSettings settings, TokenStream stream) {
+  DecodeResponseHandler(UpstreamClientSettings settings, TokenStream stream) {
     this.stream = stream;
-    this.parser = new SseParser(settings.maxEventBytes(), this::event);
-    this.refusal =
+    this.parser = new SseParser(settings.maxEventBytes(), this::onEvent);
+    this.errorResponse =
         new WholeAnswer(
             settings.maxAnswerBytes(),
             a -> stream.onFailure(Refusals.ofEngine(a)),
@@ -45,62 +45,63 @@
   public void onHeaders(int status, HeaderMap headers) {
     streaming = status == StatusCodes.OK;
     if (!streaming) {
-      refusal.onHeaders(status, headers);
+      errorResponse.onHeaders(status, headers);
     }
   }
 
   @Override
   public boolean onBody(ByteBuffer part) {
     if (!streaming) {
-      return refusal.onBody(part);
+      return errorResponse.onBody(part);
     }
     if (!parser.accept(part)) {
-      unusable = badAnswer("an event is too large");
+      eventFailure = badResponse("an event of the stream exceeds the size limit");
     }
-    return unusable == null;
+    return eventFailure == null;
   }
 
   @Override
   public void onEnd() {
     if (!streaming) {
-      refusal.onEnd();
-    } else if (done) {
+      errorResponse.onEnd();
+    } else if (hasEndMarker) {
       stream.onDone();
     } else {
       stream.onFailure(
-          UpstreamFailure.mayHaveRun(FailureCause.CONNECTION_LOST, "the stream has no end"));
+          UpstreamFailure.mayHaveRun(
+              FailureCause.CONNECTION_LOST, "the stream ended without its end marker"));
     }
   }
 
   @Override
   public void onFailure(UpstreamFailure failure) {
-    if (done) {
-      // All tokens are there; only the end of the connection was not clean.
+    if (hasEndMarker) {
+      // All tokens have been received; only the connection was not closed cleanly.
       stream.onDone();
     } else if (!streaming) {
-      refusal.onFailure(failure);
+      errorResponse.onFailure(failure);
     } else {
-      stream.onFailure(unusable == null ? failure : unusable);
+      stream.onFailure(eventFailure == null ? failure : eventFailure);
     }
   }
 
-  private void event(String data) {
-    if (done || unusable != null) {
+  private void onEvent(String data) {
+    if (hasEndMarker || eventFailure != null) {
       return;
     }
-    if (data.equals(END)) {
-      done = true;
+    if (data.equals(END_MARKER)) {
+      hasEndMarker = true;
       return;
     }
     Token token = parse(data);
     if (token == null) {
-      unusable = badAnswer("an event can not be read");
+      eventFailure = badResponse("an event of the stream cannot be parsed");
     } else if (!stream.onToken(token)) {
-      unusable = badAnswer("a token is missing");
+      eventFailure = badResponse("the token stream was rejected, such as for a missing token");
     }
   }
 
-  private static UpstreamFailure badAnswer(String detail) {
+  private static UpstreamFailure badResponse(String detail) {
     return UpstreamFailure.mayHaveRun(FailureCause.BAD_ANSWER, detail);
   }
 
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/EngineClient.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/EngineClient.java
@@ -22,7 +22,7 @@
 import org.larkkeel.http.Json;
 
 /**
- * The calls of the engine protocol.
+ * A client for the engine protocol.
  *
  * <p>Safe for use by several threads. Callbacks run on I/O threads and must not block.
  *
@@ -30,7 +30,7 @@
  */
 public final class EngineClient {
   private static final String COMPLETIONS = "/v1/completions";
-  private static final String IMPORTS = "/v1/kv/imports";
+  private static final String KV_IMPORTS = "/v1/kv/imports";
   private static final String REQUESTS = "/v1/requests";
   private static final String LOAD = "/v1/load";
   private static final String CACHE_EVENTS = "/v1/cache/events?after=";
@@ -42,19 +42,19 @@
   private final UpstreamClient client;
 
   /**
-   * Creates the calls.
+   * Creates a client.
    *
-   * @param client sends them
+   * @param client sends the requests
    */
   public EngineClient(UpstreamClient client) {
     this.client = client;
   }
 
   /**
-   * Takes the JSON answer of a call or its failure.
+   * Receives the JSON response of a call or its failure.
    *
-   * @param done takes the body of an answer with status 200
-   * @param failed takes everything else
+   * @param done receives the body of a response with status 200
+   * @param failed receives the failure in all other cases
    */
   public record JsonCallback(Consumer<JsonNode> done, Consumer<UpstreamFailure> failed) {}
 
@@ -63,10 +63,10 @@
    *
    * @param address the engine
    * @param id the id of the attempt
-   * @param body the completion asked for, with {@code model}, {@code prompt} and {@code priority}
-   * @param timeoutNanos limit of the whole call
-   * @param callback takes the answer
-   * @return a handle to give it up
+   * @param body the requested completion, with {@code model}, {@code prompt} and {@code priority}
+   * @param timeoutNanos the timeout of the complete call
+   * @param callback receives the response
+   * @return a handle to abort the request
    */
   public InFlight prefill(
       UpstreamAddress address,
@@ -85,10 +85,10 @@
    *
    * @param address the decode engine
    * @param id the id of the decode attempt
-   * @param kvParams what the prefill answered
-   * @param timeoutNanos limit of the whole call
-   * @param callback takes the answer
-   * @return a handle to give it up
+   * @param kvParams the transfer parameters from the response to the prefill
+   * @param timeoutNanos the timeout of the complete call
+   * @param callback receives the response
+   * @return a handle to abort the request
    */
   public InFlight importKv(
       UpstreamAddress address,
@@ -99,7 +99,7 @@
     ObjectNode body = Json.object();
     body.put("request_id", id.toString());
     body.set(KV_PARAMS, kvParams);
-    return post(address, IMPORTS, id, body, timeoutNanos, callback);
+    return post(address, KV_IMPORTS, id, body, timeoutNanos, callback);
   }
 
   /**
@@ -107,96 +107,96 @@
    *
    * @param address the decode engine
    * @param id the id of the import
-   * @param body the completion asked for, with {@code priority} and {@code max_tokens}
-   * @param resumeFrom the first token to generate
-   * @param silenceNanos longest silence
-   * @param stream takes the tokens
-   * @return a handle to give it up
+   * @param body the requested completion, with {@code priority} and {@code max_tokens}
+   * @param resumeFrom the index of the first token to generate
+   * @param idleTimeoutNanos the maximum time without data
+   * @param stream receives the tokens
+   * @return a handle to abort the request
    */
   public InFlight decode(
       UpstreamAddress address,
       EngineRequestId id,
       ObjectNode body,
       int resumeFrom,
-      long silenceNanos,
+      long idleTimeoutNanos,
       TokenStream stream) {
     body.put("stream", true);
     body.put("resume_from", resumeFrom);
     body.putObject(KV_PARAMS).put("do_remote_prefill", true);
     UpstreamRequest request = postRequest(COMPLETIONS, id, body);
-    DecodeResponse handler = new DecodeResponse(client.settings(), stream);
+    DecodeResponseHandler handler = new DecodeResponseHandler(client.settings(), stream);
     return client.send(
-        address, request, AnswerTimeout.silence(silenceNanos), ConnectionUse.REQUEST, handler);
+        address, request, AnswerTimeout.silence(idleTimeoutNanos), ConnectionUse.REQUEST, handler);
   }
 
   /**
-   * Cancels an attempt. May be repeated.
+   * Cancels an attempt. Idempotent.
    *
    * @param address the engine
    * @param id the id of the attempt as the engine knows it
-   * @param timeoutNanos limit of the whole call
-   * @param callback takes the answer
+   * @param timeoutNanos the timeout of the complete call
+   * @param callback receives the response
    */
   public void cancel(UpstreamAddress address, String id, long timeoutNanos, JsonCallback callback) {
     String target = REQUESTS + "/" + URLEncoder.encode(id, StandardCharsets.UTF_8);
-    control(address, Methods.DELETE, target, timeoutNanos, callback);
+    sendControl(address, Methods.DELETE, target, timeoutNanos, callback);
   }
 
   /**
    * Lists the requests that an engine holds.
    *
    * @param address the engine
-   * @param timeoutNanos limit of the whole call
-   * @param callback takes the answer
+   * @param timeoutNanos the timeout of the complete call
+   * @param callback receives the response
    */
-  public void held(UpstreamAddress address, long timeoutNanos, JsonCallback callback) {
-    control(address, Methods.GET, REQUESTS, timeoutNanos, callback);
+  public void listRequests(UpstreamAddress address, long timeoutNanos, JsonCallback callback) {
+    sendControl(address, Methods.GET, REQUESTS, timeoutNanos, callback);
   }
 
   /**
-   * Asks for the load.
+   * Fetches the load of an engine.
    *
    * @param address the engine
-   * @param timeoutNanos limit of the whole call
-   * @param callback takes the answer
+   * @param timeoutNanos the timeout of the complete call
+   * @param callback receives the response
    */
-  public void load(UpstreamAddress address, long timeoutNanos, JsonCallback callback) {
-    control(address, Methods.GET, LOAD, timeoutNanos, callback);
+  public void fetchLoad(UpstreamAddress address, long timeoutNanos, JsonCallback callback) {
+    sendControl(address, Methods.GET, LOAD, timeoutNanos, callback);
   }
 
   /**
-   * Asks for cache events.
+   * Fetches the cache events of an engine.
    *
    * @param address the engine
-   * @param after the last sequence number seen, 0 for none
-   * @param timeoutNanos limit of the whole call
-   * @param callback takes the answer
+   * @param afterSequence the last sequence number that was read; 0 if none was
+   * @param timeoutNanos the timeout of the complete call
+   * @param callback receives the response
    */
-  public void cacheEvents(
-      UpstreamAddress address, long after, long timeoutNanos, JsonCallback callback) {
-    control(address, Methods.GET, CACHE_EVENTS + after, timeoutNanos, callback);
+  public void fetchCacheEvents(
+      UpstreamAddress address, long afterSequence, long timeoutNanos, JsonCallback callback) {
+    sendControl(address, Methods.GET, CACHE_EVENTS + afterSequence, timeoutNanos, callback);
   }
 
   /**
-   * Asks which orders are in force.
+   * Lists the orders in force at an engine.
    *
    * @param address the engine
-   * @param timeoutNanos limit of the whole call
-   * @param callback takes the answer
+   * @param timeoutNanos the timeout of the complete call
+   * @param callback receives the response
    */
   public void orders(UpstreamAddress address, long timeoutNanos, JsonCallback callback) {
-    control(address, Methods.GET, ORDERS, timeoutNanos, callback);
+    sendControl(address, Methods.GET, ORDERS, timeoutNanos, callback);
   }
 
   /**
-   * Sends an order.
+   * Sends an order to an engine.
    *
    * @param address the engine
-   * @param body fencing number and order
-   * @param allowed asked immediately before the first byte; if it says no, nothing is sent
-   * @param timeoutNanos limit of the whole call
-   * @param done takes the answer, whatever its status
-   * @param failed takes the failure if there is no answer
+   * @param body the fencing number and the order
+   * @param allowed checked immediately before the first byte; if it returns false, nothing is sent
+   * @param timeoutNanos the timeout of the complete call
+   * @param done receives the response, whatever its status
+   * @param failed receives the failure if there is no complete response
    */
   public void order(
       UpstreamAddress address,
@@ -232,10 +232,10 @@
         postRequest(target, id, body),
         AnswerTimeout.whole(timeoutNanos),
         ConnectionUse.REQUEST,
-        json(callback));
+        jsonHandler(callback));
   }
 
-  private void control(
+  private void sendControl(
       UpstreamAddress address,
       HttpString method,
       String target,
@@ -244,7 +244,11 @@
     UpstreamRequest request =
         new UpstreamRequest(method, target, ImmutableListMultimap.of(), NO_BODY);
     client.send(
-        address, request, AnswerTimeout.whole(timeoutNanos), ConnectionUse.CONTROL, json(callback));
+        address,
+        request,
+        AnswerTimeout.whole(timeoutNanos),
+        ConnectionUse.CONTROL,
+        jsonHandler(callback));
   }
 
   private static UpstreamRequest postRequest(String target, EngineRequestId id, ObjectNode body) {
@@ -256,23 +260,25 @@
         Json.bytes(body));
   }
 
-  private WholeAnswer json(JsonCallback callback) {
+  private WholeAnswer jsonHandler(JsonCallback callback) {
     return new WholeAnswer(
         client.settings().maxAnswerBytes(), a -> parse(a, callback), callback.failed());
   }
 
-  private static void parse(WholeAnswer.Answer answer, JsonCallback callback) {
-    if (answer.status() != StatusCodes.OK) {
-      callback.failed().accept(Refusals.ofEngine(answer));
+  private static void parse(WholeAnswer.Answer response, JsonCallback callback) {
+    if (response.status() != StatusCodes.OK) {
+      callback.failed().accept(Refusals.ofEngine(response));
       return;
     }
     JsonNode body;
     try {
-      body = Json.parse(answer.body());
+      body = Json.parse(response.body());
     } catch (IOException e) {
       callback
           .failed()
-          .accept(UpstreamFailure.mayHaveRun(FailureCause.BAD_ANSWER, "the answer is not JSON"));
+          .accept(
+              UpstreamFailure.mayHaveRun(
+                  FailureCause.BAD_ANSWER, "the response is not valid JSON"));
       return;
     }
     callback.done().accept(body);
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/EngineRequestId.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/EngineRequestId.java
@@ -12,20 +12,20 @@
 import org.larkkeel.lib.Incarnation;
 
 /**
- * The {@code X-Request-Id} towards upstreams: {@code {host}/{incarnation}/{attempt}}.
+ * The {@code X-Request-Id} of requests to upstreams: {@code {host}/{incarnation}/{attempt}}.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param origin the node that sent the request
+ * @param origin the node incarnation that sent the request
  * @param attempt the attempt
  * @since 0.1
  */
 public record EngineRequestId(Origin origin, AttemptId attempt) {
   /**
-   * One start of one node.
+   * One incarnation of a node.
    *
-   * @param host its host
-   * @param incarnation the start
+   * @param host the host of the node
+   * @param incarnation the incarnation
    */
   public record Origin(HostName host, Incarnation incarnation) {}
 
@@ -33,18 +33,18 @@
    * Parses an id; a host name may contain slashes.
    *
    * @param text the id
-   * @return the parts; empty if another program made the id
+   * @return the parsed id; empty if it has another format, as the ids of other programs
    */
   public static Optional<EngineRequestId> parse(String text) {
-    int second = text.lastIndexOf('/');
-    int first = second < 0 ? -1 : text.lastIndexOf('/', second - 1);
-    if (first < 0) {
+    int secondSlash = text.lastIndexOf('/');
+    int firstSlash = secondSlash < 0 ? -1 : text.lastIndexOf('/', secondSlash - 1);
+    if (firstSlash < 0) {
       return Optional.empty();
     }
     try {
-      HostName host = new HostName(text.substring(0, first));
-      long incarnation = Long.parseLong(text.substring(first + 1, second));
-      long attempt = Long.parseLong(text.substring(second + 1));
+      HostName host = new HostName(text.substring(0, firstSlash));
+      long incarnation = Long.parseLong(text.substring(firstSlash + 1, secondSlash));
+      long attempt = Long.parseLong(text.substring(secondSlash + 1));
       return Optional.of(
           new EngineRequestId(
               new Origin(host, new Incarnation(incarnation)), new AttemptId(attempt)));
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/InFlight.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/InFlight.java
@@ -16,8 +16,8 @@
 @FunctionalInterface
 public interface InFlight {
   /**
-   * Gives the request up and closes its connection. Its handler gets {@code onFailure} unless it
-   * has had its last call.
+   * Aborts the request and closes its connection. The request's handler gets {@code onFailure}
+   * unless its last call has already been made. Repeated calls have no effect.
    */
   void abort();
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/LoadAnswers.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/LoadResponses.java
@@ -17,26 +17,26 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Reads what engines say about their load.
+ * Converts the load responses of engines to events.
  *
  * <p>Stateless and safe for use by several threads.
  */
-final class LoadAnswers {
-  private LoadAnswers() {}
+final class LoadResponses {
+  private LoadResponses() {}
 
   /**
-   * Reads an answer. The time it describes counts back from when it was asked for, so that nothing
-   * placed since is taken for reported.
+   * Converts a response. The age of the report is subtracted from the time when the request was
+   * sent, so that requests placed after it are not assumed to be part of the report.
    */
-  static Event event(UpstreamName upstream, JsonNode body, long sentAt, long now) {
+  static Event toEvent(UpstreamName upstream, JsonNode body, long sentAt, long now) {
     if (!body.path("incarnation").isIntegralNumber() || !body.path("slots").isInt()) {
       return new Event.LoadUnavailable(now, upstream);
     }
-    long age = TimeUnit.MILLISECONDS.toNanos(body.path("age_millis").asLong());
+    long ageNanos = TimeUnit.MILLISECONDS.toNanos(body.path("age_millis").asLong());
     LoadReport report =
         new LoadReport(
             new Incarnation(body.path("incarnation").asLong()),
-            sentAt - age,
+            sentAt - ageNanos,
             body.path("slots").asInt(),
             body.path("running").asInt(),
             body.path("waiting").asInt(),
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/OrphanSweep.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/OrphanSweep.java
@@ -14,10 +14,10 @@
 import org.larkkeel.errors.LarkkeelException;
 
 /**
- * Cancels what engines hold for nodes that have died.
+ * Cancels orphans: requests that engines hold for ended node incarnations.
  *
- * <p>Only requests whose id names a dead start of a node are touched; ids of living nodes, and ids
- * that are not understood, are left alone. Safe for use by several threads.
+ * <p>Only requests whose id names an ended node incarnation are cancelled; requests of live nodes
+ * and requests with ids of another format are left alone. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -28,8 +28,8 @@
   /**
    * Creates a sweep.
    *
-   * @param engines asks the engines
-   * @param timeoutNanos limit of each call
+   * @param engines the client for engines
+   * @param timeoutNanos the timeout of each call
    */
   public OrphanSweep(EngineClient engines, long timeoutNanos) {
     this.engines = engines;
@@ -37,11 +37,11 @@
   }
 
   /**
-   * What a sweep did.
+   * The result of a sweep.
    *
-   * @param held requests that the engine held
-   * @param cancelled orphans that it let go
-   * @param failed orphans whose cancel was not acknowledged; sweep again
+   * @param held the number of requests that the engine held
+   * @param cancelled the number of orphans whose cancel the engine acknowledged
+   * @param failed the number of orphans whose cancel was not acknowledged; sweep again
    */
   public record Result(int held, int cancelled, int failed) {}
 
@@ -49,47 +49,44 @@
    * Sweeps one engine.
    *
    * @param engine the engine
-   * @param dead tells whether a start of a node has ended for certain
-   * @return what was done; fails with {@code LarkkeelException} if the engine does not say what it
-   *     holds
+   * @param hasEnded returns whether a node incarnation has certainly ended
+   * @return the result; fails with {@code LarkkeelException} if the engine does not list its
+   *     requests
    */
   public CompletableFuture<Result> sweep(
-      UpstreamAddress engine, Predicate<EngineRequestId.Origin> dead) {
-    return held(engine).thenCompose(requests -> cancelAll(engine, requests, dead));
+      UpstreamAddress engine, Predicate<EngineRequestId.Origin> hasEnded) {
+    return listRequests(engine).thenCompose(requests -> cancelAll(engine, requests, hasEnded));
   }
 
-  private CompletableFuture<JsonNode> held(UpstreamAddress engine) {
+  private CompletableFuture<JsonNode> listRequests(UpstreamAddress engine) {
     CompletableFuture<JsonNode> requests = new CompletableFuture<>();
-    engines.held(
+    engines.listRequests(
         engine,
         timeoutNanos,
         new EngineClient.JsonCallback(
             body -> requests.complete(body.path("requests")),
-            f -> requests.completeExceptionally(silent(engine, f))));
+            f -> requests.completeExceptionally(listFailed(engine, f))));
     return requests;
   }
 
-  private static LarkkeelException silent(UpstreamAddress engine, UpstreamFailure failure) {
+  private static LarkkeelException listFailed(UpstreamAddress engine, UpstreamFailure failure) {
     return new LarkkeelException(
         ErrorKind.UPSTREAM_FAILED,
-        "The engine at "
-            + engine.hostHeader()
-            + " does not say what it holds: "
-            + failure.detail());
+        "The engine at " + engine.hostHeader() + " did not list its requests: " + failure.detail());
   }
 
   private CompletableFuture<Result> cancelAll(
-      UpstreamAddress engine, JsonNode requests, Predicate<EngineRequestId.Origin> dead) {
+      UpstreamAddress engine, JsonNode requests, Predicate<EngineRequestId.Origin> hasEnded) {
     ImmutableList.Builder<CompletableFuture<Boolean>> builder = ImmutableList.builder();
     for (JsonNode request : requests) {
       String id = request.path("id").asText();
-      if (EngineRequestId.parse(id).map(EngineRequestId::origin).filter(dead).isPresent()) {
+      if (EngineRequestId.parse(id).map(EngineRequestId::origin).filter(hasEnded).isPresent()) {
         builder.add(cancel(engine, id));
       }
     }
     ImmutableList<CompletableFuture<Boolean>> cancels = builder.build();
     return CompletableFuture.allOf(cancels.toArray(new CompletableFuture<?>[0]))
-        .thenApply(all -> count(requests.size(), cancels));
+        .thenApply(all -> toResult(requests.size(), cancels));
   }
 
   private CompletableFuture<Boolean> cancel(UpstreamAddress engine, String id) {
@@ -103,7 +100,7 @@
     return acknowledged;
   }
 
-  private static Result count(int held, ImmutableList<CompletableFuture<Boolean>> cancels) {
+  private static Result toResult(int held, ImmutableList<CompletableFuture<Boolean>> cancels) {
     int cancelled = (int) cancels.stream().filter(CompletableFuture::join).count();
     return new Result(held, cancelled, cancels.size() - cancelled);
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/PollTarget.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/PollTarget.java
@@ -13,8 +13,8 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param name its name
- * @param address where it listens
+ * @param name the name of the engine
+ * @param address the address where the engine listens
  * @since 0.1
  */
 public record PollTarget(UpstreamName name, UpstreamAddress address) {}
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/PollTimer.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/PollTimer.java
@@ -7,7 +7,7 @@
 package org.larkkeel.http.upstream;
 
 /**
- * Runs tasks later.
+ * Schedules tasks to run after a delay.
  *
  * <p>Implementations are safe for use by several threads.
  *
@@ -16,10 +16,10 @@
 @FunctionalInterface
 public interface PollTimer {
   /**
-   * Runs a task once.
+   * Schedules a task to run once.
    *
-   * @param nanos the delay, nanoseconds
-   * @param task the task, which does not block
+   * @param delayNanos the delay, nanoseconds
+   * @param task the task, which must not block
    */
-  void after(long nanos, Runnable task);
+  void schedule(long delayNanos, Runnable task);
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/PooledConnection.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/PooledConnection.java
@@ -15,7 +15,7 @@
 /**
  * A connection of a pool.
  *
- * <p>Used by one request at a time; the time of idleness is guarded by the pool.
+ * <p>Used by one request at a time; {@code idleSince} is guarded by the lock of the pool.
  */
 final class PooledConnection {
   private final ClientConnection connection;
@@ -36,11 +36,11 @@
     return connection.isOpen();
   }
 
-  /** Marks the connection as used and tells whether it was used before. */
+  /** Marks the connection as used and returns whether it was used before. */
   boolean markUsed() {
-    boolean before = used;
+    boolean usedBefore = used;
     used = true;
-    return before;
+    return usedBefore;
   }
 
   void idleSince(long now) {
@@ -56,11 +56,11 @@
   }
 
   /**
-   * Resets the connection, so that the upstream ends what it does for it.
+   * Resets the connection, so that the upstream stops working on the request.
    *
-   * <p>Closing it in the ordinary way waits for the rest of the answer first, for up to 10 s in
-   * which the upstream learns nothing and goes on with work that nobody takes. The connection is
-   * taken out of the HTTP client for that, whose close is the one that waits.
+   * <p>The close of the HTTP client first waits up to 10 s for the rest of the response. During
+   * that time the upstream is not notified and continues with unused work. To avoid that wait, the
+   * raw connection is detached from the HTTP client before it is closed.
    */
   void reset() {
     try {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/Refusals.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/Refusals.java
@@ -15,9 +15,10 @@
 import org.larkkeel.http.Json;
 
 /**
- * Reads what an upstream says when it does not answer a request with success.
+ * Converts the error responses of upstreams to failures.
  *
- * <p>Only the documented refusals count as not run. Stateless and safe for use by several threads.
+ * <p>Only after a documented refusal is the request known not to have run. Stateless and safe for
+ * use by several threads.
  *
  * @since 0.1
  */
@@ -27,31 +28,32 @@
 
   private Refusals() {}
 
-  static UpstreamFailure ofEngine(WholeAnswer.Answer answer) {
-    String code = code(answer.body());
-    String detail = answer.status() + " " + code;
-    return switch (answer.status()) {
+  static UpstreamFailure ofEngine(WholeAnswer.Answer response) {
+    String code = errorCode(response.body());
+    String detail = response.status() + " " + code;
+    return switch (response.status()) {
       case StatusCodes.SERVICE_UNAVAILABLE -> unavailable(code, detail);
       case StatusCodes.GONE ->
           new UpstreamFailure(FailureCause.KV_EVICTED, Exposure.REFUSED, detail);
       default ->
-          answer.status() < FIRST_SERVER_ERROR
+          response.status() < FIRST_SERVER_ERROR
               ? UpstreamFailure.mayHaveRun(FailureCause.REJECTED, detail)
               : UpstreamFailure.mayHaveRun(FailureCause.BAD_ANSWER, detail);
     };
   }
 
   /**
-   * Reads the refusal of a service.
+   * Converts an error response of a service.
    *
-   * @param answer an answer which says that the service was not able
+   * @param response a response by which the service reports that it could not handle the request
    * @return the failure
    */
-  public static UpstreamFailure ofService(WholeAnswer.Answer answer) {
-    String detail = Integer.toString(answer.status());
+  public static UpstreamFailure ofService(WholeAnswer.Answer response) {
+    String detail = Integer.toString(response.status());
     boolean notRun =
-        answer.status() == StatusCodes.SERVICE_UNAVAILABLE
-            && answer.headers().get(HeaderNames.NOT_RUN).stream().anyMatch(TRUE::equalsIgnoreCase);
+        response.status() == StatusCodes.SERVICE_UNAVAILABLE
+            && response.headers().get(HeaderNames.NOT_RUN).stream()
+                .anyMatch(TRUE::equalsIgnoreCase);
     return notRun
         ? new UpstreamFailure(FailureCause.BUSY, Exposure.REFUSED, detail)
         : UpstreamFailure.mayHaveRun(FailureCause.BAD_ANSWER, detail);
@@ -66,7 +68,7 @@
     };
   }
 
-  private static String code(byte[] body) {
+  private static String errorCode(byte[] body) {
     try {
       JsonNode root = Json.parse(body);
       return root.path("error").path("code").asText("");
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ResponseHandler.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ResponseHandler.java
@@ -10,37 +10,37 @@
 import java.nio.ByteBuffer;
 
 /**
- * Takes the answer of an upstream.
+ * Receives the response of an upstream.
  *
- * <p>Called on one I/O thread at a time, in order; must not block. Exactly one of {@link #onEnd}
- * and {@link #onFailure} is called, as the last call.
+ * <p>Called sequentially, on one I/O thread at a time; must not block. Exactly one of {@link
+ * #onEnd} and {@link #onFailure} is called, as the last call.
  *
  * @since 0.1
  */
 public interface ResponseHandler {
   /**
-   * Takes status and headers.
+   * Receives the status and the headers.
    *
    * @param status the status code
-   * @param headers the headers, valid during the call
+   * @param headers the headers, valid only during the call
    */
   void onHeaders(int status, HeaderMap headers);
 
   /**
-   * Takes a part of the body.
+   * Receives a part of the body.
    *
-   * @param part the bytes, valid during the call
-   * @return false to give up the rest of the answer, which then ends with {@code onFailure}
+   * @param part the bytes, valid only during the call
+   * @return false to abandon the rest of the response, which then ends with {@code onFailure}
    */
   boolean onBody(ByteBuffer part);
 
-  /** The answer is complete. */
+  /** Is notified that the response is complete. */
   void onEnd();
 
   /**
-   * There is no complete answer.
+   * Is notified that there will be no complete response.
    *
-   * @param failure why
+   * @param failure the reason
    */
   void onFailure(UpstreamFailure failure);
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/SseParser.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/SseParser.java
@@ -14,8 +14,8 @@
 /**
  * Splits a stream of server-sent events into the data of each event.
  *
- * <p>Only {@code data} fields count; comments and other fields are skipped. Bounded: an event
- * larger than the cap is a failure. Not safe for use by several threads.
+ * <p>Only {@code data} fields are read; comments and other fields are skipped. Memory is bounded:
+ * an event larger than the limit is an error. Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -27,13 +27,13 @@
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
   private final StringBuilder data = new StringBuilder();
   private boolean hasData;
-  private boolean afterReturn;
+  private boolean afterCarriageReturn;
 
   /**
    * Creates a parser.
    *
-   * @param maxEventBytes the largest event
-   * @param events takes the data of each event
+   * @param maxEventBytes the maximum size of an event
+   * @param events receives the data of each event
    */
   public SseParser(int maxEventBytes, Consumer<String> events) {
     this.maxEventBytes = maxEventBytes;
@@ -41,17 +41,17 @@
   }
 
   /**
-   * Takes the next bytes of the stream.
+   * Parses the next bytes of the stream.
    *
-   * @param part the bytes, read to the end
-   * @return false if an event is larger than the cap; the parser is of no use then
+   * @param part the bytes; all of them are consumed unless an event is too large
+   * @return false if an event is larger than the limit; the parser must not be used after that
    */
   public boolean accept(ByteBuffer part) {
     while (part.hasRemaining()) {
       byte b = part.get();
-      boolean secondOfPair = b == '\n' && afterReturn;
-      afterReturn = b == '\r';
-      if (secondOfPair) {
+      boolean endsCrLf = b == '\n' && afterCarriageReturn;
+      afterCarriageReturn = b == '\r';
+      if (endsCrLf) {
         continue;
       }
       if (b == '\n' || b == '\r') {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/Token.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/Token.java
@@ -7,11 +7,13 @@
 package org.larkkeel.http.upstream;
 
 /**
- * One token of an answer.
+ * One token of a completion.
  *
- * @param index its index in the whole answer, from 0
- * @param text its text
- * @param finishReason why the answer ends with it; empty if it goes on
+ * <p>Immutable and safe for use by several threads.
+ *
+ * @param index the index of the token in the completion, from 0
+ * @param text the text of the token
+ * @param finishReason the reason why the completion ends with this token; empty if it continues
  * @since 0.1
  */
 public record Token(int index, String text, String finishReason) {}
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/TokenStream.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/TokenStream.java
@@ -7,7 +7,7 @@
 package org.larkkeel.http.upstream;
 
 /**
- * Takes the tokens of a decode.
+ * Receives the tokens of a decode.
  *
  * <p>Called on one I/O thread, in order. Exactly one of {@link #onDone} and {@link #onFailure} is
  * the last call.
@@ -16,20 +16,20 @@
  */
 public interface TokenStream {
   /**
-   * Takes a token.
+   * Receives a token.
    *
    * @param token the token
-   * @return false to give up the stream, which then ends with {@code onFailure}
+   * @return false to abandon the stream, which then ends with {@code onFailure}
    */
   boolean onToken(Token token);
 
-  /** The stream is complete. */
+  /** Is notified that the stream is complete. */
   void onDone();
 
   /**
-   * The stream ended early.
+   * Is notified that the stream ended early.
    *
-   * @param failure why
+   * @param failure the reason
    */
   void onFailure(UpstreamFailure failure);
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamAddress.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamAddress.java
@@ -12,20 +12,20 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where an upstream listens.
+ * The address where an upstream listens.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param address IP number and port
+ * @param address IP address and port
  * @since 0.1
  */
 public record UpstreamAddress(InetSocketAddress address) {
   /**
    * Parses {@code 10.0.0.1:8000}.
    *
-   * @param text IP number and port
+   * @param text IP address and port
    * @return the address
-   * @throws IllegalArgumentException if the text is something else; names are not resolved
+   * @throws IllegalArgumentException if the text has another format; host names are not resolved
    */
   public static UpstreamAddress parse(String text) {
     HostAndPort parsed = HostAndPort.fromString(text);
@@ -34,9 +34,9 @@
   }
 
   /**
-   * The value of the {@code Host} header.
+   * Returns the value of the {@code Host} header.
    *
-   * @return address and port
+   * @return IP address and port, with an IPv6 address in brackets
    */
   public String hostHeader() {
     String host = address.getAddress().getHostAddress();
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamClient.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamClient.java
@@ -16,8 +16,8 @@
 /**
  * Sends requests to upstreams over pooled connections.
  *
- * <p>A request is sent at most once: only if a pooled connection turns out to be closed before any
- * byte was written is it sent on a new one. Safe for use by several threads.
+ * <p>A request is sent at most once. It moves to a new connection only if a pooled one turns out to
+ * be closed before any byte of the request was written. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -32,7 +32,7 @@
    * Creates a client.
    *
    * @param worker the I/O threads, which must outlive the client
-   * @param settings the limits
+   * @param settings the limits of connections and sizes
    * @param clock the node's monotonic clock, nanoseconds
    */
   public UpstreamClient(HttpWorker worker, UpstreamClientSettings settings, LongSupplier clock) {
@@ -52,27 +52,28 @@
    *
    * @param address the upstream
    * @param request the request
-   * @param timeout when to give up; applies as a whole to the wait for a connection
-   * @param urgency which connections may be used
-   * @param handler takes the answer
-   * @return a handle to give the request up
+   * @param timeout the timeout of the request; its full duration also limits the wait for a
+   *     connection
+   * @param use the connections that may be used
+   * @param handler receives the response
+   * @return a handle to abort the request
    */
   public InFlight send(
       UpstreamAddress address,
       UpstreamRequest request,
       AnswerTimeout timeout,
-      ConnectionUse urgency,
+      ConnectionUse use,
       ResponseHandler handler) {
     ConnectionPool pool =
         pools.computeIfAbsent(address, a -> new ConnectionPool(a, settings, worker, clock));
     UpstreamExchange exchange =
-        new UpstreamExchange(worker, pool, address, request, timeout, urgency, clock, handler);
+        new UpstreamExchange(worker, pool, address, request, timeout, use, clock, handler);
     exchange.start();
     return exchange;
   }
 
   /**
-   * The limits.
+   * Returns the limits of connections and sizes.
    *
    * @return the settings
    */
@@ -84,7 +85,7 @@
    * Counts the connections to an upstream.
    *
    * @param address the upstream
-   * @return connections that are open or being opened
+   * @return the number of connections that are open or being opened
    */
   public int openConnections(UpstreamAddress address) {
     ConnectionPool pool = pools.get(address);
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamClientSettings.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamClientSettings.java
@@ -7,16 +7,16 @@
 package org.larkkeel.http.upstream;
 
 /**
- * Limits of the connections to upstreams.
+ * Limits of connections to upstreams and of their responses.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param maxConnections connections to one upstream for requests, at least 1
- * @param reservedConnections further connections that only cancels and polls may use
- * @param maxWaiting requests to one upstream that wait for a connection
- * @param idleMillis a connection without a request is closed after this time
- * @param maxAnswerBytes largest answer that is read whole
- * @param maxEventBytes largest event of a stream
+ * @param maxConnections the maximum number of connections to one upstream for requests, at least 1
+ * @param reservedConnections the number of further connections that only cancels and polls may use
+ * @param maxWaiting the maximum number of requests to one upstream that wait for a connection
+ * @param idleMillis the time after which an idle connection is closed
+ * @param maxAnswerBytes the maximum size of a response that is collected completely
+ * @param maxEventBytes the maximum size of an event of a stream
  * @since 0.1
  */
 public record UpstreamClientSettings(
@@ -26,7 +26,7 @@
     long idleMillis,
     int maxAnswerBytes,
     int maxEventBytes) {
-  /** The limits of a node that sets none. */
+  /** The default limits. */
   public static final UpstreamClientSettings DEFAULT =
       new UpstreamClientSettings(64, 4, 256, 15_000, 4 << 20, 256 << 10);
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamDirectory.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamDirectory.java
@@ -21,8 +21,8 @@
   /**
    * Finds an upstream.
    *
-   * @param name its name
-   * @return its address; empty if the configuration does not name it
+   * @param name the name of the upstream
+   * @return the address; empty if the configuration does not contain the upstream
    */
   Optional<UpstreamAddress> find(UpstreamName name);
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamExchange.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamExchange.java
@@ -32,10 +32,11 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One request on one connection.
+ * One request to an upstream and its response.
  *
- * <p>Invariant: the handler gets exactly one last call; after the first byte was written every
- * failure is {@code MAY_HAVE_RUN}. Once a connection is had, everything happens on its I/O thread.
+ * <p>Invariants: the handler gets exactly one last call; after the first byte was written every
+ * failure is {@code MAY_HAVE_RUN}. Once a connection is assigned, all work happens on its I/O
+ * thread.
  */
 final class UpstreamExchange implements InFlight, ConnectionPool.Waiter {
   private static final ImmutableSet<HttpString> BODYLESS =
@@ -49,17 +50,17 @@
   private final ConnectionUse use;
   private final LongSupplier clock;
   private final ResponseHandler handler;
-  private final AtomicBoolean settled = new AtomicBoolean();
-  private final Object lending = new Object();
+  private final AtomicBoolean ended = new AtomicBoolean();
+  private final Object assignmentLock = new Object();
   private final XnioIoThread timerThread;
 
-  private volatile PooledConnection lent;
+  private volatile PooledConnection assigned;
   private volatile XnioExecutor.Key timer;
   private volatile long lastActivity;
-  private boolean requestDone;
-  private boolean wasUsed;
+  private boolean requestWritten;
+  private boolean reusesConnection;
   private boolean retried;
-  private long writtenBefore;
+  private long bytesWrittenBefore;
 
   UpstreamExchange(
       HttpWorker worker,
@@ -89,68 +90,68 @@
 
   @Override
   public void abort() {
-    failFromOutside(FailureCause.CONNECTION_LOST, "given up");
+    failFromAnyThread(FailureCause.CONNECTION_LOST, "aborted by the node");
   }
 
   @Override
-  public boolean abandoned() {
-    return settled.get();
+  public boolean isAbandoned() {
+    return ended.get();
   }
 
   @Override
-  public boolean urgent() {
+  public boolean isUrgent() {
     return use == ConnectionUse.CONTROL;
   }
 
   @Override
-  public boolean acceptsUsed() {
+  public boolean acceptsReused() {
     return !retried;
   }
 
   @Override
-  public void unavailable(String detail) {
-    settle(UpstreamFailure.notSent(FailureCause.CONNECT_FAILED, detail));
+  public void onUnavailable(String detail) {
+    endWithFailure(UpstreamFailure.notSent(FailureCause.CONNECT_FAILED, detail));
   }
 
   @Override
-  public void ready(PooledConnection connection) {
+  public void onConnection(PooledConnection connection) {
     connection.connection().getIoThread().execute(() -> send(connection));
   }
 
   private void send(PooledConnection connection) {
     if (!request.allowed().getAsBoolean()) {
-      unavailable("no longer allowed");
+      onUnavailable("no longer permitted at the time of sending");
     }
-    if (!lend(connection)) {
+    if (!assign(connection)) {
       connection.release(true);
       return;
     }
-    wasUsed = connection.markUsed();
-    writtenBefore = written(connection);
+    reusesConnection = connection.markUsed();
+    bytesWrittenBefore = bytesWritten(connection);
     if (!connection.isOpen()) {
-      lost(connection, "closed before use");
+      onConnectionLost(connection, "connection closed before the request was sent");
       return;
     }
     connection.connection().sendRequest(clientRequest(), new RequestCallback(connection));
   }
 
-  private boolean lend(PooledConnection connection) {
-    synchronized (lending) {
-      if (settled.get()) {
+  private boolean assign(PooledConnection connection) {
+    synchronized (assignmentLock) {
+      if (ended.get()) {
         return false;
       }
-      lent = connection;
+      assigned = connection;
       return true;
     }
   }
 
   private ClientRequest clientRequest() {
-    ClientRequest wire =
+    ClientRequest outgoing =
         new ClientRequest()
             .setMethod(request.method())
             .setPath(request.target())
             .setProtocol(Protocols.HTTP_1_1);
-    HeaderMap headers = wire.getRequestHeaders();
+    HeaderMap headers = outgoing.getRequestHeaders();
     request.headers().forEach(headers::add);
     if (!headers.contains(Headers.HOST)) {
       headers.put(Headers.HOST, address.hostHeader());
@@ -158,7 +159,7 @@
     if (request.body().length > 0 || !BODYLESS.contains(request.method())) {
       headers.put(Headers.CONTENT_LENGTH, request.body().length);
     }
-    return wire;
+    return outgoing;
   }
 
   private void writeBody(PooledConnection connection, StreamSinkChannel channel) {
@@ -179,12 +180,12 @@
       channel.shutdownWrites();
       if (channel.flush()) {
         channel.suspendWrites();
-        requestDone = true;
+        requestWritten = true;
       } else {
         finishFlush(connection, channel);
       }
     } catch (IOException e) {
-      lost(connection, String.valueOf(e.getMessage()));
+      onConnectionLost(connection, String.valueOf(e.getMessage()));
     }
   }
 
@@ -193,17 +194,17 @@
         .getWriteSetter()
         .set(
             ChannelListeners.<StreamSinkChannel>flushingChannelListener(
-                c -> requestDone = true,
-                (c, e) -> lost(connection, String.valueOf(e.getMessage()))));
+                c -> requestWritten = true,
+                (c, e) -> onConnectionLost(connection, String.valueOf(e.getMessage()))));
     channel.resumeWrites();
   }
 
-  private void received(PooledConnection connection, ClientExchange exchange) {
-    if (settled.get()) {
+  private void onResponse(PooledConnection connection, ClientExchange exchange) {
+    if (ended.get()) {
       return;
     }
     ClientResponse response = exchange.getResponse();
-    touch();
+    recordActivity();
     handler.onHeaders(response.getResponseCode(), response.getResponseHeaders());
     StreamSourceChannel channel = exchange.getResponseChannel();
     channel.getReadSetter().set(c -> readBody(connection, c));
@@ -213,7 +214,7 @@
   private void readBody(PooledConnection connection, StreamSourceChannel channel) {
     try (PooledByteBuffer pooled = worker.buffers().allocate()) {
       ByteBuffer part = pooled.getBuffer();
-      while (!settled.get()) {
+      while (!ended.get()) {
         part.clear();
         int n = channel.read(part);
         if (n == 0) {
@@ -224,34 +225,36 @@
           complete();
           return;
         }
-        touch();
+        recordActivity();
         part.flip();
         if (!handler.onBody(part)) {
-          settle(UpstreamFailure.mayHaveRun(FailureCause.BAD_ANSWER, "unusable answer"));
+          endWithFailure(
+              UpstreamFailure.mayHaveRun(
+                  FailureCause.BAD_ANSWER, "the response was rejected as unusable"));
         }
       }
     } catch (IOException e) {
-      lost(connection, String.valueOf(e.getMessage()));
+      onConnectionLost(connection, String.valueOf(e.getMessage()));
     }
   }
 
   private void complete() {
-    if (!settled.compareAndSet(false, true)) {
+    if (!ended.compareAndSet(false, true)) {
       return;
     }
     stopTimer();
-    lent.release(requestDone);
+    assigned.release(requestWritten);
     handler.onEnd();
   }
 
-  private void lost(PooledConnection connection, String detail) {
-    if (connection != lent || settled.get()) {
+  private void onConnectionLost(PooledConnection connection, String detail) {
+    if (connection != assigned || ended.get()) {
       return;
     }
-    boolean nothingSent = written(connection) == writtenBefore;
-    if (nothingSent && wasUsed && !retried) {
+    boolean nothingSent = bytesWritten(connection) == bytesWrittenBefore;
+    if (nothingSent && reusesConnection && !retried) {
       retried = true;
-      takeBack();
+      unassign();
       IoUtils.safeClose(connection.connection());
       pool.acquire(this);
       return;
@@ -259,60 +262,60 @@
     fail(FailureCause.CONNECTION_LOST, detail);
   }
 
-  private void takeBack() {
-    synchronized (lending) {
-      lent = null;
+  private void unassign() {
+    synchronized (assignmentLock) {
+      assigned = null;
     }
   }
 
-  private void failFromOutside(FailureCause cause, String detail) {
+  private void failFromAnyThread(FailureCause cause, String detail) {
     PooledConnection current;
-    boolean first = false;
-    synchronized (lending) {
-      current = lent;
+    boolean endedHere = false;
+    synchronized (assignmentLock) {
+      current = assigned;
       if (current == null) {
-        first = settled.compareAndSet(false, true);
+        endedHere = ended.compareAndSet(false, true);
       }
     }
     if (current != null) {
       current.connection().getIoThread().execute(() -> fail(cause, detail));
-    } else if (first) {
+    } else if (endedHere) {
       stopTimer();
       handler.onFailure(UpstreamFailure.notSent(FailureCause.CONNECT_FAILED, detail));
     }
   }
 
   private void fail(FailureCause cause, String detail) {
-    PooledConnection current = lent;
-    boolean nothingSent = current == null || written(current) == writtenBefore;
-    settle(
+    PooledConnection current = assigned;
+    boolean nothingSent = current == null || bytesWritten(current) == bytesWrittenBefore;
+    endWithFailure(
         nothingSent
             ? UpstreamFailure.notSent(cause, detail)
             : UpstreamFailure.mayHaveRun(cause, detail));
   }
 
-  private void settle(UpstreamFailure failure) {
-    if (!settled.compareAndSet(false, true)) {
+  private void endWithFailure(UpstreamFailure failure) {
+    if (!ended.compareAndSet(false, true)) {
       return;
     }
     stopTimer();
-    PooledConnection current = lent;
+    PooledConnection current = assigned;
     if (current != null) {
       current.reset();
     }
     handler.onFailure(failure);
   }
 
-  private static long written(PooledConnection connection) {
+  private static long bytesWritten(PooledConnection connection) {
     return connection.connection().getStatistics().getWritten();
   }
 
-  private void touch() {
+  private void recordActivity() {
     lastActivity = clock.getAsLong();
   }
 
   private void armTimer(long nanos) {
-    timer = timerThread.executeAfter(this::timerFired, Math.max(1, nanos), TimeUnit.NANOSECONDS);
+    timer = timerThread.executeAfter(this::onTimer, Math.max(1, nanos), TimeUnit.NANOSECONDS);
   }
 
   private void stopTimer() {
@@ -322,19 +325,19 @@
     }
   }
 
-  private void timerFired() {
-    if (settled.get()) {
+  private void onTimer() {
+    if (ended.get()) {
       return;
     }
-    long left = timeout.nanos() - (clock.getAsLong() - lastActivity);
-    if (timeout.kind() == AnswerTimeout.Kind.SILENCE && left > 0) {
-      armTimer(left);
+    long remainingNanos = timeout.nanos() - (clock.getAsLong() - lastActivity);
+    if (timeout.kind() == AnswerTimeout.Kind.IDLE && remainingNanos > 0) {
+      armTimer(remainingNanos);
       return;
     }
-    failFromOutside(FailureCause.TIMED_OUT, "no answer in time");
+    failFromAnyThread(FailureCause.TIMED_OUT, "timed out waiting for the response");
   }
 
-  /** Goes on once the request is accepted by the connection. */
+  /** Writes the request body once the connection has accepted the request. */
   private final class RequestCallback implements ClientCallback<ClientExchange> {
     private final PooledConnection connection;
 
@@ -346,7 +349,7 @@
     public void completed(ClientExchange exchange) {
       exchange.setResponseListener(new ResponseCallback(connection));
       if (request.body().length == 0) {
-        requestDone = true;
+        requestWritten = true;
       } else {
         writeBody(connection, exchange.getRequestChannel());
       }
@@ -354,11 +357,11 @@
 
     @Override
     public void failed(IOException e) {
-      lost(connection, String.valueOf(e.getMessage()));
+      onConnectionLost(connection, String.valueOf(e.getMessage()));
     }
   }
 
-  /** Goes on once the headers of the answer are there. */
+  /** Reads the response once its headers have been received. */
   private final class ResponseCallback implements ClientCallback<ClientExchange> {
     private final PooledConnection connection;
 
@@ -368,12 +371,12 @@
 
     @Override
     public void completed(ClientExchange exchange) {
-      received(connection, exchange);
+      onResponse(connection, exchange);
     }
 
     @Override
     public void failed(IOException e) {
-      lost(connection, String.valueOf(e.getMessage()));
+      onConnectionLost(connection, String.valueOf(e.getMessage()));
     }
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamFailure.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamFailure.java
@@ -10,21 +10,21 @@
 import org.larkkeel.event.FailureCause;
 
 /**
- * Why a request to an upstream brought no answer, or a useless one.
+ * The reason why a request to an upstream got no response or an unusable one.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param cause why
- * @param exposure how far the request got
- * @param detail a few words for the log
+ * @param cause the cause of the failure
+ * @param exposure whether the request was sent and may have run
+ * @param detail a short description for the log
  * @since 0.1
  */
 public record UpstreamFailure(FailureCause cause, Exposure exposure, String detail) {
   /**
-   * A failure after which the request may have run.
+   * Creates a failure after which the request may have run.
    *
-   * @param cause why
-   * @param detail a few words for the log
+   * @param cause the cause of the failure
+   * @param detail a short description for the log
    * @return the failure
    */
   public static UpstreamFailure mayHaveRun(FailureCause cause, String detail) {
@@ -32,10 +32,10 @@
   }
 
   /**
-   * A failure before anything was sent.
+   * Creates a failure before any byte was sent.
    *
-   * @param cause why
-   * @param detail a few words for the log
+   * @param cause the cause of the failure
+   * @param detail a short description for the log
    * @return the failure
    */
   public static UpstreamFailure notSent(FailureCause cause, String detail) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamPoller.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamPoller.java
@@ -15,16 +15,15 @@
 import org.larkkeel.event.Event;
 
 /**
- * Asks engines for their load and their cache events, again and again.
+ * Polls engines periodically for their load and their cache events.
  *
- * <p>Every node could poll every engine only while there are few of both: at 330 nodes and 600
- * engines that would be 198,000 connections and 330 times the polls at each engine. So a node polls
- * the targets it is given, as a rule the engines whose slots it owns, about two at that size; the
- * others hear of the load from the owner.
+ * <p>Polling every engine from every node does not scale: with 330 nodes and 600 engines it would
+ * need 198,000 connections and 330 times the polls at each engine. A node therefore polls only the
+ * given targets, usually the engines whose slots it owns, about two at that size; the other nodes
+ * receive the load from the owner.
  *
- * <p>Invariants: at most one load poll and one cache poll of a target are in progress; a target
- * that is taken out is polled no more and its late answers are dropped. Safe for use by several
- * threads.
+ * <p>Invariants: at most one load poll and one cache poll of a target are in progress; a removed
+ * target is not polled again and its late responses are dropped. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -35,17 +34,17 @@
   private final LongSupplier clock;
   private final DoubleSupplier random;
   private final Consumer<Event> events;
-  private final Map<PollTarget, Polled> polled = new HashMap<>();
+  private final Map<PollTarget, PollState> pollStates = new HashMap<>();
 
   /**
    * Creates a poller without targets.
    *
-   * @param engines asks the engines
-   * @param settings how often
-   * @param timer runs the polls
+   * @param engines the client for engines
+   * @param settings the intervals and the timeout of polls
+   * @param timer schedules the polls
    * @param clock the node's monotonic clock, nanoseconds
-   * @param random numbers from 0 to 1 for the jitter
-   * @param events takes what the engines say
+   * @param random supplies numbers from 0 to 1 for the jitter
+   * @param events receives the load and cache events
    */
   public UpstreamPoller(
       EngineClient engines,
@@ -62,29 +61,29 @@
     this.events = events;
   }
 
-  /** One target while it is polled; the cursor is used by one poll at a time. */
-  private static final class Polled {
+  /** The polling state of one target; the cursor is used by one poll at a time. */
+  private static final class PollState {
     final PollTarget target;
     final CacheCursor cursor = new CacheCursor();
     volatile boolean active = true;
 
-    Polled(PollTarget target) {
+    PollState(PollTarget target) {
       this.target = target;
     }
   }
 
   /**
-   * Replaces the targets. Those that stay go on undisturbed.
+   * Replaces the targets. Polling of targets in both the old and the new set is not interrupted.
    *
    * @param targets the engines to poll from now on
    */
   public synchronized void setTargets(ImmutableSet<PollTarget> targets) {
-    polled.values().removeIf(p -> !targets.contains(p.target) && stop(p));
+    pollStates.values().removeIf(p -> !targets.contains(p.target) && stop(p));
     for (PollTarget target : targets) {
-      if (!polled.containsKey(target)) {
-        Polled added = new Polled(target);
-        polled.put(target, added);
-        start(added);
+      if (!pollStates.containsKey(target)) {
+        PollState added = new PollState(target);
+        pollStates.put(target, added);
+        scheduleFirstPolls(added);
       }
     }
   }
@@ -94,58 +93,60 @@
     setTargets(ImmutableSet.of());
   }
 
-  private static boolean stop(Polled polled) {
-    polled.active = false;
+  private static boolean stop(PollState state) {
+    state.active = false;
     return true;
   }
 
-  /** The first polls are spread over one period, so that a change of owners makes no burst. */
-  private void start(Polled added) {
-    timer.after((long) (settings.loadNanos() * random.getAsDouble()), () -> pollLoad(added));
-    timer.after((long) (settings.cacheNanos() * random.getAsDouble()), () -> pollCache(added));
+  /** Spreads the first polls over one interval, so that a change of owners causes no burst. */
+  private void scheduleFirstPolls(PollState added) {
+    timer.schedule((long) (settings.loadNanos() * random.getAsDouble()), () -> pollLoad(added));
+    timer.schedule((long) (settings.cacheNanos() * random.getAsDouble()), () -> pollCache(added));
   }
 
-  private void pollLoad(Polled polled) {
-    if (!polled.active) {
+  private void pollLoad(PollState state) {
+    if (!state.active) {
       return;
     }
     long sentAt = clock.getAsLong();
-    engines.load(
-        polled.target.address(),
+    engines.fetchLoad(
+        state.target.address(),
         settings.timeoutNanos(),
         new EngineClient.JsonCallback(
-            body -> loadDone(polled, LoadAnswers.event(polled.target.name(), body, sentAt, now())),
-            f -> loadDone(polled, new Event.LoadUnavailable(now(), polled.target.name()))));
+            body ->
+                onLoadPolled(
+                    state, LoadResponses.toEvent(state.target.name(), body, sentAt, now())),
+            f -> onLoadPolled(state, new Event.LoadUnavailable(now(), state.target.name()))));
   }
 
-  private void loadDone(Polled polled, Event event) {
-    if (polled.active) {
+  private void onLoadPolled(PollState state, Event event) {
+    if (state.active) {
       events.accept(event);
-      timer.after(jittered(settings.loadNanos()), () -> pollLoad(polled));
+      timer.schedule(withJitter(settings.loadNanos()), () -> pollLoad(state));
     }
   }
 
-  private void pollCache(Polled polled) {
-    if (!polled.active) {
+  private void pollCache(PollState state) {
+    if (!state.active) {
       return;
     }
-    engines.cacheEvents(
-        polled.target.address(),
-        polled.cursor.after(),
+    engines.fetchCacheEvents(
+        state.target.address(),
+        state.cursor.lastSequence(),
         settings.timeoutNanos(),
         new EngineClient.JsonCallback(
             body -> {
-              if (polled.active) {
-                polled.cursor.read(polled.target.name(), body, now()).forEach(events);
+              if (state.active) {
+                state.cursor.read(state.target.name(), body, now()).forEach(events);
               }
-              scheduleCache(polled);
+              scheduleCachePoll(state);
             },
-            f -> scheduleCache(polled)));
+            f -> scheduleCachePoll(state)));
   }
 
-  private void scheduleCache(Polled polled) {
-    if (polled.active) {
-      timer.after(jittered(settings.cacheNanos()), () -> pollCache(polled));
+  private void scheduleCachePoll(PollState state) {
+    if (state.active) {
+      timer.schedule(withJitter(settings.cacheNanos()), () -> pollCache(state));
     }
   }
 
@@ -153,7 +154,7 @@
     return clock.getAsLong();
   }
 
-  private long jittered(long mean) {
+  private long withJitter(long mean) {
     double factor = 1 + settings.jitter() * (2 * random.getAsDouble() - 1);
     return (long) (mean * factor);
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamRequest.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamRequest.java
@@ -13,17 +13,17 @@
 /**
  * A request to an upstream.
  *
- * <p>Safe for use by several threads as long as nobody writes to the body.
+ * <p>Safe for use by several threads as long as the body is not modified.
  *
- * @param method the method
+ * @param method the HTTP method
  * @param target path and query
  * @param headers headers besides {@code Host} and {@code Content-Length}
  * @param body the body, empty for none; not copied
- * @param allowed asked on an I/O thread immediately before the first byte; if it says no, nothing
- *     is sent
+ * @param allowed checked on an I/O thread immediately before the first byte; if it returns false,
+ *     nothing is sent
  * @since 0.1
  */
-@SuppressWarnings("ArrayRecordComponent") // The bytes are handed on and never changed.
+@SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never modified.
 public record UpstreamRequest(
     HttpString method,
     String target,
@@ -31,9 +31,9 @@
     byte[] body,
     BooleanSupplier allowed) {
   /**
-   * A request that may be sent at any time.
+   * Creates a request that may be sent at any time.
    *
-   * @param method the method
+   * @param method the HTTP method
    * @param target path and query
    * @param headers headers besides {@code Host} and {@code Content-Length}
    * @param body the body, empty for none; not copied
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/WholeAnswer.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/WholeAnswer.java
@@ -16,9 +16,9 @@
 import org.larkkeel.event.FailureCause;
 
 /**
- * Collects an answer whole, up to a cap.
+ * Collects a complete response in memory, up to a size limit.
  *
- * <p>Used on one I/O thread.
+ * <p>Confined to one I/O thread.
  *
  * @since 0.1
  */
@@ -34,9 +34,9 @@
   /**
    * Creates a collector.
    *
-   * @param maxBytes the largest body; a larger one is a bad answer
-   * @param done takes the answer, whatever its status
-   * @param failed takes the failure if there is no answer
+   * @param maxBytes the maximum size of the body; a larger one fails as {@code BAD_ANSWER}
+   * @param done receives the response, whatever its status
+   * @param failed receives the failure if there is no complete response
    */
   public WholeAnswer(int maxBytes, Consumer<Answer> done, Consumer<UpstreamFailure> failed) {
     this.maxBytes = maxBytes;
@@ -45,21 +45,21 @@
   }
 
   /**
-   * A whole answer.
+   * A complete response.
    *
    * @param status the status code
    * @param headers the headers
-   * @param body the body, not to be changed
+   * @param body the body, which must not be modified
    */
-  @SuppressWarnings("ArrayRecordComponent") // The bytes are handed on and never changed.
+  @SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never modified.
   public record Answer(
       int status, ImmutableListMultimap<HttpString, String> headers, byte[] body) {}
 
   @Override
-  public void onHeaders(int code, HeaderMap map) {
-    status = code;
+  public void onHeaders(int responseStatus, HeaderMap responseHeaders) {
+    status = responseStatus;
     ImmutableListMultimap.Builder<HttpString, String> copy = ImmutableListMultimap.builder();
-    for (HeaderValues values : map) {
+    for (HeaderValues values : responseHeaders) {
       copy.putAll(values.getHeaderName(), values);
     }
     headers = copy.build();
@@ -87,7 +87,7 @@
     failed.accept(
         tooLarge
             ? UpstreamFailure.mayHaveRun(
-                FailureCause.BAD_ANSWER, "the answer is larger than " + maxBytes + " bytes")
+                FailureCause.BAD_ANSWER, "the response is larger than " + maxBytes + " bytes")
             : failure);
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/package-info.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/package-info.java
@@ -1,2 +1,5 @@
-/** Requests to engines and services: pooled connections, streams, polling, orphan removal. */
+/**
+ * HTTP requests to engines and services: connection pools, token streams, polling and the removal
+ * of orphans.
+ */
 package org.larkkeel.http.upstream;
