--- a/org.larkkeel.test/src/test/java/org/larkkeel/selector/LabelIndexTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/selector/LabelIndexTest.java
@@ -21,7 +21,10 @@
 import org.quicktheories.core.Gen;
 import org.testng.annotations.Test;
 
-/** Tests of {@link LabelIndex} against a scan of all objects. */
+/**
+ * Compares {@link LabelIndex} with a scan of all objects after each of a random sequence of
+ * updates.
+ */
 public class LabelIndexTest {
   private static final long SEED = 20261;
   private static final List<String> KEYS = List.of("role", "gen", "dc");
@@ -29,7 +32,7 @@
 
   private LabelIndexTest() {}
 
-  /** One step of a history: the labels that an object gets, or its removal. */
+  /** One update of a history: an object gets labels or is removed. */
   private record Step(int id, boolean removed, Labels labels) {}
 
   private static Gen<Labels> labels() {
@@ -67,13 +70,13 @@
   }
 
   private static Requirement requirement(int type, int key, List<Integer> values) {
-    ImmutableSortedSet<String> texts =
+    ImmutableSortedSet<String> valueTexts =
         values.stream()
             .map(VALUES::get)
             .collect(ImmutableSortedSet.toImmutableSortedSet(String::compareTo));
     return switch (type) {
-      case 0 -> new Requirement.In(KEYS.get(key), texts);
-      case 1 -> new Requirement.NotIn(KEYS.get(key), texts);
+      case 0 -> new Requirement.In(KEYS.get(key), valueTexts);
+      case 1 -> new Requirement.NotIn(KEYS.get(key), valueTexts);
       case 2 -> new Requirement.Exists(KEYS.get(key));
       default -> new Requirement.Absent(KEYS.get(key));
     };
@@ -86,17 +89,18 @@
         .map(r -> new Selector(ImmutableList.copyOf(r)));
   }
 
-  private static ImmutableSortedSet<Integer> scan(Map<Integer, Labels> all, Selector selector) {
-    return all.entrySet().stream()
+  private static ImmutableSortedSet<Integer> scanAll(
+      Map<Integer, Labels> labelsById, Selector selector) {
+    return labelsById.entrySet().stream()
         .filter(e -> selector.matches(e.getValue()))
         .map(Map.Entry::getKey)
         .collect(ImmutableSortedSet.toImmutableSortedSet(Integer::compareTo));
   }
 
-  /** Differential tests. */
+  /** Differential tests with random histories and selectors. */
   public static class Differential {
     @Test
-    public void selectsWhatScanSelectsAfterEveryStep() {
+    public void selectionEqualsFullScanAfterEveryStep() {
       qt().withFixedSeed(SEED)
           .withExamples(2000)
           .forAll(histories(), selectors())
@@ -105,28 +109,29 @@
 
     private static void compare(List<Step> history, Selector selector) {
       LabelIndex<Integer> index = new LabelIndex<>();
-      Map<Integer, Labels> all = new TreeMap<>();
+      Map<Integer, Labels> labelsById = new TreeMap<>();
       for (Step step : history) {
         if (step.removed()) {
           index.remove(step.id());
-          all.remove(step.id());
+          labelsById.remove(step.id());
         } else {
           index.put(step.id(), step.labels());
-          all.put(step.id(), step.labels());
+          labelsById.put(step.id(), step.labels());
         }
-        assertEquals(index.select(selector), scan(all, selector));
-        assertEquals(index.size(), all.size());
+        assertEquals(index.select(selector), scanAll(labelsById, selector));
+        assertEquals(index.size(), labelsById.size());
       }
     }
 
     @Test
-    public void generatorsReachMatchesAndMisses() {
-      int[] seen = new int[2];
+    public void generatorsProduceMatchesAndMisses() {
+      int[] counts = new int[2];
       qt().withFixedSeed(SEED)
           .withExamples(500)
           .forAll(labels(), selectors())
-          .checkAssert((labels, selector) -> seen[selector.matches(labels) ? 1 : 0]++);
-      assertTrue(seen[0] > 50 && seen[1] > 50, seen[0] + " misses, " + seen[1] + " matches");
+          .checkAssert((labels, selector) -> counts[selector.matches(labels) ? 1 : 0]++);
+      assertTrue(
+          counts[0] > 50 && counts[1] > 50, counts[0] + " misses, " + counts[1] + " matches");
     }
   }
 }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/selector/SelectorParserTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/selector/SelectorParserTest.java
@@ -34,10 +34,10 @@
     return text.toString();
   }
 
-  /** Random texts from a fixed seed. */
+  /** Random texts from a fixed seed, of which a part is valid. */
   public static class Fuzz {
     @Test
-    public void everyTextIsEitherRefusedWithPlaceOrReadsBackEqual() {
+    public void everyTextIsRejectedWithPositionOrReadsBackEqual() {
       Random random = new Random(SEED);
       int accepted = 0;
       for (int i = 0; i < ROUNDS; i++) {
@@ -61,9 +61,9 @@
 
   /** Malformed selectors. */
   public static class Malformed {
-    /** The text, the offset of the fault and what is expected there. */
+    /** The text, the offset of the error and what is expected there. */
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] malformedSelectors() {
       return new Object[][] {
         {"a=", 2, "a label value"},
         {"a in b", 5, "'('"},
@@ -77,8 +77,9 @@
       };
     }
 
-    @Test(dataProvider = "faults")
-    public void faultIsNamedWithPlace(String text, int position, String expected) {
+    @Test(dataProvider = "malformedSelectors")
+    public void syntaxErrorNamesPositionAndExpectedText(
+        String text, int position, String expected) {
       SelectorSyntaxException e =
           expectThrows(SelectorSyntaxException.class, () -> Selector.parse(text));
       assertEquals(e.position(), position);
--- a/org.larkkeel/src/main/java/org/larkkeel/selector/LabelIndex.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/selector/LabelIndex.java
@@ -16,18 +16,18 @@
 import org.larkkeel.lib.Labels;
 
 /**
- * Labelled objects by key and value, for selectors over many objects.
+ * An index of labelled objects by label key and value, to evaluate selectors over many objects.
  *
- * <p>A selection looks only at the objects of its rarest positive requirement. Invariant: each
- * object stands under exactly the labels that it was last put with. Not safe for use by several
- * threads.
+ * <p>A selection tests only the objects of its most selective {@link Requirement.In} or {@link
+ * Requirement.Exists} requirement. Invariant: each object is indexed under exactly the labels of
+ * its last {@link #put}. Not safe for use by several threads.
  *
  * @param <T> the type of the objects' ids
  * @since 0.1
  */
 public final class LabelIndex<T extends Comparable<T>> {
-  private final Map<T, Labels> labels = new TreeMap<>();
-  private final Map<String, KeyIndex<T>> keys = new HashMap<>();
+  private final Map<T, Labels> labelsById = new TreeMap<>();
+  private final Map<String, KeyIndex<T>> indexByKey = new HashMap<>();
 
   /** Creates an empty index. */
   public LabelIndex() {}
@@ -35,57 +35,58 @@
   /**
    * Adds an object, or replaces its labels.
    *
-   * @param id the object, never null
+   * @param id the id of the object, never null
    * @param newLabels its labels, never null
    */
   public void put(T id, Labels newLabels) {
     remove(id);
-    labels.put(id, newLabels);
+    labelsById.put(id, newLabels);
     newLabels
         .entries()
-        .forEach((key, value) -> keys.computeIfAbsent(key, k -> new KeyIndex<>()).add(value, id));
+        .forEach(
+            (key, value) -> indexByKey.computeIfAbsent(key, k -> new KeyIndex<>()).add(value, id));
   }
 
   /**
-   * Removes an object if it is there.
+   * Removes an object, if present.
    *
-   * @param id the object, never null
+   * @param id the id of the object, never null
    */
   public void remove(T id) {
-    Labels old = labels.remove(id);
+    Labels old = labelsById.remove(id);
     if (old != null) {
       old.entries().forEach((key, value) -> removeLabel(key, value, id));
     }
   }
 
   private void removeLabel(String key, String value, T id) {
-    KeyIndex<T> index = keys.get(key);
+    KeyIndex<T> index = indexByKey.get(key);
     index.remove(value, id);
     if (index.size() == 0) {
-      keys.remove(key);
+      indexByKey.remove(key);
     }
   }
 
   /**
-   * Counts the objects.
+   * Returns the number of objects.
    *
-   * @return how many objects it holds
+   * @return the number of objects in the index
    */
   public int size() {
-    return labels.size();
+    return labelsById.size();
   }
 
   /**
    * Finds the objects that a selector matches.
    *
    * @param selector the selector, never null
-   * @return their ids in order
+   * @return their ids in natural order
    */
   public ImmutableSortedSet<T> select(Selector selector) {
     ImmutableSortedSet.Builder<T> selected = ImmutableSortedSet.naturalOrder();
     for (Set<T> candidates : candidates(selector)) {
       for (T id : candidates) {
-        if (selector.matches(labels.get(id))) {
+        if (selector.matches(labelsById.get(id))) {
           selected.add(id);
         }
       }
@@ -93,48 +94,48 @@
     return selected.build();
   }
 
-  /** Disjoint sets that together hold every object that can match. */
+  /** Returns disjoint sets that together contain every object that can match. */
   private Iterable<Set<T>> candidates(Selector selector) {
-    Candidates<T> best = new Candidates<>(Set.of(labels.keySet()), labels.size());
+    Candidates<T> smallest = new Candidates<>(Set.of(labelsById.keySet()), labelsById.size());
     for (Requirement requirement : selector.requirements()) {
       Optional<Candidates<T>> candidates = candidates(requirement);
-      if (candidates.isPresent() && candidates.get().size() < best.size()) {
-        best = candidates.get();
+      if (candidates.isPresent() && candidates.get().size() < smallest.size()) {
+        smallest = candidates.get();
       }
     }
-    return best.sets();
+    return smallest.sets();
   }
 
-  /** The objects that can meet a requirement; empty if it does not narrow them. */
+  /** Returns the objects that can meet a requirement; empty if the index cannot narrow them. */
   private Optional<Candidates<T>> candidates(Requirement requirement) {
-    KeyIndex<T> index = keys.getOrDefault(requirement.key(), new KeyIndex<>());
+    KeyIndex<T> index = indexByKey.getOrDefault(requirement.key(), new KeyIndex<>());
     return switch (requirement) {
-      case Requirement.In in -> Optional.of(index.with(in.values()));
+      case Requirement.In in -> Optional.of(index.withValues(in.values()));
       case Requirement.Exists exists -> Optional.of(index.all());
       case Requirement.NotIn notIn -> Optional.empty();
       case Requirement.Absent absent -> Optional.empty();
     };
   }
 
-  /** Disjoint sets and the number of their elements. */
+  /** Disjoint sets and the total number of their elements. */
   private record Candidates<T>(Iterable<Set<T>> sets, int size) {}
 
-  /** The objects that have one key, by its value. */
+  /** The objects that have a label of one key, by its value. */
   private static final class KeyIndex<T extends Comparable<T>> {
-    private final Map<String, Set<T>> byValue = new HashMap<>();
+    private final Map<String, Set<T>> idsByValue = new HashMap<>();
     private int size;
 
     void add(String value, T id) {
-      byValue.computeIfAbsent(value, v -> new TreeSet<>()).add(id);
+      idsByValue.computeIfAbsent(value, v -> new TreeSet<>()).add(id);
       size++;
     }
 
     void remove(String value, T id) {
-      Set<T> ids = byValue.get(value);
+      Set<T> ids = idsByValue.get(value);
       ids.remove(id);
       size--;
       if (ids.isEmpty()) {
-        byValue.remove(value);
+        idsByValue.remove(value);
       }
     }
 
@@ -143,11 +144,11 @@
     }
 
     Candidates<T> all() {
-      return new Candidates<>(byValue.values(), size);
+      return new Candidates<>(idsByValue.values(), size);
     }
 
-    Candidates<T> with(Set<String> values) {
-      var sets = values.stream().map(v -> byValue.getOrDefault(v, Set.of())).toList();
+    Candidates<T> withValues(Set<String> values) {
+      var sets = values.stream().map(v -> idsByValue.getOrDefault(v, Set.of())).toList();
       return new Candidates<>(sets, sets.stream().mapToInt(Set::size).sum());
     }
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/selector/Requirement.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/selector/Requirement.java
@@ -19,14 +19,14 @@
  */
 public sealed interface Requirement {
   /**
-   * The label that the condition reads.
+   * Returns the key of the label that the condition tests.
    *
    * @return the key, never null
    */
   String key();
 
   /**
-   * Tests labels.
+   * Returns whether labels meet the condition.
    *
    * @param labels the labels
    * @return true if the condition holds
@@ -42,7 +42,7 @@
   }
 
   /**
-   * The label is there and has one of the values; {@code k=v} is the same with one value.
+   * The label is present and has one of the values; {@code k=v} is the form with one value.
    *
    * @param key the key
    * @param values the values, at least one
@@ -57,7 +57,7 @@
   }
 
   /**
-   * The label is missing or has none of the values; {@code k!=v} is the same with one value.
+   * The label is missing or has none of the values; {@code k!=v} is the form with one value.
    *
    * @param key the key
    * @param values the values, at least one
@@ -72,7 +72,7 @@
   }
 
   /**
-   * The label is there.
+   * The label is present.
    *
    * @param key the key
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/selector/Selector.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/selector/Selector.java
@@ -14,7 +14,7 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param requirements the conditions; none matches everything
+ * @param requirements the conditions, all of which must hold; an empty list matches everything
  * @since 0.1
  */
 public record Selector(ImmutableList<Requirement> requirements) {
@@ -27,14 +27,15 @@
    * @param text the set-based syntax: {@code k=v}, {@code k==v}, {@code k!=v}, {@code k in (a, b)},
    *     {@code k notin (a, b)}, {@code k}, {@code !k}, joined by commas; empty matches everything
    * @return the selector
-   * @throws SelectorSyntaxException if the text is malformed; it tells where and what to write
+   * @throws SelectorSyntaxException if the text is malformed; it names the position and what was
+   *     expected there
    */
   public static Selector parse(String text) {
     return new SelectorParser(text).parse();
   }
 
   /**
-   * Tests labels.
+   * Returns whether labels meet all requirements.
    *
    * @param labels the labels
    * @return true if every requirement holds
--- a/org.larkkeel/src/main/java/org/larkkeel/selector/SelectorParser.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/selector/SelectorParser.java
@@ -10,7 +10,7 @@
 import com.google.common.collect.ImmutableSortedSet;
 import org.larkkeel.lib.Names;
 
-/** Parses one selector text; used once, by one thread. */
+/** A recursive descent parser of one selector; used once, by one thread. */
 final class SelectorParser {
   private static final String IN = "in";
   private static final String NOT_IN = "notin";
@@ -23,87 +23,87 @@
   }
 
   Selector parse() {
-    skipSpace();
+    skipWhitespace();
     if (atEnd()) {
       return Selector.ALL;
     }
     ImmutableList.Builder<Requirement> requirements = ImmutableList.builder();
-    requirements.add(requirement());
+    requirements.add(parseRequirement());
     while (!atEnd()) {
       expect(',');
-      requirements.add(requirement());
+      requirements.add(parseRequirement());
     }
     return new Selector(requirements.build());
   }
 
-  private Requirement requirement() {
-    skipSpace();
+  private Requirement parseRequirement() {
+    skipWhitespace();
     if (accept('!')) {
-      return new Requirement.Absent(word("a label key"));
+      return new Requirement.Absent(parseName("a label key"));
     }
-    String key = word("a label key");
+    String key = parseName("a label key");
     if (atEnd() || peek() == ',') {
       return new Requirement.Exists(key);
     }
     if (accept('!')) {
       expect('=');
-      return new Requirement.NotIn(key, ImmutableSortedSet.of(word("a label value")));
+      return new Requirement.NotIn(key, ImmutableSortedSet.of(parseName("a label value")));
     }
     if (accept('=')) {
       accept('=');
-      return new Requirement.In(key, ImmutableSortedSet.of(word("a label value")));
+      return new Requirement.In(key, ImmutableSortedSet.of(parseName("a label value")));
     }
-    int operatorAt = position;
-    String operator = word("=, !=, in, notin or a comma");
+    int operatorPosition = position;
+    String operator = parseName("=, !=, in, notin or a comma");
     return switch (operator) {
-      case IN -> new Requirement.In(key, values());
-      case NOT_IN -> new Requirement.NotIn(key, values());
-      default -> throw error(operatorAt, "=, !=, in, notin or a comma");
+      case IN -> new Requirement.In(key, parseValues());
+      case NOT_IN -> new Requirement.NotIn(key, parseValues());
+      default -> throw syntaxError(operatorPosition, "=, !=, in, notin or a comma");
     };
   }
 
-  private ImmutableSortedSet<String> values() {
+  private ImmutableSortedSet<String> parseValues() {
     expect('(');
     ImmutableSortedSet.Builder<String> values = ImmutableSortedSet.naturalOrder();
-    values.add(word("a label value"));
+    values.add(parseName("a label value"));
     while (accept(',')) {
-      values.add(word("a label value"));
+      values.add(parseName("a label value"));
     }
     expect(')');
     return values.build();
   }
 
-  private String word(String expected) {
-    skipSpace();
+  private String parseName(String expected) {
+    skipWhitespace();
     int start = position;
-    while (!atEnd() && isWordCharacter(peek())) {
+    while (!atEnd() && isNameCharacter(peek())) {
       position++;
     }
-    String word = text.substring(start, position);
-    if (!Names.isValid(word)) {
-      throw error(start, expected);
+    String name = text.substring(start, position);
+    if (!Names.isValid(name)) {
+      throw syntaxError(start, expected);
     }
-    skipSpace();
-    return word;
+    skipWhitespace();
+    return name;
   }
 
   private void expect(char c) {
     if (!accept(c)) {
-      throw error(position, "'" + c + "'");
+      throw syntaxError(position, "'" + c + "'");
     }
   }
 
   private boolean accept(char c) {
-    skipSpace();
+    skipWhitespace();
     if (atEnd() || peek() != c) {
       return false;
     }
     position++;
-    skipSpace();
+    skipWhitespace();
     return true;
   }
 
-  private void skipSpace() {
+  private void skipWhitespace() {
     while (!atEnd() && Character.isWhitespace(peek())) {
       position++;
     }
@@ -117,11 +117,11 @@
     return text.charAt(position);
   }
 
-  private SelectorSyntaxException error(int at, String expected) {
-    return new SelectorSyntaxException(text, at, expected);
+  private SelectorSyntaxException syntaxError(int errorPosition, String expected) {
+    return new SelectorSyntaxException(text, errorPosition, expected);
   }
 
-  private static boolean isWordCharacter(char c) {
+  private static boolean isNameCharacter(char c) {
     return Character.isLetterOrDigit(c) || c == '.' || c == '_' || c == '/' || c == '-';
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/selector/SelectorSyntaxException.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/selector/SelectorSyntaxException.java
@@ -7,7 +7,7 @@
 package org.larkkeel.selector;
 
 /**
- * A selector that can't be parsed.
+ * Thrown if a selector cannot be parsed.
  *
  * @since 0.1
  */
@@ -17,11 +17,11 @@
   /** The offset of the offending character. */
   private final int position;
 
-  /** What was expected there. */
+  /** The text that was expected at the position. */
   private final String expected;
 
   /**
-   * Creates the failure.
+   * Creates an exception.
    *
    * @param text the selector
    * @param position the offset of the offending character
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Where the selector is malformed.
+   * Returns the position of the error.
    *
    * @return the offset of the offending character from 0
    */
@@ -43,7 +43,7 @@
   }
 
   /**
-   * What to write there.
+   * Returns what was expected at the position.
    *
    * @return the expected text
    */
