--- a/org.larkkeel.cli.test/src/test/java/org/larkkeel/cli/CliTest.java
+++ b/org.larkkeel.cli.test/src/test/java/org/larkkeel/cli/CliTest.java
@@ -54,11 +54,11 @@
 public class CliTest {
   private static final Path DOCS = Path.of("..", "docs");
   private static final String EXAMPLE = DOCS.resolve("examples/first.jsonc").toString();
-  private static final String DEAD_SERVER = "127.0.0.1:1";
+  private static final String UNREACHABLE_SERVER = "127.0.0.1:1";
 
   private CliTest() {}
 
-  /** Two nodes over one log, and a place for output. */
+  /** Starts nodes over one in-memory log, runs command lines and captures their output. */
   public abstract static class Fixture {
     InMemoryOperatorService service;
     private final Map<String, String> variables = new HashMap<>();
@@ -162,25 +162,25 @@
       return err.toString(StandardCharsets.UTF_8);
     }
 
-    long leaving() {
+    long leavingUpstreamCount() {
       return service.current().upstreams().values().stream().filter(Upstream::isLeaving).count();
     }
   }
 
-  /** What relay nodes tell. */
+  /** Starts a relay node that answers each request with a fixed status. */
   private abstract static class RelayFixture extends Fixture {
     private final Object status;
     private Undertow relay;
-    String asked;
+    String lastRequest;
 
     RelayFixture(Object status) {
       this.status = status;
     }
 
-    /** Starts what answers as a relay node does. */
+    /** Starts the relay node. */
     @BeforeMethod
     public void startRelay() {
-      asked = null;
+      lastRequest = null;
       relay =
           Undertow.builder()
               .addHttpListener(0, "127.0.0.1")
@@ -188,7 +188,7 @@
               .setWorkerThreads(1)
               .setHandler(
                   exchange -> {
-                    asked = exchange.getRequestMethod() + " " + exchange.getRequestPath();
+                    lastRequest = exchange.getRequestMethod() + " " + exchange.getRequestPath();
                     exchange.getResponseSender().send(ByteBuffer.wrap(OperatorCodec.write(status)));
                   })
               .build();
@@ -198,24 +198,24 @@
               + ((InetSocketAddress) relay.getListenerInfo().getFirst().getAddress()).getPort());
     }
 
-    /** Stops it. */
+    /** Stops the relay node. */
     @AfterMethod(alwaysRun = true)
     public void stopRelay() {
       relay.stop();
     }
   }
 
-  /** Limits that upstreams name. */
+  /** Rate limits that upstreams announced. */
   public static class Limits extends RelayFixture {
-    /** Of a node that knows one. */
+    /** Uses a node that knows one limit. */
     public Limits() {
       super(new LimitStatus(List.of(new LimitStatus.Entry("i-1", 5, 5.2, 300, 17))));
     }
 
     @Test
-    public void areListed() {
+    public void listsLimits() {
       assertEquals(run("limits"), ExitCode.OK, err());
-      assertEquals(asked, "GET /upstream-limits");
+      assertEquals(lastRequest, "GET /upstream-limits");
       assertTrue(out().contains("5.2"), out());
       assertTrue(out().contains("300 ms ago"), out());
     }
@@ -225,7 +225,7 @@
   public static class Quarantine extends RelayFixture {
     private static final String REQUEST = "0123456789abcdef0123456789abcdef";
 
-    /** Of a node that knows one. */
+    /** Uses a node that knows one request. */
     public Quarantine() {
       super(
           new QuarantineStatus(
@@ -236,26 +236,26 @@
     @Test
     public void listsRequests() {
       assertEquals(run("quarantine"), ExitCode.OK, err());
-      assertEquals(asked, "GET /quarantine");
+      assertEquals(lastRequest, "GET /quarantine");
       assertTrue(out().contains(REQUEST), out());
       assertTrue(out().contains("i-1@5, i-2@6"), out());
     }
 
     @Test
-    public void releasesOne() {
+    public void releasesRequest() {
       assertEquals(run("quarantine", "--release", REQUEST), ExitCode.OK, err());
-      assertEquals(asked, "DELETE /quarantine/" + REQUEST);
+      assertEquals(lastRequest, "DELETE /quarantine/" + REQUEST);
     }
 
     @Test
-    public void refusesWhatIsNoRequest() {
+    public void rejectsMalformedFingerprint() {
       assertEquals(run("quarantine", "--release", "abc"), ExitCode.USAGE);
       assertTrue(err().contains("\"abc\""), err());
-      assertEquals(asked, null);
+      assertEquals(lastRequest, null);
     }
   }
 
-  /** Changing the configuration. */
+  /** Commands that change the configuration. */
   public static class Changing extends Fixture {
     @Test
     public void applyIsIdempotent() {
@@ -269,15 +269,15 @@
     }
 
     @Test
-    public void faultsAreToldWithTheirPlaceBeforeAnythingIsSent() {
-      useServers(DEAD_SERVER);
+    public void localProblemsAreReportedWithPositionBeforeAnythingIsSent() {
+      useServers(UNREACHABLE_SERVER);
       ExitCode code = runWithInput("{\n \"pool\": {}}", "apply", "-f", "-");
       assertEquals(code, ExitCode.INVALID);
       assertEquals(err(), "stdin:2:2: error: /pool: the key is unknown; did you mean \"pools\"?\n");
     }
 
     @Test
-    public void faultsFoundByTheServerCarryTheirPlaceToo() {
+    public void serverProblemsAreReportedWithPosition() {
       run("apply", "-f", EXAMPLE);
       String text = "{\"upstreams\":\n{\"zz\": {\"address\": \"127.0.0.1:18001\"}}}";
       assertEquals(runWithInput(text, "apply", "-f", "-"), ExitCode.INVALID);
@@ -291,7 +291,7 @@
     }
 
     @Test
-    public void pruneDeletesWhatTheDocumentLacks() {
+    public void pruneDeletesObjectsMissingFromDocument() {
       run("apply", "-f", EXAMPLE);
       String text = "{\"workspaces\": {\"buyers\": {}}}";
       assertEquals(runWithInput(text, "diff", "--prune", "-f", "-"), ExitCode.DIFFERENT);
@@ -301,7 +301,7 @@
     }
 
     @Test
-    public void documentOfAnOldRevisionConflictsAndNamesTheOtherChange() {
+    public void documentOfOldRevisionConflictsAndNamesOtherChange() {
       run("apply", "-f", EXAMPLE);
       String read = ConfigurationDocument.write(service.current());
       run("label", "upstream", "telar-1", "gen=new");
@@ -313,7 +313,7 @@
     }
 
     @Test
-    public void labelsOfAllMatchesAreOneChange() {
+    public void labelWithSelectorIsOneChange() {
       run("apply", "-f", EXAMPLE);
       assertEquals(
           run("label", "upstreams", "-l", "gen in (old, new)", "tier=batch", "dc-"), ExitCode.OK);
@@ -324,12 +324,12 @@
     }
 
     @Test
-    public void drainMarksUpstreamsAndUndoBringsThemBack() {
+    public void drainMarksUpstreamsLeavingAndUndoReverts() {
       run("apply", "-f", EXAMPLE);
       assertEquals(run("drain", "-l", "dc=manizales"), ExitCode.OK);
-      assertEquals(leaving(), 2);
+      assertEquals(leavingUpstreamCount(), 2);
       assertEquals(run("drain", "--undo", "-l", "dc=manizales"), ExitCode.OK);
-      assertEquals(leaving(), 0);
+      assertEquals(leavingUpstreamCount(), 0);
     }
 
     @Test
@@ -342,16 +342,16 @@
     }
   }
 
-  /** Failures on the way to the server. */
-  public static class Reaching extends Fixture {
+  /** Connections to servers: unreachable servers, lost answers, TLS and tokens. */
+  public static class Connecting extends Fixture {
     @Test
-    public void nextServerIsTriedWhereOneIsDead() {
-      useServers(DEAD_SERVER + "," + server());
+    public void nextServerIsTriedAfterUnreachableOne() {
+      useServers(UNREACHABLE_SERVER + "," + server());
       assertEquals(run("status"), ExitCode.OK, err());
     }
 
     @Test
-    public void changeWhoseAnswerIsLostIsAcceptedOnce() {
+    public void changeRetriedAfterLostAnswerIsAcceptedOnce() {
       service.loseAnswers(1);
       useServers(server() + "," + startServer());
       assertEquals(run("apply", "-f", EXAMPLE), ExitCode.OK, err());
@@ -360,14 +360,14 @@
     }
 
     @Test
-    public void lostAnswerOfTheOnlyServerIsToldAsUnreachable() {
+    public void lostAnswerOfOnlyServerIsReportedAsUnreachable() {
       service.loseAnswers(1);
       assertEquals(run("apply", "-f", EXAMPLE), ExitCode.UNREACHABLE);
       assertTrue(err().contains("the answer of the log is lost"), err());
     }
 
     @Test
-    public void encryptedServerIsTrustedByItsAuthorityOnly() throws Exception {
+    public void httpsServerIsTrustedOnlyWithItsCaFile() throws Exception {
       useServers(startTlsServer());
       assertEquals(run("status"), ExitCode.UNREACHABLE);
       String file = Path.of(CliTest.class.getResource("node.pem").toURI()).toString();
@@ -375,14 +375,14 @@
     }
 
     @Test
-    public void everyDeadServerIsNamed() {
+    public void everyUnreachableServerIsNamed() {
       useServers("127.0.0.1:1,127.0.0.1:2");
       assertEquals(run("status"), ExitCode.UNREACHABLE);
       assertTrue(err().contains("127.0.0.1:1: ") && err().contains("127.0.0.1:2: "), err());
     }
 
     @Test
-    public void tokenDecidesWhatIsAllowed() throws IOException {
+    public void tokenRoleLimitsCommands() throws IOException {
       useToken("viewer-secret");
       assertEquals(run("apply", "-f", EXAMPLE), ExitCode.DENIED);
       assertEquals(run("apply", "-f", EXAMPLE, "--dry-run"), ExitCode.OK, err());
@@ -392,9 +392,9 @@
     }
 
     @Test
-    public void nodeIsDrainedOnlyByItsOwnAddress() {
+    public void drainOfNodeRequiresExactlyOneServer() {
       String own = server();
-      useServers(DEAD_SERVER + "," + own);
+      useServers(UNREACHABLE_SERVER + "," + own);
       assertEquals(run("drain", "--this-node"), ExitCode.USAGE);
       assertEquals(service.drains(), 0);
       assertEquals(run("drain", "--this-node", "--server", own), ExitCode.OK, err());
@@ -402,7 +402,7 @@
     }
   }
 
-  /** Reading. */
+  /** Commands that read. */
   public static class Reading extends Fixture {
     @Test
     public void rolloutWaitsUntilItIsComplete() {
@@ -428,9 +428,9 @@
       assertEquals(out(), "telar-decode\ntelar-prefill\n");
     }
 
-    /** Command lines and what their output contains. */
+    /** Command lines and a text that their output contains. */
     @DataProvider
-    public Object[][] reads() {
+    public Object[][] readingCommandLines() {
       return new Object[][] {
         {"get pools", "telar-decode   decode   role=decode, gen in (new, old)  2"},
         {"get rules", "orders       10        path /orders"},
@@ -447,8 +447,8 @@
       };
     }
 
-    @Test(dataProvider = "reads")
-    public void outputHolds(String line, String expected) {
+    @Test(dataProvider = "readingCommandLines")
+    public void outputContainsExpectedText(String line, String expected) {
       run("apply", "-f", EXAMPLE);
       assertEquals(run(line.split(" ")), ExitCode.OK, err());
       assertTrue(out().contains(expected), out());
@@ -457,9 +457,9 @@
 
   /** Usage and help. */
   public static class Usage extends Fixture {
-    /** Command lines that are wrong, and what the message holds. */
+    /** Invalid command lines and a text that the message contains. */
     @DataProvider
-    public Object[][] mistakes() {
+    public Object[][] invalidCommandLines() {
       return new Object[][] {
         {"aply", "did you mean \"apply\"?"},
         {"apply", "-f"},
@@ -478,8 +478,8 @@
       };
     }
 
-    @Test(dataProvider = "mistakes")
-    public void mistakeIsNamed(String line, String expected) {
+    @Test(dataProvider = "invalidCommandLines")
+    public void errorNamesMistake(String line, String expected) {
       assertEquals(run(line.split(" ")), ExitCode.USAGE);
       assertTrue(err().contains(expected), err());
     }
@@ -493,7 +493,7 @@
     }
 
     @Test
-    public void referencePageIsTheHelp() throws IOException {
+    public void referencePageEqualsGeneratedHelp() throws IOException {
       assertEquals(Files.readString(DOCS.resolve("COMMANDS.md")), HelpPages.reference());
     }
   }
--- a/org.larkkeel.cli.test/src/test/java/org/larkkeel/cli/ExplainLogTest.java
+++ b/org.larkkeel.cli.test/src/test/java/org/larkkeel/cli/ExplainLogTest.java
@@ -21,7 +21,7 @@
 import org.larkkeel.cli.errors.ExitCode;
 import org.testng.annotations.Test;
 
-/** The lines of one call from several logs. */
+/** Tests that {@code explain-log} selects the lines of one call from several logs. */
 public class ExplainLogTest {
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -30,7 +30,7 @@
     return "time=2026-01-01T00:00:%02d.000Z level=INFO logger=relay %s%n".formatted(second, rest);
   }
 
-  private ExitCode run(String... arguments) {
+  private ExitCode runCommand(String... arguments) {
     Environment environment =
         new Environment(
             InputStream.nullInputStream(),
@@ -41,7 +41,7 @@
   }
 
   @Test
-  public void gathersTheCallAndWhatWasBelievedOfItsUpstreams() throws IOException {
+  public void selectsLinesOfCallAndOfItsUpstreamsStates() throws IOException {
     Path folder = Files.createTempDirectory("larkkeel");
     Path first = folder.resolve("node-1.log");
     Path second = folder.resolve("node-2.log");
@@ -57,7 +57,7 @@
         line(20, "event=ejected upstream=i-1 cause=TIMED_OUT for_ms=1000")
             + line(22, "event=answered call=other"));
     assertEquals(
-        run("explain-log", "abc", first.toString(), second.toString()),
+        runCommand("explain-log", "abc", first.toString(), second.toString()),
         ExitCode.OK,
         err.toString(StandardCharsets.UTF_8));
     List<String> lines = out.toString(StandardCharsets.UTF_8).lines().toList();
@@ -67,9 +67,9 @@
   }
 
   @Test
-  public void saysWhatToDoWhenThereIsNoLine() throws IOException {
+  public void errorNamesRemedyIfCallHasNoLine() throws IOException {
     Path log = Files.createTempFile("larkkeel", ".log");
-    assertEquals(run("explain-log", "abc", log.toString()), ExitCode.NOT_FOUND);
+    assertEquals(runCommand("explain-log", "abc", log.toString()), ExitCode.NOT_FOUND);
     assertTrue(err.toString(StandardCharsets.UTF_8).contains("name the logs of all nodes"));
   }
 }
--- a/org.larkkeel.cli.test/src/test/java/org/larkkeel/cli/InMemoryOperatorService.java
+++ b/org.larkkeel.cli.test/src/test/java/org/larkkeel/cli/InMemoryOperatorService.java
@@ -33,7 +33,10 @@
 import org.larkkeel.lib.Revision;
 import org.larkkeel.lib.UpstreamName;
 
-/** A node whose log is a list in memory. Safe for use by several threads. */
+/**
+ * The operators' API of a node whose configuration log is a list in memory. Safe for use by several
+ * threads.
+ */
 final class InMemoryOperatorService implements OperatorService {
   private final List<AuditPage.Entry> log = new ArrayList<>();
   private Configuration configuration = Configuration.EMPTY;
@@ -41,13 +44,15 @@
   private int pendingRollouts;
   private int drains;
 
-  /** The next changes are accepted, but their answers are lost. */
+  /**
+   * Accepts the next {@code count} changes but fails their answers, as if the answers were lost.
+   */
   synchronized void loseAnswers(int count) {
     answersToLose = count;
   }
 
-  synchronized void pendingRollouts(int count) {
-    pendingRollouts = count;
+  synchronized void pendingRollouts(int newCount) {
+    pendingRollouts = newCount;
   }
 
   synchronized int drains() {
@@ -64,12 +69,12 @@
 
   @Override
   public synchronized CompletableFuture<ProposalOutcome> propose(Change change, DryRun dryRun) {
-    Optional<AuditPage.Entry> known =
+    Optional<AuditPage.Entry> accepted =
         log.stream().filter(e -> e.change().id().equals(change.id())).findFirst();
     ProposalOutcome outcome =
-        known
+        accepted
             .<ProposalOutcome>map(e -> new ProposalOutcome.Accepted(e.revision(), Problems.NONE))
-            .orElseGet(() -> decide(change, dryRun));
+            .orElseGet(() -> applyChange(change, dryRun));
     if (answersToLose > 0) {
       answersToLose--;
       return CompletableFuture.failedFuture(
@@ -78,13 +83,13 @@
     return CompletableFuture.completedFuture(outcome);
   }
 
-  private ProposalOutcome decide(Change change, DryRun dryRun) {
-    List<Change> later =
+  private ProposalOutcome applyChange(Change change, DryRun dryRun) {
+    List<Change> laterChanges =
         log.stream()
             .filter(e -> e.revision().isAfter(change.base()))
             .map(AuditPage.Entry::change)
             .toList();
-    Optional<Change> conflict = Changes.findConflict(change, later);
+    Optional<Change> conflict = Changes.findConflict(change, laterChanges);
     if (conflict.isPresent()) {
       return new ProposalOutcome.Conflicting(conflict.get(), configuration.revision());
     }
@@ -150,14 +155,14 @@
 
   @Override
   public synchronized CompletableFuture<RolloutStatus> rollout(Revision revision) {
-    Revision asked = revision.equals(Revision.NONE) ? configuration.revision() : revision;
+    Revision requested = revision.equals(Revision.NONE) ? configuration.revision() : revision;
     if (pendingRollouts == 0) {
-      return CompletableFuture.completedFuture(new RolloutStatus(asked, 2, 2, List.of()));
+      return CompletableFuture.completedFuture(new RolloutStatus(requested, 2, 2, List.of()));
     }
     pendingRollouts--;
     RolloutStatus.NodeRevision behind =
         new RolloutStatus.NodeRevision(new HostName("h2"), Revision.NONE);
-    return CompletableFuture.completedFuture(new RolloutStatus(asked, 2, 1, List.of(behind)));
+    return CompletableFuture.completedFuture(new RolloutStatus(requested, 2, 1, List.of(behind)));
   }
 
   @Override
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/Cli.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/Cli.java
@@ -17,21 +17,22 @@
 import org.larkkeel.cli.errors.Messages;
 
 /**
- * Runs one command line.
+ * Runs command lines of {@code larkkeel}: finds the command, parses its arguments, executes it and
+ * prints its failure.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Cli {
-  private static final List<String> HELP = List.of("-h", "--help");
+  private static final List<String> HELP_OPTIONS = List.of("-h", "--help");
 
   private final Environment environment;
 
   /**
    * Creates a runner.
    *
-   * @param environment streams and variables
+   * @param environment the standard streams and environment variables
    */
   public Cli(Environment environment) {
     this.environment = environment;
@@ -57,7 +58,7 @@
       environment.err().print(HelpPages.overview());
       return ExitCode.USAGE;
     }
-    if (HELP.contains(arguments.getFirst())) {
+    if (HELP_OPTIONS.contains(arguments.getFirst())) {
       environment.out().print(HelpPages.overview());
       return ExitCode.OK;
     }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/ClientSettings.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/ClientSettings.java
@@ -12,14 +12,14 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * How to reach the operators' API.
+ * The settings of connections to the operators' API; the text form omits the token.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param servers tried in turn, at least one
+ * @param servers the servers to try in turn, at least one
  * @param token the bearer token, empty if there is none
- * @param timeout for each attempt at one server
- * @param tls for servers with https
+ * @param timeout the timeout of each attempt at a server
+ * @param tls the TLS context for https servers
  * @since 0.1
  */
 public record ClientSettings(
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/HttpAnswer.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/HttpResponse.java
@@ -7,11 +7,11 @@
 package org.larkkeel.cli.client;
 
 /**
- * The answer of a server in whole.
+ * A complete response of a server.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param status the HTTP status
  * @param body the body
  */
-record HttpAnswer(int status, String body) {}
+record HttpResponse(int status, String body) {}
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/HttpTransport.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/HttpTransport.java
@@ -37,13 +37,13 @@
 import org.xnio.XnioWorker;
 
 /**
- * Sends single requests by Undertow's client, each over its own connection.
+ * Sends requests with Undertow's client, each over a new connection that is closed afterwards.
  *
- * <p>Safe for use by several threads. Closing ends the I/O thread.
+ * <p>Safe for use by several threads. {@link #close} stops the I/O thread.
  */
 final class HttpTransport implements AutoCloseable {
   private static final int BUFFER_BYTES = 16 << 10;
-  private static final String JSON = "application/json";
+  private static final String JSON_MEDIA_TYPE = "application/json";
 
   private final XnioWorker worker;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER_BYTES);
@@ -60,68 +60,80 @@
     ssl = new UndertowXnioSsl(worker.getXnio(), OptionMap.EMPTY, tls);
   }
 
-  /** Sends a request and waits for the whole answer. */
-  HttpAnswer send(Server server, HttpCall call, Optional<String> token, Duration timeout)
+  /** Sends a request and waits for the complete response. */
+  HttpResponse send(Server server, HttpRequest request, Optional<String> token, Duration timeout)
       throws IOException {
-    ClientRequest request = request(server, call, token);
-    CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+    ClientRequest clientRequest = toClientRequest(server, request, token);
+    CompletableFuture<HttpResponse> responseFuture = new CompletableFuture<>();
     UndertowClient.getInstance()
         .connect(
-            callback(answer, connection -> exchange(connection, request, call, answer)),
+            callback(
+                responseFuture,
+                connection -> sendRequest(connection, clientRequest, request, responseFuture)),
             server.uri(),
             worker,
             server.isSecure() ? ssl : null,
             buffers,
             OptionMap.create(UndertowOptions.ENABLE_HTTP2, false));
-    return await(answer, timeout);
+    return await(responseFuture, timeout);
   }
 
-  private static ClientRequest request(Server server, HttpCall call, Optional<String> token) {
-    ClientRequest request =
-        new ClientRequest().setMethod(new HttpString(call.method())).setPath(call.target());
-    request.getRequestHeaders().put(Headers.HOST, server.authority());
-    request.getRequestHeaders().put(Headers.ACCEPT, JSON);
-    token.ifPresent(t -> request.getRequestHeaders().put(Headers.AUTHORIZATION, "Bearer " + t));
-    byte[] body = call.body().getBytes(StandardCharsets.UTF_8);
+  private static ClientRequest toClientRequest(
+      Server server, HttpRequest request, Optional<String> token) {
+    ClientRequest clientRequest =
+        new ClientRequest().setMethod(new HttpString(request.method())).setPath(request.target());
+    clientRequest.getRequestHeaders().put(Headers.HOST, server.authority());
+    clientRequest.getRequestHeaders().put(Headers.ACCEPT, JSON_MEDIA_TYPE);
+    token.ifPresent(
+        t -> clientRequest.getRequestHeaders().put(Headers.AUTHORIZATION, "Bearer " + t));
+    byte[] body = request.body().getBytes(StandardCharsets.UTF_8);
     if (body.length > 0) {
-      request.getRequestHeaders().put(Headers.CONTENT_TYPE, JSON);
+      clientRequest.getRequestHeaders().put(Headers.CONTENT_TYPE, JSON_MEDIA_TYPE);
     }
-    request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
-    return request;
+    clientRequest.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
+    return clientRequest;
   }
 
-  private void exchange(
+  private void sendRequest(
       ClientConnection connection,
-      ClientRequest request,
-      HttpCall call,
-      CompletableFuture<HttpAnswer> answer) {
+      ClientRequest clientRequest,
+      HttpRequest request,
+      CompletableFuture<HttpResponse> responseFuture) {
     CompletableFuture<?> unused =
-        answer.whenComplete((done, failure) -> IoUtils.safeClose(connection));
-    connection.sendRequest(request, callback(answer, exchange -> start(exchange, call, answer)));
+        responseFuture.whenComplete((response, failure) -> IoUtils.safeClose(connection));
+    connection.sendRequest(
+        clientRequest,
+        callback(responseFuture, exchange -> sendBody(exchange, request, responseFuture)));
   }
 
-  private void start(ClientExchange exchange, HttpCall call, CompletableFuture<HttpAnswer> answer) {
-    exchange.setResponseListener(callback(answer, response -> read(response, answer)));
-    new StringWriteChannelListener(call.body()).setup(exchange.getRequestChannel());
+  private void sendBody(
+      ClientExchange exchange,
+      HttpRequest request,
+      CompletableFuture<HttpResponse> responseFuture) {
+    exchange.setResponseListener(
+        callback(
+            responseFuture, responseExchange -> readResponse(responseExchange, responseFuture)));
+    new StringWriteChannelListener(request.body()).setup(exchange.getRequestChannel());
   }
 
-  private void read(ClientExchange exchange, CompletableFuture<HttpAnswer> answer) {
+  private void readResponse(
+      ClientExchange exchange, CompletableFuture<HttpResponse> responseFuture) {
     int status = exchange.getResponse().getResponseCode();
     new StringReadChannelListener(buffers) {
       @Override
       protected void stringDone(String body) {
-        answer.complete(new HttpAnswer(status, body));
+        responseFuture.complete(new HttpResponse(status, body));
       }
 
       @Override
       protected void error(IOException failure) {
-        answer.completeExceptionally(failure);
+        responseFuture.completeExceptionally(failure);
       }
     }.setup(exchange.getResponseChannel());
   }
 
   private static <T> ClientCallback<T> callback(
-      CompletableFuture<HttpAnswer> answer, Consumer<T> next) {
+      CompletableFuture<HttpResponse> responseFuture, Consumer<T> next) {
     return new ClientCallback<>() {
       @Override
       public void completed(T result) {
@@ -130,18 +142,18 @@
 
       @Override
       public void failed(IOException failure) {
-        answer.completeExceptionally(failure);
+        responseFuture.completeExceptionally(failure);
       }
     };
   }
 
-  private static HttpAnswer await(CompletableFuture<HttpAnswer> answer, Duration timeout)
-      throws IOException {
+  private static HttpResponse await(
+      CompletableFuture<HttpResponse> responseFuture, Duration timeout) throws IOException {
     try {
-      return answer.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
+      return responseFuture.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
-      IOException failure = new IOException(Messages.NO_ANSWER.formatted(timeout.toSeconds()), e);
-      answer.completeExceptionally(failure);
+      IOException failure = new IOException(Messages.NO_RESPONSE.formatted(timeout.toSeconds()), e);
+      responseFuture.completeExceptionally(failure);
       throw failure;
     } catch (ExecutionException e) {
       throw new IOException(e.getCause().getMessage(), e.getCause());
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/OperatorClient.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/OperatorClient.java
@@ -37,23 +37,23 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * Calls the operators' API, at the next server where one does not answer.
+ * Calls the operators' API, trying the servers in turn until one is available.
  *
- * <p>A change may be sent twice, since the log knows it by its id. Every failure is a {@link
- * CommandFailure}. Not safe for use by several threads.
+ * <p>Sending a change twice is safe, since the log recognises it by its id. Every failure is thrown
+ * as a {@link CommandFailure}. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class OperatorClient implements AutoCloseable {
-  private static final int OK = 200;
+  private static final int HTTP_OK = 200;
 
   private final ClientSettings settings;
   private final HttpTransport transport;
 
   /**
-   * Creates a client; it connects with the first call.
+   * Creates a client, which connects only when it is called.
    *
-   * @param settings where to
+   * @param settings the servers, token, timeout and TLS context
    */
   public OperatorClient(ClientSettings settings) {
     this.settings = settings;
@@ -67,25 +67,26 @@
   /**
    * Reads the configuration.
    *
-   * @return the newest that the server knows
+   * @return the newest configuration known to the server
    */
   public Configuration configuration() {
-    return call(HttpCall.get(OperatorPaths.CONFIGURATION), Configuration.class);
+    return call(HttpRequest.get(OperatorPaths.CONFIGURATION), Configuration.class);
   }
 
   /**
    * Proposes a change.
    *
    * @param change the change; author and time are set by the server
-   * @param dryRun whether it is only checked
+   * @param dryRun whether the change is only checked
    * @return the outcome
    */
   public ProposalOutcome propose(Change change, DryRun dryRun) {
     Query query = new Query().add(OperatorPaths.DRY_RUN, dryRun == DryRun.YES);
-    HttpCall call =
-        HttpCall.post(query.on(OperatorPaths.CHANGES), ChangeCodec.toJson(change).toString());
-    Reply reply = send(call);
-    if (reply.answer().status() == OK) {
+    HttpRequest request =
+        HttpRequest.post(
+            query.appendTo(OperatorPaths.CHANGES), ChangeCodec.toJson(change).toString());
+    Reply reply = send(request);
+    if (reply.response().status() == HTTP_OK) {
       return read(reply, ProposalOutcome.Accepted.class);
     }
     ProblemDocument problem = read(reply, ProblemDocument.class);
@@ -96,25 +97,25 @@
     if (problem.problems().hasErrors()) {
       return new ProposalOutcome.Refused(problem.problems());
     }
-    throw failure(problem);
+    throw toCommandFailure(problem);
   }
 
   /**
    * Reads accepted changes.
    *
-   * @param from the first revision wanted
-   * @param limit the most entries
+   * @param from the first revision to return
+   * @param limit the maximum number of entries
    * @return entries by ascending revision
    */
   public AuditPage audit(Revision from, int limit) {
     Query query = new Query().add(OperatorPaths.FROM, from.value()).add(OperatorPaths.LIMIT, limit);
-    return call(HttpCall.get(query.on(OperatorPaths.CHANGES)), AuditPage.class);
+    return call(HttpRequest.get(query.appendTo(OperatorPaths.CHANGES)), AuditPage.class);
   }
 
   /**
-   * Asks why a request would go where.
+   * Explains how a request would be routed.
    *
-   * @param request describes the request
+   * @param request the description of the request
    * @return the explanation
    */
   public RouteExplanation explain(ExplainRequest request) {
@@ -122,7 +123,7 @@
     request.model().ifPresent(model -> query.add(OperatorPaths.MODEL, model));
     request.path().ifPresent(path -> query.add(OperatorPaths.PATH, path));
     query.add(OperatorPaths.PROMPT_TOKENS, request.promptTokens());
-    return call(HttpCall.get(query.on(OperatorPaths.EXPLANATION)), RouteExplanation.class);
+    return call(HttpRequest.get(query.appendTo(OperatorPaths.EXPLANATION)), RouteExplanation.class);
   }
 
   /**
@@ -131,78 +132,82 @@
    * @return the status
    */
   public NodeStatus status() {
-    return call(HttpCall.get(OperatorPaths.STATUS), NodeStatus.class);
+    return call(HttpRequest.get(OperatorPaths.STATUS), NodeStatus.class);
   }
 
   /**
-   * Asks where a revision is in force.
+   * Reads on which nodes a revision is in force.
    *
-   * @param revision the revision, {@link Revision#NONE} for the newest
+   * @param revision the revision; {@link Revision#NONE} for the newest
    * @return the rollout
    */
   public RolloutStatus rollout(Revision revision) {
     Query query = new Query().add(OperatorPaths.REVISION, revision.value());
-    return call(HttpCall.get(query.on(OperatorPaths.ROLLOUT)), RolloutStatus.class);
+    return call(HttpRequest.get(query.appendTo(OperatorPaths.ROLLOUT)), RolloutStatus.class);
   }
 
   /**
-   * Begins the graceful shutdown of the node that answers; to be used with one server only.
+   * Starts the graceful shutdown of the node that answers. To be used with a single server only,
+   * since any of several may answer.
    *
-   * @return its status
+   * @return the status of the node
    */
   public NodeStatus drain() {
-    return call(HttpCall.post(OperatorPaths.DRAIN, "{}"), NodeStatus.class);
+    return call(HttpRequest.post(OperatorPaths.DRAIN, "{}"), NodeStatus.class);
   }
 
   /**
-   * Reads the requests under which upstreams ended, from the metrics address of a relay node.
+   * Reads the requests that upstreams had in progress when they crashed, from the metrics address
+   * of a relay node.
    *
-   * @return what that node knows
+   * @return the requests known to that node
    */
   public QuarantineStatus quarantine() {
-    return call(HttpCall.get(OperatorPaths.QUARANTINE), QuarantineStatus.class);
+    return call(HttpRequest.get(OperatorPaths.QUARANTINE), QuarantineStatus.class);
   }
 
   /**
-   * Reads the limits that upstreams name, from the metrics address of a relay node.
+   * Reads the rate limits that upstreams announced, from the metrics address of a relay node.
    *
-   * @return what that node knows
+   * @return the limits known to that node
    */
   public LimitStatus limits() {
-    return call(HttpCall.get(OperatorPaths.UPSTREAM_LIMITS), LimitStatus.class);
+    return call(HttpRequest.get(OperatorPaths.UPSTREAM_LIMITS), LimitStatus.class);
   }
 
   /**
-   * Lets a request be sent again on all nodes.
+   * Releases a request from quarantine on all nodes.
    *
-   * @param request its fingerprint
-   * @return what the node that was asked knows since
+   * @param request the fingerprint of the request
+   * @return the requests known to the answering node after the release
    */
   public QuarantineStatus release(Fingerprint request) {
-    return call(HttpCall.delete(OperatorPaths.QUARANTINE + "/" + request), QuarantineStatus.class);
+    return call(
+        HttpRequest.delete(OperatorPaths.QUARANTINE + "/" + request), QuarantineStatus.class);
   }
 
-  private <T> T call(HttpCall call, Class<T> type) {
-    Reply reply = send(call);
-    if (reply.answer().status() == OK) {
+  private <T> T call(HttpRequest request, Class<T> type) {
+    Reply reply = send(request);
+    if (reply.response().status() == HTTP_OK) {
       return read(reply, type);
     }
-    throw failure(read(reply, ProblemDocument.class));
+    throw toCommandFailure(read(reply, ProblemDocument.class));
   }
 
-  /** An answer and who gave it. */
-  private record Reply(Server server, HttpAnswer answer) {}
+  /** A response and the server that sent it. */
+  private record Reply(Server server, HttpResponse response) {}
 
-  private Reply send(HttpCall call) {
+  private Reply send(HttpRequest request) {
     List<String> reasons = new ArrayList<>();
     for (Server server : settings.servers()) {
       try {
-        HttpAnswer answer = transport.send(server, call, settings.token(), settings.timeout());
-        Reply reply = new Reply(server, answer);
-        if (!isUnavailable(answer)) {
+        HttpResponse response =
+            transport.send(server, request, settings.token(), settings.timeout());
+        Reply reply = new Reply(server, response);
+        if (!isUnavailable(response)) {
           return reply;
         }
-        reasons.add(server + ": " + reason(reply));
+        reasons.add(server + ": " + unavailabilityReason(reply));
       } catch (IOException e) {
         reasons.add(server + ": " + e.getMessage());
       }
@@ -211,30 +216,33 @@
         ExitCode.UNREACHABLE, Messages.UNREACHABLE.formatted(Joiner.on("; ").join(reasons)));
   }
 
-  private static boolean isUnavailable(HttpAnswer answer) {
-    return answer.status() == ErrorKind.STORE_UNAVAILABLE.status()
-        || answer.status() == ErrorKind.DEADLINE_EXCEEDED.status();
+  private static boolean isUnavailable(HttpResponse response) {
+    return response.status() == ErrorKind.STORE_UNAVAILABLE.status()
+        || response.status() == ErrorKind.DEADLINE_EXCEEDED.status();
   }
 
-  /** What a server, or something between, says about not being available. */
-  private static String reason(Reply reply) {
+  /**
+   * Returns why a server is unavailable: the detail of its answer, or only the status if a proxy in
+   * between answered in another form.
+   */
+  private static String unavailabilityReason(Reply reply) {
     try {
       return read(reply, ProblemDocument.class).detail();
     } catch (CommandFailure e) {
-      return "status " + reply.answer().status();
+      return "status " + reply.response().status();
     }
   }
 
   private static <T> T read(Reply reply, Class<T> type) {
     try {
-      return OperatorCodec.read(reply.answer().body().getBytes(StandardCharsets.UTF_8), type);
+      return OperatorCodec.read(reply.response().body().getBytes(StandardCharsets.UTF_8), type);
     } catch (IOException | LarkkeelException e) {
       throw new CommandFailure(
-          ExitCode.FAILURE, Messages.BAD_ANSWER.formatted(reply.server(), e.getMessage()));
+          ExitCode.FAILURE, Messages.BAD_RESPONSE.formatted(reply.server(), e.getMessage()));
     }
   }
 
-  private static CommandFailure failure(ProblemDocument problem) {
+  private static CommandFailure toCommandFailure(ProblemDocument problem) {
     ExitCode code =
         switch (problem.status()) {
           case 401, 403 -> ExitCode.DENIED;
@@ -252,7 +260,7 @@
     transport.close();
   }
 
-  /** Builds a query. Not safe for use by several threads. */
+  /** Builds the query part of a request target. Not safe for use by several threads. */
   private static final class Query {
     private final ImmutableList.Builder<String> parts = ImmutableList.builder();
 
@@ -261,7 +269,7 @@
       return this;
     }
 
-    String on(String path) {
+    String appendTo(String path) {
       return path + "?" + Joiner.on('&').join(parts.build());
     }
   }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/Server.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/client/Server.java
@@ -13,7 +13,7 @@
 import org.larkkeel.cli.errors.Messages;
 
 /**
- * Where the operators' API of a node is.
+ * The address of a node's operators' API.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -21,42 +21,45 @@
  * @since 0.1
  */
 public record Server(URI uri) {
-  private static final String PLAIN = "http";
-  private static final String SECURE = "https";
-  private static final String SCHEME_MARK = "://";
+  private static final String HTTP = "http";
+  private static final String HTTPS = "https";
+  private static final String SCHEME_SEPARATOR = "://";
 
   /**
-   * Reads the name of a server.
+   * Parses the address of a server.
    *
    * @param text {@code HOST:PORT}, {@code http://HOST:PORT} or {@code https://HOST:PORT}
    * @return the server
    * @throws CommandFailure of {@link ExitCode#USAGE} if the text is malformed
    */
   public static Server parse(String text) {
-    String whole = text.contains(SCHEME_MARK) ? text : PLAIN + SCHEME_MARK + text;
+    String uriText = text.contains(SCHEME_SEPARATOR) ? text : HTTP + SCHEME_SEPARATOR + text;
     try {
-      URI uri = new URI(whole);
-      boolean known = PLAIN.equals(uri.getScheme()) || SECURE.equals(uri.getScheme());
-      if (known && uri.getHost() != null && uri.getPort() > 0 && uri.getPath().isEmpty()) {
+      URI uri = new URI(uriText);
+      boolean supportedScheme = HTTP.equals(uri.getScheme()) || HTTPS.equals(uri.getScheme());
+      if (supportedScheme
+          && uri.getHost() != null
+          && uri.getPort() > 0
+          && uri.getPath().isEmpty()) {
         return new Server(uri);
       }
     } catch (URISyntaxException e) {
-      // Told below, as any other malformed server.
+      // Reported below, like any other malformed address.
     }
     throw new CommandFailure(ExitCode.USAGE, Messages.BAD_SERVER.formatted(text));
   }
 
   /**
-   * Tells whether the connection is encrypted.
+   * Returns whether the connection is encrypted.
    *
    * @return true for https
    */
   public boolean isSecure() {
-    return SECURE.equals(uri.getScheme());
+    return HTTPS.equals(uri.getScheme());
   }
 
   /**
-   * The header {@code Host}.
+   * Returns the value of the header {@code Host}.
    *
    * @return host and port
    */
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ApplyCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ApplyCommand.java
@@ -13,7 +13,7 @@
 import org.larkkeel.config.Diff;
 import org.larkkeel.lib.Revision;
 
-/** Puts the objects of a document into the configuration. */
+/** Applies a document: adds or replaces its objects in the configuration, as one change. */
 @CommandInfo(
     name = "apply",
     summary =
@@ -37,17 +37,17 @@
   protected ExitCode run() {
     ConfigurationDocument document = DocumentFile.read(file, environment());
     if (document.problems().hasErrors()) {
-      return refused(document.problems());
+      return printProblems(document.problems());
     }
-    Configuration present = client().configuration();
-    Configuration wanted = document.configuration();
-    Configuration merged = DocumentFile.merge(present, wanted, prune);
-    Diff diff = Diff.between(present, merged);
+    Configuration current = client().configuration();
+    Configuration requested = document.configuration();
+    Configuration merged = DocumentFile.merge(current, requested, prune);
+    Diff diff = Diff.between(current, merged);
     if (!isJson()) {
-      DiffPrinter.printBriefly(diff, out());
+      DiffPrinter.printSummary(diff, out());
     }
     Revision base =
-        wanted.revision().equals(Revision.NONE) ? present.revision() : wanted.revision();
+        requested.revision().equals(Revision.NONE) ? current.revision() : requested.revision();
     return propose(base, diff.operations(merged, prune), document::locate);
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/Arguments.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/Arguments.java
@@ -21,11 +21,14 @@
 import org.larkkeel.selector.Selector;
 import org.larkkeel.selector.SelectorSyntaxException;
 
-/** Turns arguments into objects. Stateless and safe for use by several threads. */
+/**
+ * Converts arguments to kinds, selectors and objects; throws {@link CommandFailure} if one is
+ * invalid. Stateless and safe for use by several threads.
+ */
 final class Arguments {
   private Arguments() {}
 
-  static ObjectKind kind(String text) {
+  static ObjectKind parseKind(String text) {
     return ObjectKind.parse(text).orElseThrow(() -> unknownKind(text));
   }
 
@@ -37,7 +40,7 @@
     return new CommandFailure(ExitCode.USAGE, Messages.UNKNOWN_KIND.formatted(text, kinds));
   }
 
-  static Selector selector(String text) {
+  static Selector parseSelector(String text) {
     try {
       return Selector.parse(text);
     } catch (SelectorSyntaxException e) {
@@ -45,41 +48,45 @@
     }
   }
 
-  /** The one object of that name. */
-  static ConfigurationObject object(Configuration configuration, ObjectKind kind, String name) {
-    for (ConfigurationObject object : ConfigurationObjects.of(configuration, kind)) {
+  /** Returns the object of that name; fails with {@link ExitCode#NOT_FOUND} if there is none. */
+  static ConfigurationObject findObject(Configuration configuration, ObjectKind kind, String name) {
+    for (ConfigurationObject object : ConfigurationObjects.ofKind(configuration, kind)) {
       if (object.id().name().equals(name)) {
         return object;
       }
     }
-    throw missing(configuration, kind, name);
+    throw objectNotFound(configuration, kind, name);
   }
 
-  /** The objects that a name or a selector chooses; with neither, all. At least one. */
-  static ImmutableList<ConfigurationObject> objects(
+  /**
+   * Returns the objects that a name or a selector matches, or all if neither is given; fails with
+   * {@link ExitCode#NOT_FOUND} if the name or selector matches none.
+   */
+  static ImmutableList<ConfigurationObject> selectObjects(
       Configuration configuration,
       ObjectKind kind,
       Optional<String> name,
-      Optional<String> labels) {
+      Optional<String> selectorText) {
     if (name.isPresent()) {
-      return ImmutableList.of(object(configuration, kind, name.get()));
+      return ImmutableList.of(findObject(configuration, kind, name.get()));
     }
-    Selector selector = selector(labels.orElse(""));
-    ImmutableList<ConfigurationObject> chosen =
-        ConfigurationObjects.of(configuration, kind).stream()
+    Selector selector = parseSelector(selectorText.orElse(""));
+    ImmutableList<ConfigurationObject> selected =
+        ConfigurationObjects.ofKind(configuration, kind).stream()
             .filter(object -> selector.matches(object.labels()))
             .collect(ImmutableList.toImmutableList());
-    if (chosen.isEmpty() && labels.isPresent()) {
+    if (selected.isEmpty() && selectorText.isPresent()) {
       throw new CommandFailure(
           ExitCode.NOT_FOUND,
-          Messages.NO_MATCH.formatted(kind.section(), labels.get(), kind.section()));
+          Messages.NO_MATCH.formatted(kind.section(), selectorText.get(), kind.section()));
     }
-    return chosen;
+    return selected;
   }
 
-  private static CommandFailure missing(Configuration configuration, ObjectKind kind, String name) {
+  private static CommandFailure objectNotFound(
+      Configuration configuration, ObjectKind kind, String name) {
     ImmutableList<String> names =
-        ConfigurationObjects.of(configuration, kind).stream()
+        ConfigurationObjects.ofKind(configuration, kind).stream()
             .map(object -> object.id().name())
             .collect(ImmutableList.toImmutableList());
     String remedy =
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/AuditCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/AuditCommand.java
@@ -25,8 +25,8 @@
 final class AuditCommand extends Command {
   private static final int DEFAULT_LIMIT = 100;
 
-  /** Operations of one change that the table shows; JSON has all of them. */
-  private static final int MAX_OPERATIONS = 3;
+  /** Maximum number of operations per change in the table; the JSON output has all of them. */
+  private static final int MAX_SHOWN_OPERATIONS = 3;
 
   @Option(
       name = "--since",
@@ -40,11 +40,11 @@
   @Override
   protected ExitCode run() {
     AuditPage page = client().audit(new Revision(since), limit);
-    print(page, () -> table(page).print(out()));
+    print(page, () -> toTable(page).print(out()));
     return ExitCode.OK;
   }
 
-  private static Table table(AuditPage page) {
+  private static Table toTable(AuditPage page) {
     Table table = new Table("REVISION", "TIME", "AUTHOR", "REASON", "CHANGE", "OPERATIONS");
     for (AuditPage.Entry entry : page.entries()) {
       Change change = entry.change();
@@ -54,22 +54,22 @@
           change.author(),
           change.reason(),
           change.id(),
-          text(change));
+          describeOperations(change));
     }
     return table;
   }
 
-  private static String text(Change change) {
+  private static String describeOperations(Change change) {
     String shown =
         change.operations().stream()
-            .limit(MAX_OPERATIONS)
-            .map(AuditCommand::step)
+            .limit(MAX_SHOWN_OPERATIONS)
+            .map(AuditCommand::describeOperation)
             .collect(Collectors.joining(", "));
-    int hidden = change.operations().size() - MAX_OPERATIONS;
+    int hidden = change.operations().size() - MAX_SHOWN_OPERATIONS;
     return hidden > 0 ? Messages.MORE_OPERATIONS.formatted(shown, hidden) : shown;
   }
 
-  private static String step(Operation operation) {
+  private static String describeOperation(Operation operation) {
     return switch (operation) {
       case Operation.Put put -> "put " + put.target();
       case Operation.Delete delete -> "delete " + delete.target();
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ChangeCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ChangeCommand.java
@@ -30,7 +30,7 @@
   @Option(name = "--dry-run", usage = "only check the change")
   private boolean dryRun;
 
-  /** Sends the steps as one change and prints what became of it. */
+  /** Proposes the operations as one change and prints the outcome. */
   final ExitCode propose(Revision base, ImmutableList<Operation> operations) {
     return propose(base, operations, UnaryOperator.identity());
   }
@@ -45,25 +45,26 @@
     Change change = new Change(id, "", 0, reason, base, operations);
     ProposalOutcome outcome = client().propose(change, dryRun ? DryRun.YES : DryRun.NO);
     return switch (outcome) {
-      case ProposalOutcome.Accepted accepted -> accepted(accepted, locate);
+      case ProposalOutcome.Accepted accepted -> printAccepted(accepted, locate);
       case ProposalOutcome.Conflicting conflict ->
           throw new CommandFailure(ExitCode.CONFLICT, ProblemDocument.of(conflict).detail());
-      case ProposalOutcome.Refused refused -> refused(locate.apply(refused.problems()));
+      case ProposalOutcome.Refused refused -> printProblems(locate.apply(refused.problems()));
     };
   }
 
-  private ExitCode accepted(ProposalOutcome.Accepted accepted, UnaryOperator<Problems> locate) {
+  private ExitCode printAccepted(
+      ProposalOutcome.Accepted accepted, UnaryOperator<Problems> locate) {
     locate.apply(accepted.warnings()).all().forEach(warning -> err().println(warning));
-    print(accepted, () -> out().println(text(accepted)));
+    print(accepted, () -> out().println(acceptedMessage(accepted)));
     return ExitCode.OK;
   }
 
-  private String text(ProposalOutcome.Accepted accepted) {
+  private String acceptedMessage(ProposalOutcome.Accepted accepted) {
     String message = dryRun ? Messages.WOULD_ACCEPT : Messages.ACCEPTED;
     return message.formatted(accepted.revision().value());
   }
 
-  final ExitCode refused(Problems problems) {
+  final ExitCode printProblems(Problems problems) {
     problems.all().forEach(problem -> err().println(problem));
     return ExitCode.INVALID;
   }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/Command.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/Command.java
@@ -14,7 +14,7 @@
 import org.larkkeel.http.operator.OperatorCodec;
 
 /**
- * A subcommand; args4j fills its fields, then {@link #execute} runs it once.
+ * A subcommand. The parser sets its fields through args4j, then {@link #execute} runs it once.
  *
  * <p>Not safe for use by several threads.
  *
@@ -36,11 +36,11 @@
   private Environment environment;
   private OperatorClient client;
 
-  /** For subclasses. */
+  /** Creates a command with the defaults of its options. */
   protected Command() {}
 
   /**
-   * The name and summary.
+   * Returns the name and help texts of the command.
    *
    * @return the annotation of the class
    */
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Tells whether help is asked for.
+   * Returns whether help is requested.
    *
    * @return true if the command is not to be run
    */
@@ -60,7 +60,7 @@
   /**
    * Runs the command.
    *
-   * @param newEnvironment streams and variables
+   * @param newEnvironment the standard streams and environment variables
    * @return the exit code
    * @throws org.larkkeel.cli.errors.CommandFailure if it fails
    */
@@ -76,7 +76,7 @@
   }
 
   /**
-   * Does the work.
+   * Runs the command after {@link #execute} has set the environment.
    *
    * @return the exit code
    */
@@ -102,7 +102,7 @@
     return format == OutputFormat.JSON;
   }
 
-  /** The client, connected as the options say. */
+  /** Returns the client for the connection options, created on the first call. */
   final OperatorClient client() {
     if (client == null) {
       client = new OperatorClient(connection.settings(environment));
@@ -110,12 +110,12 @@
     return client;
   }
 
-  /** Prints a body as JSON, or else calls what prints it for people. */
-  final void print(Object body, Runnable table) {
+  /** Prints a body as JSON if requested, or else calls the printer of its text form. */
+  final void print(Object body, Runnable tablePrinter) {
     if (isJson()) {
       out().println(OperatorCodec.writePretty(body));
     } else {
-      table.run();
+      tablePrinter.run();
     }
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/CommandCatalog.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/CommandCatalog.java
@@ -27,7 +27,7 @@
   private CommandCatalog() {}
 
   /**
-   * The names.
+   * Returns the names of all commands.
    *
    * @return the names in alphabetical order
    */
@@ -38,8 +38,8 @@
   /**
    * Creates a command.
    *
-   * @param name its name
-   * @return a new command, not yet parsed
+   * @param name the name of the command
+   * @return a new command, whose arguments are not parsed yet
    * @throws CommandFailure of {@link ExitCode#USAGE} if there is none of that name
    */
   public static Command create(String name) {
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/CommandInfo.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/CommandInfo.java
@@ -12,7 +12,7 @@
 import java.lang.annotation.Target;
 
 /**
- * Names a subcommand and says what it does.
+ * The name and help texts of a subcommand.
  *
  * @since 0.1
  */
@@ -27,14 +27,14 @@
   String name();
 
   /**
-   * What the command does.
+   * The description of the command.
    *
    * @return one sentence
    */
   String summary();
 
   /**
-   * A command line to begin with.
+   * An example of a command line.
    *
    * @return the example
    */
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/CommandParser.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/CommandParser.java
@@ -16,7 +16,7 @@
 import org.larkkeel.cli.errors.Messages;
 
 /**
- * Reads arguments into a command.
+ * Parses arguments into the fields of a command.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -28,11 +28,12 @@
   private CommandParser() {}
 
   /**
-   * Reads arguments.
+   * Parses arguments.
    *
-   * @param command the command to fill
-   * @param arguments the arguments after its name
-   * @throws CommandFailure of {@link ExitCode#USAGE} if they do not fit
+   * @param command the command whose fields are set
+   * @param arguments the arguments after the name of the command
+   * @throws CommandFailure of {@link ExitCode#USAGE} if an argument is missing, unknown or
+   *     malformed
    */
   public static void parse(Command command, List<String> arguments) {
     try {
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/CompleteCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/CompleteCommand.java
@@ -13,7 +13,7 @@
 import org.larkkeel.config.ConfigurationObjects;
 import org.larkkeel.config.ObjectKind;
 
-/** Lists names for a shell to complete. */
+/** Lists names for the completion of a shell. */
 @CommandInfo(
     name = "complete",
     summary =
@@ -37,25 +37,25 @@
   @Override
   protected ExitCode run() {
     switch (what) {
-      case COMMANDS -> CommandCatalog.names().forEach(this::offer);
+      case COMMANDS -> CommandCatalog.names().forEach(this::printIfPrefixMatches);
       case KINDS -> {
         for (ObjectKind kind : ObjectKind.values()) {
-          offer(kind.section());
+          printIfPrefixMatches(kind.section());
         }
       }
-      default -> offerObjects(Arguments.kind(what));
+      default -> printObjectNames(Arguments.parseKind(what));
     }
     return ExitCode.OK;
   }
 
-  private void offerObjects(ObjectKind kind) {
-    Configuration present = client().configuration();
-    for (ConfigurationObject object : ConfigurationObjects.of(present, kind)) {
-      offer(object.id().name());
+  private void printObjectNames(ObjectKind kind) {
+    Configuration current = client().configuration();
+    for (ConfigurationObject object : ConfigurationObjects.ofKind(current, kind)) {
+      printIfPrefixMatches(object.id().name());
     }
   }
 
-  private void offer(String name) {
+  private void printIfPrefixMatches(String name) {
     if (name.startsWith(prefix)) {
       out().println(name);
     }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ConnectionOptions.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ConnectionOptions.java
@@ -29,11 +29,11 @@
 import org.larkkeel.cli.errors.ExitCode;
 import org.larkkeel.cli.errors.Messages;
 
-/** The options that tell how to reach a server. Not safe for use by several threads. */
+/** The options of the connection to a server. Not safe for use by several threads. */
 final class ConnectionOptions {
   private static final int DEFAULT_TIMEOUT_SECONDS = 10;
   private static final int MAX_TIMEOUT_SECONDS = 3600;
-  private static final Splitter COMMAS = Splitter.on(',').trimResults().omitEmptyStrings();
+  private static final Splitter COMMA_SPLITTER = Splitter.on(',').trimResults().omitEmptyStrings();
 
   @Option(
       name = "--server",
@@ -71,13 +71,13 @@
   }
 
   ImmutableList<Server> servers(Environment environment) {
-    List<String> named =
+    List<String> serverTexts =
         servers.isEmpty()
             ? environment.variable(Environment.SERVER_VARIABLE).stream().toList()
             : servers;
     ImmutableList<Server> parsed =
-        named.stream()
-            .flatMap(COMMAS::splitToStream)
+        serverTexts.stream()
+            .flatMap(COMMA_SPLITTER::splitToStream)
             .map(Server::parse)
             .collect(ImmutableList.toImmutableList());
     if (parsed.isEmpty()) {
@@ -88,7 +88,7 @@
 
   ClientSettings settings(Environment environment) {
     return new ClientSettings(
-        servers(environment), token(environment), timeout(), tls(environment));
+        servers(environment), token(environment), timeout(), sslContext(environment));
   }
 
   private Optional<String> token(Environment environment) {
@@ -105,21 +105,22 @@
       }
       return token;
     } catch (IOException e) {
-      throw unreadable(file, e);
+      throw unreadableFile(file, e);
     }
   }
 
-  private SSLContext tls(Environment environment) {
+  private SSLContext sslContext(Environment environment) {
     Optional<String> file =
         Optional.ofNullable(caFile).or(() -> environment.variable(Environment.CA_FILE_VARIABLE));
     try {
-      return file.isPresent() ? trusting(file.get()) : SSLContext.getDefault();
+      return file.isPresent() ? sslContextTrusting(file.get()) : SSLContext.getDefault();
     } catch (IOException | GeneralSecurityException e) {
-      throw unreadable(file.orElse("the trust store of the JDK"), e);
+      throw unreadableFile(file.orElse("the trust store of the JDK"), e);
     }
   }
 
-  private static SSLContext trusting(String file) throws IOException, GeneralSecurityException {
+  private static SSLContext sslContextTrusting(String file)
+      throws IOException, GeneralSecurityException {
     KeyStore store = KeyStore.getInstance(KeyStore.getDefaultType());
     store.load(null, null);
     try (InputStream in = Files.newInputStream(Path.of(file))) {
@@ -130,15 +131,15 @@
         index++;
       }
     }
-    TrustManagerFactory trust =
+    TrustManagerFactory trustManagers =
         TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
-    trust.init(store);
+    trustManagers.init(store);
     SSLContext context = SSLContext.getInstance("TLS");
-    context.init(null, trust.getTrustManagers(), null);
+    context.init(null, trustManagers.getTrustManagers(), null);
     return context;
   }
 
-  private static CommandFailure unreadable(String file, Exception e) {
+  private static CommandFailure unreadableFile(String file, Exception e) {
     return new CommandFailure(ExitCode.USAGE, Messages.UNREADABLE.formatted(file, e.getMessage()));
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DeleteCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DeleteCommand.java
@@ -31,10 +31,11 @@
 
   @Override
   protected ExitCode run() {
-    ObjectKind objectKind = Arguments.kind(kind);
-    Configuration present = client().configuration();
+    ObjectKind objectKind = Arguments.parseKind(kind);
+    Configuration current = client().configuration();
     return propose(
-        present.revision(),
-        ImmutableList.of(new Operation.Delete(Arguments.object(present, objectKind, name).id())));
+        current.revision(),
+        ImmutableList.of(
+            new Operation.Delete(Arguments.findObject(current, objectKind, name).id())));
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DescribeCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DescribeCommand.java
@@ -19,7 +19,7 @@
 import org.larkkeel.config.ObjectWriter;
 import org.larkkeel.http.operator.OperatorCodec;
 
-/** Shows one object in whole. */
+/** Shows one object with all of its fields and its related objects. */
 @CommandInfo(
     name = "describe",
     summary = "Shows one object with every field, and which objects it selects or is selected by.",
@@ -37,12 +37,12 @@
 
   @Override
   protected ExitCode run() {
-    ObjectKind objectKind = Arguments.kind(kind);
-    Configuration present = client().configuration();
-    ConfigurationObject object = Arguments.object(present, objectKind, name);
-    Map<ObjectKind, ImmutableList<String>> relations = Relations.of(present, object);
+    ObjectKind objectKind = Arguments.parseKind(kind);
+    Configuration current = client().configuration();
+    ConfigurationObject object = Arguments.findObject(current, objectKind, name);
+    Map<ObjectKind, ImmutableList<String>> relations = Relations.relatedTo(current, object);
     if (isJson()) {
-      out().println(OperatorCodec.writePretty(json(object, relations)));
+      out().println(OperatorCodec.writePretty(toJson(object, relations)));
       return ExitCode.OK;
     }
     out().println(object.id());
@@ -52,7 +52,7 @@
     return ExitCode.OK;
   }
 
-  private static ObjectNode json(
+  private static ObjectNode toJson(
       ConfigurationObject object, Map<ObjectKind, ImmutableList<String>> relations) {
     ObjectNode spec = ObjectWriter.toJson(object);
     ObjectNode node = spec.objectNode();
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DiffCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DiffCommand.java
@@ -38,8 +38,8 @@
       document.problems().all().forEach(problem -> err().println(problem));
       return ExitCode.INVALID;
     }
-    Configuration present = client().configuration();
-    Diff diff = Diff.between(present, DocumentFile.merge(present, document.configuration(), prune));
+    Configuration current = client().configuration();
+    Diff diff = Diff.between(current, DocumentFile.merge(current, document.configuration(), prune));
     print(diff, () -> DiffPrinter.print(diff, out()));
     return diff.objects().isEmpty() ? ExitCode.OK : ExitCode.DIFFERENT;
   }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DiffPrinter.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DiffPrinter.java
@@ -11,17 +11,20 @@
 import org.larkkeel.config.Diff;
 import org.larkkeel.errors.Slugs;
 
-/** Prints differences for people. Stateless and safe for use by several threads. */
+/** Prints differences as text. Stateless and safe for use by several threads. */
 final class DiffPrinter {
   private DiffPrinter() {}
 
-  /** Every field of every object that differs. */
+  /** Prints every object that differs, with all fields that differ. */
   static void print(Diff diff, PrintStream out) {
     diff.objects().forEach(object -> printObject(object, true, out));
   }
 
-  /** Every object that differs, and the fields of those that are in both configurations. */
-  static void printBriefly(Diff diff, PrintStream out) {
+  /**
+   * Prints every object that differs, with fields only for objects that both configurations
+   * contain.
+   */
+  static void printSummary(Diff diff, PrintStream out) {
     diff.objects().forEach(object -> printObject(object, object.type() == Diff.Type.CHANGED, out));
   }
 
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DocumentFile.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DocumentFile.java
@@ -19,7 +19,7 @@
 import org.larkkeel.config.ConfigurationObjects;
 import org.larkkeel.config.ObjectId;
 
-/** The document that {@code -f} names. Stateless and safe for use by several threads. */
+/** Reads the document that {@code -f} names. Stateless and safe for use by several threads. */
 final class DocumentFile {
   private static final String STANDARD_INPUT = "-";
   private static final String STANDARD_INPUT_SOURCE = "stdin";
@@ -38,11 +38,14 @@
     }
   }
 
-  /** Puts the objects of a document over a configuration; pruning removes all others. */
-  static Configuration merge(Configuration present, Configuration document, boolean prune) {
-    ConfigurationBuilder merged = new ConfigurationBuilder(present);
+  /**
+   * Adds or replaces the objects of a document in a copy of a configuration; pruning removes all
+   * others.
+   */
+  static Configuration merge(Configuration current, Configuration document, boolean prune) {
+    ConfigurationBuilder merged = new ConfigurationBuilder(current);
     if (prune) {
-      for (ObjectId id : ConfigurationObjects.all(present).keySet()) {
+      for (ObjectId id : ConfigurationObjects.all(current).keySet()) {
         merged.remove(id);
       }
     }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DrainCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/DrainCommand.java
@@ -17,7 +17,7 @@
 import org.larkkeel.config.Upstream;
 import org.larkkeel.http.operator.NodeStatus;
 
-/** Takes upstreams, or one node of larkkeel itself, out of service gracefully. */
+/** Takes upstreams out of service by labelling them as leaving, or drains one node. */
 @CommandInfo(
     name = "drain",
     summary =
@@ -63,12 +63,13 @@
         undo
             ? LabelChange.removing(Upstream.PHASE_LABEL)
             : LabelChange.setting(Upstream.PHASE_LABEL, Upstream.PHASE_LEAVING);
-    Configuration present = client().configuration();
+    Configuration current = client().configuration();
     return propose(
-        present.revision(),
-        Arguments.objects(present, ObjectKind.UPSTREAM, Optional.empty(), Optional.of(selector))
+        current.revision(),
+        Arguments.selectObjects(
+                current, ObjectKind.UPSTREAM, Optional.empty(), Optional.of(selector))
             .stream()
-            .flatMap(upstream -> change.on(upstream).stream())
+            .flatMap(upstream -> change.operationFor(upstream).stream())
             .collect(ImmutableList.toImmutableList()));
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ExplainCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ExplainCommand.java
@@ -19,7 +19,7 @@
 import org.larkkeel.lib.ModelName;
 import org.larkkeel.lib.WorkspaceName;
 
-/** Tells why a request would go where. */
+/** Explains how a request would be routed. */
 @CommandInfo(
     name = "explain",
     summary =
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ExplainLogCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ExplainLogCommand.java
@@ -26,21 +26,23 @@
 import org.larkkeel.cli.errors.Messages;
 
 /**
- * Gathers what nodes logged of one call, and of the upstreams that had to do with it.
+ * Collects the log lines of one call from several nodes, and the lines on the state of its
+ * upstreams.
  *
- * <p>Lines of upstreams are those of what was believed of them from ten seconds before the call's
- * first line to its last one.
+ * <p>A line on the state of upstreams is included if it comes from a node that logged the call,
+ * names an upstream of the call or none, and lies between ten seconds before the call's first line
+ * and its last line.
  */
 @CommandInfo(
     name = "explain-log",
     summary = "Gathers the lines of one call from the logs of several nodes, in order of time.",
     example = "larkkeel explain-log 7c91fe583e297b3b node-1.log node-2.log")
 final class ExplainLogCommand extends Command {
-  private static final Pattern TIME = Pattern.compile("\\btime=(\\S+)");
-  private static final Pattern UPSTREAM = Pattern.compile("\\bupstream=(\\S+)");
-  private static final Pattern BELIEF =
+  private static final Pattern TIME_KEY = Pattern.compile("\\btime=(\\S+)");
+  private static final Pattern UPSTREAM_KEY = Pattern.compile("\\bupstream=(\\S+)");
+  private static final Pattern UPSTREAM_STATE_EVENT =
       Pattern.compile("\\bevent=(upstream_changed|ejected|restored|ordered|in_force) ");
-  private static final int BEFORE_SECONDS = 10;
+  private static final int SECONDS_BEFORE_CALL = 10;
 
   @Argument(index = 0, metaVar = "CALL", required = true, usage = "what the caller calls it")
   private String call;
@@ -58,31 +60,32 @@
 
   @Override
   protected ExitCode run() {
-    List<Line> all = new ArrayList<>();
-    files.forEach(file -> read(file, all));
-    Pattern ofCall = Pattern.compile("\\bcall=" + Pattern.quote(call) + "(\\s|$)");
-    List<Line> own = all.stream().filter(l -> ofCall.matcher(l.text()).find()).toList();
-    if (own.isEmpty()) {
+    List<Line> allLines = new ArrayList<>();
+    files.forEach(file -> readLines(file, allLines));
+    Pattern callPattern = Pattern.compile("\\bcall=" + Pattern.quote(call) + "(\\s|$)");
+    List<Line> callLines =
+        allLines.stream().filter(l -> callPattern.matcher(l.text()).find()).toList();
+    if (callLines.isEmpty()) {
       throw new CommandFailure(
           ExitCode.NOT_FOUND,
           "no line of the call \""
               + call
               + "\": name the logs of all nodes that the caller may have reached");
     }
-    List<Line> told = new ArrayList<>(own);
-    all.stream().filter(l -> isBelief(l, own)).forEach(told::add);
-    told.sort(Comparator.comparing(Line::time));
-    told.forEach(l -> out().println(l.file() + ": " + l.text()));
+    List<Line> selectedLines = new ArrayList<>(callLines);
+    allLines.stream().filter(l -> isRelatedUpstreamState(l, callLines)).forEach(selectedLines::add);
+    selectedLines.sort(Comparator.comparing(Line::time));
+    selectedLines.forEach(l -> out().println(l.file() + ": " + l.text()));
     return ExitCode.OK;
   }
 
-  private static void read(String file, List<Line> to) {
+  private static void readLines(String file, List<Line> lines) {
     try {
       Path path = Path.of(file);
       for (String text : Files.readAllLines(path, StandardCharsets.UTF_8)) {
-        Matcher time = TIME.matcher(text);
+        Matcher time = TIME_KEY.matcher(text);
         if (time.find()) {
-          to.add(new Line(time.group(1), String.valueOf(path.getFileName()), text));
+          lines.add(new Line(time.group(1), String.valueOf(path.getFileName()), text));
         }
       }
     } catch (IOException e) {
@@ -90,33 +93,36 @@
     }
   }
 
-  /** Whether a line tells what a node of the call believed of one of its upstreams. */
-  private static boolean isBelief(Line line, List<Line> own) {
-    if (!BELIEF.matcher(line.text()).find()) {
+  /**
+   * Returns whether a line reports how a node of the call saw the state of one of the call's
+   * upstreams, within the time of the call.
+   */
+  private static boolean isRelatedUpstreamState(Line line, List<Line> callLines) {
+    if (!UPSTREAM_STATE_EVENT.matcher(line.text()).find()) {
       return false;
     }
     Set<String> nodes = new HashSet<>();
     Set<String> upstreams = new HashSet<>();
-    for (Line l : own) {
-      nodes.add(l.file());
-      upstream(l).ifPresent(upstreams::add);
+    for (Line callLine : callLines) {
+      nodes.add(callLine.file());
+      upstreamOf(callLine).ifPresent(upstreams::add);
     }
-    boolean related = upstream(line).map(upstreams::contains).orElse(true);
+    boolean related = upstreamOf(line).map(upstreams::contains).orElse(true);
     return nodes.contains(line.file())
         && related
-        && line.time().compareTo(earliest(own)) >= 0
-        && line.time().compareTo(own.getLast().time()) <= 0;
+        && line.time().compareTo(windowStart(callLines)) >= 0
+        && line.time().compareTo(callLines.getLast().time()) <= 0;
   }
 
-  private static Optional<String> upstream(Line line) {
-    Matcher m = UPSTREAM.matcher(line.text());
-    return m.find() ? Optional.of(m.group(1)) : Optional.empty();
+  private static Optional<String> upstreamOf(Line line) {
+    Matcher matcher = UPSTREAM_KEY.matcher(line.text());
+    return matcher.find() ? Optional.of(matcher.group(1)) : Optional.empty();
   }
 
-  private static String earliest(List<Line> own) {
-    String first = own.stream().map(Line::time).min(Comparator.naturalOrder()).orElseThrow();
+  private static String windowStart(List<Line> callLines) {
+    String first = callLines.stream().map(Line::time).min(Comparator.naturalOrder()).orElseThrow();
     try {
-      return OffsetDateTime.parse(first).minusSeconds(BEFORE_SECONDS).toString();
+      return OffsetDateTime.parse(first).minusSeconds(SECONDS_BEFORE_CALL).toString();
     } catch (DateTimeParseException e) {
       return first;
     }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/GetCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/GetCommand.java
@@ -25,7 +25,7 @@
             + " revision that it was read at.",
     example = "larkkeel get upstreams -l \"gen in (old, new), role=decode\"")
 final class GetCommand extends Command {
-  private static final String ALL = "all";
+  private static final String ALL_KINDS = "all";
 
   @Argument(
       index = 0,
@@ -47,26 +47,27 @@
   @Override
   protected ExitCode run() {
     ImmutableList<ObjectKind> kinds =
-        kind.equals(ALL)
+        kind.equals(ALL_KINDS)
             ? ImmutableList.copyOf(ObjectKind.values())
-            : ImmutableList.of(Arguments.kind(kind));
-    Configuration present = client().configuration();
-    ConfigurationBuilder chosen =
-        new ConfigurationBuilder(Configuration.EMPTY.withRevision(present.revision()));
-    for (ObjectKind each : kinds) {
-      objects(present, each).forEach(chosen::put);
+            : ImmutableList.of(Arguments.parseKind(kind));
+    Configuration current = client().configuration();
+    ConfigurationBuilder selection =
+        new ConfigurationBuilder(Configuration.EMPTY.withRevision(current.revision()));
+    for (ObjectKind objectKind : kinds) {
+      selectObjects(current, objectKind).forEach(selection::put);
     }
-    Configuration selected = chosen.build();
+    Configuration selected = selection.build();
     if (isJson()) {
       out().print(ConfigurationDocument.write(selected));
     } else {
-      kinds.forEach(each -> ObjectTables.print(selected, present, each, out()));
+      kinds.forEach(objectKind -> ObjectTables.print(selected, current, objectKind, out()));
     }
     return ExitCode.OK;
   }
 
-  private ImmutableList<ConfigurationObject> objects(Configuration present, ObjectKind each) {
-    return Arguments.objects(
-        present, each, Optional.ofNullable(name), Optional.ofNullable(selector));
+  private ImmutableList<ConfigurationObject> selectObjects(
+      Configuration current, ObjectKind objectKind) {
+    return Arguments.selectObjects(
+        current, objectKind, Optional.ofNullable(name), Optional.ofNullable(selector));
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/HelpPages.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/HelpPages.java
@@ -12,7 +12,7 @@
 import org.larkkeel.cli.errors.ExitCode;
 
 /**
- * The help as text, and the same as a page of documentation.
+ * Generates the help as text and as a page of documentation.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -38,7 +38,7 @@
   private HelpPages() {}
 
   /**
-   * The list of commands.
+   * Returns the list of commands and of exit codes.
    *
    * @return the text
    */
@@ -56,7 +56,7 @@
   }
 
   /**
-   * The help of one command.
+   * Returns the help of one command.
    *
    * @param command the command
    * @return the text
@@ -73,7 +73,7 @@
   }
 
   /**
-   * The reference of all commands.
+   * Returns the reference of all commands.
    *
    * @return a page in Markdown
    */
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/LabelChange.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/LabelChange.java
@@ -13,7 +13,7 @@
 import org.larkkeel.config.Operation;
 
 /**
- * Labels to set and to remove, whatever the object.
+ * Labels to set and to remove, independent of an object.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -29,11 +29,13 @@
     return new LabelChange(ImmutableSortedMap.of(), ImmutableSortedSet.of(key));
   }
 
-  /** The step for one object; empty if its labels are so already. */
-  Optional<Operation> on(ConfigurationObject object) {
-    boolean done =
+  /** Returns the operation for one object; empty if its labels would not change. */
+  Optional<Operation> operationFor(ConfigurationObject object) {
+    boolean alreadyApplied =
         object.labels().entries().entrySet().containsAll(set.entrySet())
             && remove.stream().allMatch(key -> object.labels().get(key).isEmpty());
-    return done ? Optional.empty() : Optional.of(new Operation.Label(object.id(), set, remove));
+    return alreadyApplied
+        ? Optional.empty()
+        : Optional.of(new Operation.Label(object.id(), set, remove));
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/LabelCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/LabelCommand.java
@@ -54,18 +54,18 @@
 
   @Override
   protected ExitCode run() {
-    ObjectKind objectKind = Arguments.kind(kind);
-    Optional<String> name = name();
-    LabelChange change = labels(words.subList(name.isPresent() ? 1 : 0, words.size()));
-    Configuration present = client().configuration();
+    ObjectKind objectKind = Arguments.parseKind(kind);
+    Optional<String> name = nameArgument();
+    LabelChange change = parseLabelChange(words.subList(name.isPresent() ? 1 : 0, words.size()));
+    Configuration current = client().configuration();
     return propose(
-        present.revision(),
-        Arguments.objects(present, objectKind, name, Optional.ofNullable(selector)).stream()
-            .flatMap(object -> change.on(object).stream())
+        current.revision(),
+        Arguments.selectObjects(current, objectKind, name, Optional.ofNullable(selector)).stream()
+            .flatMap(object -> change.operationFor(object).stream())
             .collect(ImmutableList.toImmutableList()));
   }
 
-  private Optional<String> name() {
+  private Optional<String> nameArgument() {
     if (selector != null) {
       return Optional.empty();
     }
@@ -75,16 +75,17 @@
     return Optional.of(words.getFirst());
   }
 
-  private static LabelChange labels(List<String> texts) {
+  private static LabelChange parseLabelChange(List<String> texts) {
     if (texts.isEmpty()) {
       throw new CommandFailure(ExitCode.USAGE, Messages.NO_LABELS);
     }
     Map<String, String> set = new TreeMap<>();
     TreeSet<String> remove = new TreeSet<>();
     for (String text : texts) {
-      int equals = text.indexOf('=');
-      if (equals > 0 && isLabel(text.substring(0, equals), text.substring(equals + 1))) {
-        set.put(text.substring(0, equals), text.substring(equals + 1));
+      int separator = text.indexOf('=');
+      if (separator > 0
+          && isValidLabel(text.substring(0, separator), text.substring(separator + 1))) {
+        set.put(text.substring(0, separator), text.substring(separator + 1));
       } else if (text.endsWith("-") && Names.isValid(text.substring(0, text.length() - 1))) {
         remove.add(text.substring(0, text.length() - 1));
       } else {
@@ -94,7 +95,7 @@
     return new LabelChange(ImmutableSortedMap.copyOf(set), ImmutableSortedSet.copyOf(remove));
   }
 
-  private static boolean isLabel(String key, String value) {
+  private static boolean isValidLabel(String key, String value) {
     return Names.isValid(key) && (value.isEmpty() || Names.isValid(value));
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/LimitsCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/LimitsCommand.java
@@ -10,7 +10,7 @@
 import org.larkkeel.cli.output.Table;
 import org.larkkeel.http.operator.LimitStatus;
 
-/** Lists the limits of requests that upstreams name. */
+/** Lists the request rate limits that upstreams announced. */
 @CommandInfo(
     name = "limits",
     summary =
@@ -21,11 +21,11 @@
   @Override
   protected ExitCode run() {
     LimitStatus status = client().limits();
-    print(status, () -> table(status).print(out()));
+    print(status, () -> toTable(status).print(out()));
     return ExitCode.OK;
   }
 
-  private static Table table(LimitStatus status) {
+  private static Table toTable(LimitStatus status) {
     Table table = new Table("UPSTREAM", "START", "PER SECOND", "LAST HEARD", "SENT BY THIS NODE");
     for (LimitStatus.Entry entry : status.limits()) {
       table.row(
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ObjectTables.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/ObjectTables.java
@@ -19,19 +19,23 @@
 final class ObjectTables {
   private ObjectTables() {}
 
-  /** Prints the chosen objects; relations are counted over the present configuration in whole. */
-  static void print(Configuration chosen, Configuration present, ObjectKind kind, PrintStream out) {
+  /**
+   * Prints the selected objects; members of pools are counted over the complete current
+   * configuration.
+   */
+  static void print(
+      Configuration selected, Configuration current, ObjectKind kind, PrintStream out) {
     Table table =
         switch (kind) {
-          case UPSTREAM -> upstreams(chosen);
-          case POOL -> pools(chosen, present);
-          case RULE -> rules(chosen);
-          case WORKSPACE -> workspaces(chosen);
+          case UPSTREAM -> upstreamTable(selected);
+          case POOL -> poolTable(selected, current);
+          case RULE -> ruleTable(selected);
+          case WORKSPACE -> workspaceTable(selected);
         };
     table.print(out);
   }
 
-  private static Table upstreams(Configuration configuration) {
+  private static Table upstreamTable(Configuration configuration) {
     Table table = new Table("UPSTREAM", "ADDRESS", "MODELS", "SLOTS", "LABELS");
     configuration
         .upstreams()
@@ -47,7 +51,7 @@
     return table;
   }
 
-  private static Table pools(Configuration configuration, Configuration present) {
+  private static Table poolTable(Configuration configuration, Configuration current) {
     Table table = new Table("POOL", "ROLE", "UPSTREAMS", "MEMBERS", "LABELS");
     configuration
         .pools()
@@ -58,12 +62,12 @@
                     p.name(),
                     Slugs.of(p.role()),
                     p.upstreams(),
-                    Relations.upstreamsOf(present, p).size(),
+                    Relations.upstreamsOf(current, p).size(),
                     LabelText.of(p.labels())));
     return table;
   }
 
-  private static Table rules(Configuration configuration) {
+  private static Table ruleTable(Configuration configuration) {
     Table table = new Table("RULE", "PRIORITY", "MATCH", "POOLS", "URGENCY", "LABELS");
     configuration
         .rules()
@@ -73,14 +77,14 @@
                 table.row(
                     r.name(),
                     r.priority(),
-                    text(r.match()),
+                    describeMatch(r.match()),
                     r.pools(),
                     Slugs.of(r.urgency()),
                     LabelText.of(r.labels())));
     return table;
   }
 
-  private static String text(Match match) {
+  private static String describeMatch(Match match) {
     StringBuilder text = new StringBuilder();
     match.model().ifPresent(model -> text.append("model ").append(model).append(' '));
     match.pathPrefix().ifPresent(path -> text.append("path ").append(path).append(' '));
@@ -90,7 +94,7 @@
     return text.toString().strip();
   }
 
-  private static Table workspaces(Configuration configuration) {
+  private static Table workspaceTable(Configuration configuration) {
     Table table =
         new Table("WORKSPACE", "REQUESTS/S", "PROMPT TOKENS/S", "CONCURRENCY", "TOKEN", "LABELS");
     configuration
@@ -100,15 +104,15 @@
             w ->
                 table.row(
                     w.name(),
-                    limit(w.limits().requestsPerSecond()),
-                    limit(w.limits().promptTokensPerSecond()),
-                    limit(w.limits().concurrency()),
+                    limitText(w.limits().requestsPerSecond()),
+                    limitText(w.limits().promptTokensPerSecond()),
+                    limitText(w.limits().concurrency()),
                     w.tokenSha256().isPresent() ? "needed" : "none",
                     LabelText.of(w.labels())));
     return table;
   }
 
-  private static String limit(long value) {
+  private static String limitText(long value) {
     return value == 0 ? "" : Long.toString(value);
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/QuarantineCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/QuarantineCommand.java
@@ -14,7 +14,7 @@
 import org.larkkeel.http.operator.QuarantineStatus;
 import org.larkkeel.lib.Fingerprint;
 
-/** Lists requests that crash upstreams, and lets one be sent again. */
+/** Lists the requests that are suspected of crashing upstreams, or releases one from quarantine. */
 @CommandInfo(
     name = "quarantine",
     summary =
@@ -22,7 +22,7 @@
             + " the metrics address of a relay node.",
     example = "larkkeel quarantine --server 10.0.0.1:7660")
 final class QuarantineCommand extends Command {
-  private static final long SECOND = 1_000;
+  private static final long MILLIS_PER_SECOND = 1_000;
 
   @Option(
       name = "--release",
@@ -33,27 +33,27 @@
   @Override
   protected ExitCode run() {
     QuarantineStatus status =
-        release == null ? client().quarantine() : client().release(request(release));
-    print(status, () -> table(status).print(out()));
+        release == null ? client().quarantine() : client().release(parseFingerprint(release));
+    print(status, () -> toTable(status).print(out()));
     return ExitCode.OK;
   }
 
-  private static Fingerprint request(String text) {
+  private static Fingerprint parseFingerprint(String text) {
     try {
       return Fingerprint.parse(text);
     } catch (IllegalArgumentException e) {
-      throw new CommandFailure(ExitCode.USAGE, Messages.BAD_REQUEST_NAME.formatted(text));
+      throw new CommandFailure(ExitCode.USAGE, Messages.BAD_FINGERPRINT.formatted(text));
     }
   }
 
-  private static Table table(QuarantineStatus status) {
+  private static Table toTable(QuarantineStatus status) {
     Table table = new Table("REQUEST", "ENDS", "SECONDS LEFT", "LAST END", "UPSTREAMS");
     for (QuarantineStatus.Entry entry : status.requests()) {
       table.row(
           entry.request(),
           entry.upstreams().size(),
-          entry.remainingMillis() / SECOND,
-          entry.lastEndMillis() / SECOND + " s ago",
+          entry.remainingMillis() / MILLIS_PER_SECOND,
+          entry.lastEndMillis() / MILLIS_PER_SECOND + " s ago",
           String.join(", ", entry.upstreams()));
     }
     return table;
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/Relations.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/Relations.java
@@ -17,7 +17,7 @@
 import org.larkkeel.config.Upstream;
 import org.larkkeel.config.Workspace;
 
-/** Who selects whom. Stateless and safe for use by several threads. */
+/** Finds which objects select which others. Stateless and safe for use by several threads. */
 final class Relations {
   private Relations() {}
 
@@ -25,8 +25,8 @@
     return names(configuration.upstreams(), pool::contains);
   }
 
-  /** The objects that an object selects or is selected by, in sections by kind. */
-  static ImmutableSortedMap<ObjectKind, ImmutableList<String>> of(
+  /** Returns the names of the objects that an object selects or is selected by, by kind. */
+  static ImmutableSortedMap<ObjectKind, ImmutableList<String>> relatedTo(
       Configuration configuration, ConfigurationObject object) {
     return switch (object) {
       case Upstream upstream ->
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/RolloutCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/RolloutCommand.java
@@ -16,14 +16,14 @@
 import org.larkkeel.http.operator.RolloutStatus;
 import org.larkkeel.lib.Revision;
 
-/** Tells where a revision is in force. */
+/** Shows on which nodes a revision is in force. */
 @CommandInfo(
     name = "rollout",
     summary =
         "Tells on which nodes a revision is in force, and exits with 8 if some node lacks it.",
     example = "larkkeel rollout status --wait --timeout 11")
 final class RolloutCommand extends Command {
-  private static final String STATUS = "status";
+  private static final String STATUS_ACTION = "status";
   private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
 
   @Argument(index = 0, metaVar = "status", required = true, usage = "the action")
@@ -37,26 +37,26 @@
 
   @Override
   protected ExitCode run() {
-    if (!action.equals(STATUS)) {
+    if (!action.equals(STATUS_ACTION)) {
       throw new CommandFailure(ExitCode.USAGE, Messages.ROLLOUT_ACTION.formatted(action));
     }
-    RolloutStatus status = wait ? await() : client().rollout(new Revision(revision));
+    RolloutStatus status = wait ? awaitCompletion() : client().rollout(new Revision(revision));
     print(status, () -> printText(status));
     return status.isComplete() ? ExitCode.OK : ExitCode.PENDING;
   }
 
-  private RolloutStatus await() {
-    long start = System.nanoTime();
-    long limit = connection().timeout().toNanos();
+  private RolloutStatus awaitCompletion() {
+    long startNanos = System.nanoTime();
+    long timeoutNanos = connection().timeout().toNanos();
     RolloutStatus status = client().rollout(new Revision(revision));
-    while (!status.isComplete() && System.nanoTime() - start < limit) {
-      pause();
+    while (!status.isComplete() && System.nanoTime() - startNanos < timeoutNanos) {
+      sleepUntilNextPoll();
       status = client().rollout(status.revision());
     }
     return status;
   }
 
-  private static void pause() {
+  private static void sleepUntilNextPoll() {
     try {
       Thread.sleep(POLL_INTERVAL);
     } catch (InterruptedException e) {
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/StatusCommand.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/command/StatusCommand.java
@@ -47,13 +47,13 @@
           upstream.slots(),
           upstream.freeSlots(),
           upstream.outstanding(),
-          rate(upstream.prefillTokensPerSecond()),
-          rate(upstream.decodeMillisPerToken()));
+          rateText(upstream.prefillTokensPerSecond()),
+          rateText(upstream.decodeMillisPerToken()));
     }
     table.print(out());
   }
 
-  private static String rate(double value) {
+  private static String rateText(double value) {
     return value == 0 ? "" : "%.1f".formatted(value);
   }
 }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/errors/CommandFailure.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/errors/CommandFailure.java
@@ -7,7 +7,7 @@
 package org.larkkeel.cli.errors;
 
 /**
- * Ends a command with an exit code and a message for the operator.
+ * Thrown to end a command with an exit code and a message for the operator.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -30,7 +30,7 @@
   }
 
   /**
-   * The exit code.
+   * Returns the exit code.
    *
    * @return the code, never null
    */
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/errors/ExitCode.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/errors/ExitCode.java
@@ -14,23 +14,23 @@
  * @since 0.1
  */
 public enum ExitCode {
-  /** Done. */
+  /** Success. */
   OK(0, "The command did what it says."),
   /** Any other failure. */
   FAILURE(1, "The command failed; the message tells why."),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(2, "An option or argument is missing, unknown or malformed."),
-  /** Another change came first. */
+  /** A conflicting change was accepted first. */
   CONFLICT(3, "Another operator's change of the same objects was accepted first."),
   /** A document or change is invalid. */
   INVALID(4, "The document or change has problems; each is listed with its place."),
-  /** No server answers. */
+  /** No server is available. */
   UNREACHABLE(5, "No server could carry the command out; the change may be repeated."),
-  /** The token is not enough. */
+  /** The token is missing, unknown or lacks the required role. */
   DENIED(6, "The token is missing or unknown, or its role does not allow the command."),
-  /** There is no such object. */
+  /** No such object exists. */
   NOT_FOUND(7, "No object has that name or matches that selector."),
-  /** Not everywhere yet. */
+  /** The revision is not yet in force on every node. */
   PENDING(8, "The configuration is not in force on every node yet."),
   /** The configurations differ. */
   DIFFERENT(9, "`diff` found differences.");
@@ -44,7 +44,7 @@
   }
 
   /**
-   * The code that the process ends with.
+   * Returns the exit code of the process.
    *
    * @return a number from 0 to 9
    */
@@ -53,7 +53,7 @@
   }
 
   /**
-   * What the code says.
+   * Returns the meaning of the code, for help pages.
    *
    * @return one sentence
    */
@@ -62,7 +62,7 @@
   }
 
   /**
-   * The name in documents.
+   * Returns the name of the code in help pages.
    *
    * @return the name in lower case with hyphens
    */
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/output/LabelText.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/output/LabelText.java
@@ -10,7 +10,7 @@
 import org.larkkeel.lib.Labels;
 
 /**
- * Writes labels in one cell.
+ * Formats labels for a cell of a table.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -20,10 +20,10 @@
   private LabelText() {}
 
   /**
-   * Writes labels.
+   * Formats labels.
    *
    * @param labels the labels
-   * @return {@code key=value} joined by commas
+   * @return each label as {@code key=value}, joined by commas
    */
   public static String of(Labels labels) {
     return labels.entries().entrySet().stream()
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/output/OutputFormat.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/output/OutputFormat.java
@@ -7,12 +7,12 @@
 package org.larkkeel.cli.output;
 
 /**
- * The forms of output that {@code -o} chooses.
+ * The output formats of the option {@code -o}.
  *
  * @since 0.1
  */
 public enum OutputFormat {
-  /** Columns for people. */
+  /** Text in columns, for people. */
   TABLE,
   /** JSON for programs. */
   JSON
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/output/Table.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/output/Table.java
@@ -11,20 +11,20 @@
 import java.util.List;
 
 /**
- * Prints rows in columns as wide as their widest cell.
+ * A text table whose columns are as wide as their widest cell.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Table {
-  private static final String GAP = "  ";
+  private static final String COLUMN_SEPARATOR = "  ";
   private static final String EMPTY_CELL = "-";
 
   private final List<List<String>> rows = new ArrayList<>();
 
   /**
-   * Begins a table.
+   * Creates a table without rows.
    *
    * @param header the titles of the columns
    */
@@ -35,7 +35,7 @@
   /**
    * Adds a row.
    *
-   * @param cells one value a column
+   * @param cells one value per column; an empty text is printed as {@code -}
    * @return this
    */
   public Table row(Object... cells) {
@@ -51,7 +51,7 @@
   /**
    * Prints the table.
    *
-   * @param out where to
+   * @param out the stream to print to
    */
   public void print(PrintStream out) {
     int[] widths = new int[rows.getFirst().size()];
@@ -60,13 +60,15 @@
         widths[i] = Math.max(widths[i], row.get(i).length());
       }
     }
-    rows.forEach(row -> out.println(line(row, widths)));
+    rows.forEach(row -> out.println(formatRow(row, widths)));
   }
 
-  private static String line(List<String> row, int[] widths) {
+  private static String formatRow(List<String> row, int[] widths) {
     StringBuilder line = new StringBuilder();
     for (int i = 0; i < widths.length; i++) {
-      line.append(row.get(i)).append(" ".repeat(widths[i] - row.get(i).length())).append(GAP);
+      line.append(row.get(i))
+          .append(" ".repeat(widths[i] - row.get(i).length()))
+          .append(COLUMN_SEPARATOR);
     }
     return line.toString().stripTrailing();
   }
--- a/org.larkkeel.cli/src/main/java/org/larkkeel/cli/output/package-info.java
+++ b/org.larkkeel.cli/src/main/java/org/larkkeel/cli/output/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tables and other forms of output.
+ * Tables and other output formats.
  *
  * @since 0.1
  */
--- a/org.larkkeel.test/src/test/java/org/larkkeel/config/ChangesTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/config/ChangesTest.java
@@ -25,7 +25,7 @@
 
 /** Tests of {@link Changes}, {@link ChangeCodec} and {@link Diff}. */
 public class ChangesTest {
-  private static final ObjectId TELAR = new ObjectId(ObjectKind.UPSTREAM, "telar-1");
+  private static final ObjectId UPSTREAM_ID = new ObjectId(ObjectKind.UPSTREAM, "telar-1");
   private static final Workspace WORKSPACE =
       new Workspace(new WorkspaceName("w"), Labels.NONE, Limits.NONE, Optional.empty());
 
@@ -46,20 +46,22 @@
   }
 
   private static Operation.Label label(String key, String value) {
-    return new Operation.Label(TELAR, ImmutableSortedMap.of(key, value), ImmutableSortedSet.of());
+    return new Operation.Label(
+        UPSTREAM_ID, ImmutableSortedMap.of(key, value), ImmutableSortedSet.of());
   }
 
-  /** Applying. */
+  /** Applying changes. */
   public static class Apply {
     @Test
-    public void stepsRunInOrder() {
+    public void operationsAreAppliedInOrder() {
       Operation.Label label =
           new Operation.Label(
               WORKSPACE.id(), ImmutableSortedMap.of("team", "x"), ImmutableSortedSet.of("none"));
       Configuration changed =
           Changes.apply(
                   example(),
-                  change("c", new Operation.Put(WORKSPACE), label, new Operation.Delete(TELAR)))
+                  change(
+                      "c", new Operation.Put(WORKSPACE), label, new Operation.Delete(UPSTREAM_ID)))
               .orThrow();
       assertEquals(
           changed.workspaces().get(WORKSPACE.name()).labels().get("team"), Optional.of("x"));
@@ -67,7 +69,7 @@
     }
 
     @Test
-    public void missingTargetsAreAllRefusedButReplayed() {
+    public void applyReportsEveryMissingTargetAndReplayIgnoresThem() {
       ObjectId missing = new ObjectId(ObjectKind.POOL, "none");
       Change change =
           change(
@@ -82,7 +84,7 @@
     }
 
     @Test
-    public void secondUseOfAnAddressIsRefused() {
+    public void duplicateUpstreamAddressIsRefused() {
       Upstream telar = example().upstreams().get(new UpstreamName("telar-1"));
       Upstream copy =
           new Upstream(
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Conflicts between changes of one base. */
+  /** Conflicts between changes that started from the same revision. */
   public static class Conflict {
     @Test
     public void labelsConflictOnlyOnTheSameKey() {
@@ -109,18 +111,18 @@
       assertEquals(
           Changes.findConflict(change("c", label("gen", "x")), accepted), Optional.of(other));
       assertEquals(
-          Changes.findConflict(change("c", new Operation.Delete(TELAR)), accepted),
+          Changes.findConflict(change("c", new Operation.Delete(UPSTREAM_ID)), accepted),
           Optional.of(other));
     }
 
     @Test
-    public void ownEntryIsNoConflict() {
+    public void changeDoesNotConflictWithItself() {
       Change change = change("c", label("gen", "x"));
       assertEquals(Changes.findConflict(change, ImmutableList.of(change)), Optional.empty());
     }
   }
 
-  /** The JSON form. */
+  /** Changes as JSON. */
   public static class Codec {
     @Test
     public void everyOperationReadsBackEqual() {
@@ -128,14 +130,14 @@
       ConfigurationObjects.all(example())
           .values()
           .forEach(o -> operations.add(new Operation.Put(o)));
-      operations.add(new Operation.Delete(TELAR)).add(label("a", "b"));
+      operations.add(new Operation.Delete(UPSTREAM_ID)).add(label("a", "b"));
       Change change = change("c", operations.build().toArray(new Operation[0]));
       String text = ChangeCodec.toJson(change).toString();
       assertEquals(ChangeCodec.read("f", text).orThrow(), change);
     }
 
     @Test
-    public void everyFaultIsReported() {
+    public void everyProblemIsReported() {
       String text =
           """
           {"base": -1, "operations": [
@@ -160,10 +162,10 @@
     }
   }
 
-  /** Differences. */
+  /** Differences between configurations. */
   public static class Difference {
     @Test
-    public void operationsLeadFromOneToTheOther() {
+    public void operationsTransformEarlierIntoLaterConfiguration() {
       Configuration before = example();
       Change change =
           change("c", label("gen", "new"), new Operation.Put(WORKSPACE), delete("buyers"));
@@ -178,8 +180,8 @@
           ImmutableList.of(
               new Diff.FieldDiff(
                   new JsonPath("/labels/gen"), Optional.of("\"old\""), Optional.of("\"new\""))));
-      Operation[] steps = diff.operations(after, true).toArray(new Operation[0]);
-      assertEquals(Changes.apply(before, change("d", steps)).orThrow(), after);
+      Operation[] operations = diff.operations(after, true).toArray(new Operation[0]);
+      assertEquals(Changes.apply(before, change("d", operations)).orThrow(), after);
       assertEquals(diff.operations(after, false).size(), 2);
     }
 
--- a/org.larkkeel.test/src/test/java/org/larkkeel/config/ConfigurationDocumentTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/config/ConfigurationDocumentTest.java
@@ -31,7 +31,7 @@
     return ConfigurationDocument.read("f", text).problems();
   }
 
-  /** A document without faults. */
+  /** Valid documents. */
   public static class Valid {
     @Test
     public void exampleIsAcceptedWithoutWarnings() throws IOException {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void danglingSelectorsAreWarnings() {
+    public void selectorsWithoutMatchAreWarnings() {
       Checked<Configuration> read =
           ConfigurationDocument.read(
               "f",
@@ -72,19 +72,19 @@
     }
 
     @Test
-    public void acceptedDocumentMayHoldKeysOfLaterVersions() {
+    public void acceptedDocumentMayContainUnknownKeys() {
       String text = "{\"pools\": {\"p\": {\"role\": \"decode\", \"upstreams\": \"\", \"new\": 1}}}";
       assertTrue(ConfigurationDocument.read("f", text).problems().hasErrors());
       assertEquals(ConfigurationDocument.readAccepted("f", text).orThrow().pools().size(), 1);
     }
   }
 
-  /** The reference page. */
+  /** The reference page documents every key. */
   public static class Reference {
     private static final Path PAGE = Path.of("..", "docs", "CONFIGURATION.md");
 
-    /** Keys whose members are documented one by one with their prefix. */
-    private static final ImmutableSet<String> NESTED =
+    /** Keys of objects whose members are documented one by one, with the key as prefix. */
+    private static final ImmutableSet<String> NESTED_KEYS =
         ImmutableSet.of("match", "targets", "limits");
 
     @Test
@@ -101,7 +101,7 @@
     private static void assertDocumented(String page, String prefix, JsonNode node) {
       for (Map.Entry<String, JsonNode> member : node.properties()) {
         String key = prefix + member.getKey();
-        if (NESTED.contains(key)) {
+        if (NESTED_KEYS.contains(key)) {
           assertDocumented(page, key + ".", member.getValue());
         } else {
           assertTrue(page.contains("| `" + key + "` |"), key);
@@ -110,11 +110,11 @@
     }
   }
 
-  /** Documents with faults. */
+  /** Invalid documents. */
   public static class Invalid {
-    /** A faulty document and its one problem. */
+    /** An invalid document and the text of its only problem. */
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] invalidDocuments() {
       return new Object[][] {
         {"", "f:1:1: error: /: the document is empty; write an object {}"},
         {"[]", "f:1:1: error: / = [...]: the value is an array; write an object"},
@@ -130,7 +130,7 @@
         {
           "{\"upstreams\": {\"a\": {\"address\": \"host:1\"}}}",
           "f:1:33: error: /upstreams/a/address = \"host:1\": not an IP number and port; "
-              + Addresses.REMEDY
+              + Addresses.FORMAT_REMEDY
         },
         {
           "{\"rules\": {\"x/y\": {\"pools\": \"a in b\"}}}",
@@ -166,8 +166,8 @@
       };
     }
 
-    @Test(dataProvider = "faults")
-    public void eachFaultIsNamedWithPlaceAndRemedy(String text, String problem) {
+    @Test(dataProvider = "invalidDocuments")
+    public void problemNamesPositionAndRemedy(String text, String problem) {
       assertEquals(problems(text).toString(), problem);
     }
 
@@ -198,7 +198,7 @@
     }
 
     @Test
-    public void syntaxErrorNamesItsPlace() {
+    public void syntaxErrorNamesItsPosition() {
       Problem problem = problems("{\n \"pools\": {,}}").all().getFirst();
       assertEquals(problem.position().line(), 2);
       assertTrue(problem.message().startsWith("not valid JSON"), problem.message());
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Addresses.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Addresses.java
@@ -9,9 +9,13 @@
 import com.google.common.net.HostAndPort;
 import com.google.common.net.InetAddresses;
 
-/** Checks addresses of upstreams. Stateless and safe for use by several threads. */
+/**
+ * Validates addresses of upstreams: an IP literal and a port. Stateless and safe for use by several
+ * threads.
+ */
 final class Addresses {
-  static final String REMEDY = "write an IP number and a port, as 10.0.0.1:8000 or [fd00::1]:8000";
+  static final String FORMAT_REMEDY =
+      "write an IP number and a port, as 10.0.0.1:8000 or [fd00::1]:8000";
 
   private Addresses() {}
 
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Change.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Change.java
@@ -11,16 +11,16 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * A change of the configuration, applied in whole or not at all.
+ * An atomic change of the configuration: either all of its operations are applied or none.
  *
  * <p>The log of accepted changes is the audit trail. Immutable and safe for use by several threads.
  *
- * @param id tells the change from every other
- * @param author who made it, from the operator's token
- * @param atMillis when it was made, in milliseconds since the epoch
- * @param reason why it was made; may be empty
- * @param base the revision that the author had read
- * @param operations the steps, in order
+ * @param id the unique id of the change
+ * @param author the operator who made the change, taken from the bearer token
+ * @param atMillis the time of the change, in milliseconds since the Unix epoch
+ * @param reason the reason that the operator gave; may be empty
+ * @param base the revision of the configuration that the author started from
+ * @param operations the operations, in the order in which they are applied
  * @since 0.1
  */
 public record Change(
@@ -32,11 +32,11 @@
     ImmutableList<Operation> operations) {
 
   /**
-   * Names the author and time, which the server decides and not the client.
+   * Returns a copy with the author and time, which are set by the server and not by the client.
    *
    * @param newAuthor the author
-   * @param newAtMillis the time, in milliseconds since the epoch
-   * @return a copy with both
+   * @param newAtMillis the time, in milliseconds since the Unix epoch
+   * @return the copy
    */
   public Change signedBy(String newAuthor, long newAtMillis) {
     return new Change(id, newAuthor, newAtMillis, reason, base, operations);
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ChangeCodec.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ChangeCodec.java
@@ -32,7 +32,8 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * Changes as JSON, for the operators' API and the payload of log entries.
+ * Reads and writes changes as JSON, for the operators' API and the payload of entries in the
+ * configuration log.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -54,10 +55,10 @@
   private ChangeCodec() {}
 
   /**
-   * Writes a change.
+   * Converts a change to JSON.
    *
    * @param change the change, never null
-   * @return a new tree
+   * @return a new JSON tree
    */
   public static ObjectNode toJson(Change change) {
     ObjectNode node = JsonNodeFactory.instance.objectNode();
@@ -93,11 +94,11 @@
   }
 
   /**
-   * Reads a change.
+   * Parses a proposed change. An unknown key is an error.
    *
-   * @param source the origin, for problems
+   * @param source the file or other origin, named in problems
    * @param text the JSON
-   * @return the change, or every problem
+   * @return the change, or all problems found
    */
   public static Checked<Change> read(String source, String text) {
     return read(text, new ProblemCollector(source, Severity.ERROR));
@@ -105,23 +106,23 @@
 
   private static Checked<Change> read(String text, ProblemCollector problems) {
     Optional<Change> change =
-        new LocatedParser(problems).parse(text).flatMap(root -> change(root, problems));
+        new LocatedValueParser(problems).parse(text).flatMap(root -> readChange(root, problems));
     return Checked.of(change.orElse(null), problems.build());
   }
 
   /**
-   * Reads a change that the log has accepted. Unknown keys, which a later version may have written,
-   * are only warnings.
+   * Parses a change that the log has accepted. Unknown keys are only warnings, since a later
+   * version of the software may have written them.
    *
-   * @param source the origin, for problems
+   * @param source the file or other origin, named in problems
    * @param text the JSON
-   * @return the change, or every problem
+   * @return the change, or all problems found
    */
   public static Checked<Change> readAccepted(String source, String text) {
     return read(text, new ProblemCollector(source, Severity.WARNING));
   }
 
-  private static Optional<Change> change(Located root, ProblemCollector problems) {
+  private static Optional<Change> readChange(LocatedValue root, ProblemCollector problems) {
     FieldReader fields = FieldReader.open(root, JsonPath.ROOT, CHANGE_KEYS, problems);
     if (fields.member(ID).isEmpty()) {
       fields.missing(ID, "write an id that no other change has");
@@ -129,17 +130,17 @@
     ImmutableList.Builder<Operation> operations = ImmutableList.builder();
     fields
         .items(OPERATIONS)
-        .forEach((path, item) -> operation(item, path, problems).ifPresent(operations::add));
+        .forEach((path, item) -> readOperation(item, path, problems).ifPresent(operations::add));
     Optional<ChangeId> id = fields.parsed(ID, ChangeId::new, "write a valid name");
     String author = fields.text(AUTHOR).orElse("");
-    long at = fields.whole(AT_MILLIS, 0, Long.MAX_VALUE, 0);
+    long atMillis = fields.whole(AT_MILLIS, 0, Long.MAX_VALUE, 0);
     String reason = fields.text(REASON).orElse("");
     Revision base = new Revision(fields.whole(BASE, 0, Long.MAX_VALUE, 0));
-    return id.map(i -> new Change(i, author, at, reason, base, operations.build()));
+    return id.map(i -> new Change(i, author, atMillis, reason, base, operations.build()));
   }
 
-  private static Optional<Operation> operation(
-      Located item, JsonPath path, ProblemCollector problems) {
+  private static Optional<Operation> readOperation(
+      LocatedValue item, JsonPath path, ProblemCollector problems) {
     FieldReader fields = FieldReader.open(item, path, OPERATION_KEYS, problems);
     Optional<OperationType> type = fields.requiredChoice(TYPE, OperationType.class);
     Optional<ObjectKind> kind = fields.requiredChoice(KIND, ObjectKind.class);
@@ -152,7 +153,7 @@
     }
     ObjectId target = new ObjectId(kind.get(), name.get());
     return switch (type.get()) {
-      case PUT -> put(target, fields, problems);
+      case PUT -> readPut(target, fields, problems);
       case DELETE -> Optional.of(new Operation.Delete(target));
       case LABEL ->
           Optional.of(
@@ -163,9 +164,9 @@
     };
   }
 
-  private static Optional<Operation> put(
+  private static Optional<Operation> readPut(
       ObjectId target, FieldReader fields, ProblemCollector problems) {
-    Optional<Located> spec = fields.member(SPEC);
+    Optional<LocatedValue> spec = fields.member(SPEC);
     if (spec.isEmpty()) {
       fields.missing(SPEC, "write the object");
       return Optional.empty();
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Changes.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Changes.java
@@ -26,46 +26,50 @@
   private Changes() {}
 
   /**
-   * Applies a change that is proposed, and checks the result.
+   * Applies a proposed change and validates the result.
    *
-   * @param configuration the configuration to change; left as it is
+   * @param configuration the configuration to change; not modified
    * @param change the change
-   * @return the new configuration, with the old revision until the log has numbered it; or every
-   *     problem
+   * @return the new configuration, which keeps the old revision until the log assigns a new one; or
+   *     all problems found
    */
   public static Checked<Configuration> apply(Configuration configuration, Change change) {
     ConfigurationBuilder builder = new ConfigurationBuilder(configuration);
     ImmutableList.Builder<Problem> problems = ImmutableList.builder();
     for (Operation operation : change.operations()) {
-      step(builder, operation).ifPresent(problems::add);
+      applyOperation(builder, operation).ifPresent(problems::add);
     }
     Configuration changed = builder.build();
-    Problems steps = new Problems(problems.build());
-    return Checked.of(changed, steps.plus(ConfigurationChecks.check(changed)));
+    Problems operationProblems = new Problems(problems.build());
+    return Checked.of(changed, operationProblems.plus(ConfigurationChecks.check(changed)));
   }
 
   /**
-   * Applies a change that the log has accepted. What was accepted is never refused later, so that
-   * every node reaches the same configuration whatever its version checks.
+   * Applies a change that the log has accepted. An accepted change is never refused, so that all
+   * nodes reach the same configuration even if their versions of the software check differently. An
+   * operation on a missing object has no effect.
    *
    * @param configuration the configuration before the change
    * @param change the accepted change
-   * @return the configuration after it, with the old revision
+   * @return the configuration after the change, with the old revision
    */
   public static Configuration replay(Configuration configuration, Change change) {
     ConfigurationBuilder builder = new ConfigurationBuilder(configuration);
-    change.operations().forEach(operation -> step(builder, operation));
+    change.operations().forEach(operation -> applyOperation(builder, operation));
     return builder.build();
   }
 
   /**
-   * Finds a change that was accepted after the base of another and touches the same.
+   * Finds the first accepted change that conflicts with a proposed one, that is, changes one of the
+   * same objects.
    *
-   * <p>Two label operations on one object conflict only if they touch the same key.
+   * <p>Two label operations on one object conflict only if they set or remove the same key. An
+   * accepted change with the id of the proposed one is that change itself and no conflict.
    *
    * @param change the proposed change
    * @param accepted the changes accepted after {@link Change#base()}, oldest first
-   * @return the first that conflicts, empty if the change may be applied after all of them
+   * @return the first conflicting change; empty if the proposed change may be applied after all
+   *     accepted ones
    */
   public static Optional<Change> findConflict(Change change, List<Change> accepted) {
     return accepted.stream()
@@ -86,17 +90,18 @@
 
   private static boolean conflicts(Operation a, Operation b) {
     if (a instanceof Operation.Label x && b instanceof Operation.Label y) {
-      return !Sets.intersection(touched(x), touched(y)).isEmpty();
+      return !Sets.intersection(affectedKeys(x), affectedKeys(y)).isEmpty();
     }
     return true;
   }
 
-  private static Sets.SetView<String> touched(Operation.Label label) {
+  private static Sets.SetView<String> affectedKeys(Operation.Label label) {
     return Sets.union(label.set().keySet(), label.remove());
   }
 
-  private static Optional<Problem> step(ConfigurationBuilder builder, Operation operation) {
-    Optional<ConfigurationObject> present = builder.get(operation.target());
+  private static Optional<Problem> applyOperation(
+      ConfigurationBuilder builder, Operation operation) {
+    Optional<ConfigurationObject> target = builder.get(operation.target());
     return switch (operation) {
       case Operation.Put put -> {
         builder.put(put.object());
@@ -104,18 +109,18 @@
       }
       case Operation.Delete delete -> {
         builder.remove(delete.target());
-        yield missing(present, delete);
+        yield missingTarget(target, delete);
       }
       case Operation.Label label -> {
-        present.ifPresent(object -> builder.put(relabel(object, label)));
-        yield missing(present, label);
+        target.ifPresent(object -> builder.put(relabel(object, label)));
+        yield missingTarget(target, label);
       }
     };
   }
 
-  private static Optional<Problem> missing(
-      Optional<ConfigurationObject> present, Operation operation) {
-    if (present.isPresent()) {
+  private static Optional<Problem> missingTarget(
+      Optional<ConfigurationObject> target, Operation operation) {
+    if (target.isPresent()) {
       return Optional.empty();
     }
     return Optional.of(
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Checked.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Checked.java
@@ -10,7 +10,7 @@
 import org.larkkeel.errors.LarkkeelException;
 
 /**
- * The outcome of a check: a value, or what is wrong with it.
+ * The result of a validation: the valid value, or the problems found.
  *
  * <p>Immutable and safe for use by several threads if the value is.
  *
@@ -19,36 +19,36 @@
  */
 public sealed interface Checked<T> {
   /**
-   * The value passed.
+   * The value is valid.
    *
    * @param value the value
-   * @param warnings what the operator should know
+   * @param warnings problems that the operator should know but that do not prevent use of the value
    * @param <T> the type of the value
    */
   record Valid<T>(T value, Problems warnings) implements Checked<T> {}
 
   /**
-   * The value is refused.
+   * The value is invalid.
    *
-   * @param problems every problem, at least one of them an error
+   * @param problems all problems found, at least one of them an error
    * @param <T> the type of the value
    */
   record Invalid<T>(Problems problems) implements Checked<T> {}
 
   /**
-   * Makes an outcome from a value and its problems.
+   * Creates a result from a value and its problems.
    *
    * @param value the value; may be null if there are errors
-   * @param problems every problem found
+   * @param problems all problems found
    * @param <T> the type of the value
-   * @return the outcome
+   * @return the result
    */
   static <T> Checked<T> of(T value, Problems problems) {
     return problems.hasErrors() ? new Invalid<>(problems) : new Valid<>(value, problems);
   }
 
   /**
-   * Every problem found.
+   * Returns all problems found.
    *
    * @return errors and warnings
    */
@@ -60,10 +60,11 @@
   }
 
   /**
-   * The value, if it passed.
+   * Returns the valid value.
    *
    * @return the value
-   * @throws LarkkeelException of kind {@link ErrorKind#INVALID_CONFIGURATION} if it is refused
+   * @throws LarkkeelException of kind {@link ErrorKind#INVALID_CONFIGURATION} if the value is
+   *     invalid
    */
   default T orThrow() {
     return switch (this) {
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Configuration.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Configuration.java
@@ -14,12 +14,12 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * One accepted configuration in whole.
+ * A complete configuration at one revision.
  *
- * <p>Invariant: of two configurations the one with the greater revision is the later. Immutable and
+ * <p>Invariant: of two configurations the one with the greater revision is newer. Immutable and
  * safe for use by several threads.
  *
- * @param revision the number of the last log entry that it contains
+ * @param revision the number of the last log entry that was applied
  * @param upstreams upstreams by name
  * @param pools pools by name
  * @param rules rules by name
@@ -42,10 +42,10 @@
           ImmutableSortedMap.of());
 
   /**
-   * Gives the same content another revision.
+   * Returns a copy with another revision.
    *
    * @param newRevision the revision
-   * @return a copy with that revision
+   * @return the copy
    */
   public Configuration withRevision(Revision newRevision) {
     return new Configuration(newRevision, upstreams, pools, rules, workspaces);
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationBuilder.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationBuilder.java
@@ -17,7 +17,7 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Changes a copy of a configuration object by object.
+ * Builds a configuration by adding and removing objects, starting from an existing configuration.
  *
  * <p>Not safe for use by several threads.
  *
@@ -31,16 +31,16 @@
   private final Map<WorkspaceName, Workspace> workspaces;
 
   /**
-   * Begins with a configuration.
+   * Creates a builder that starts from a configuration.
    *
-   * @param from the configuration, never null; left as it is
+   * @param initial the configuration, never null; not modified
    */
-  public ConfigurationBuilder(Configuration from) {
-    revision = from.revision();
-    upstreams = new TreeMap<>(from.upstreams());
-    pools = new TreeMap<>(from.pools());
-    rules = new TreeMap<>(from.rules());
-    workspaces = new TreeMap<>(from.workspaces());
+  public ConfigurationBuilder(Configuration initial) {
+    revision = initial.revision();
+    upstreams = new TreeMap<>(initial.upstreams());
+    pools = new TreeMap<>(initial.pools());
+    rules = new TreeMap<>(initial.rules());
+    workspaces = new TreeMap<>(initial.workspaces());
   }
 
   /**
@@ -61,9 +61,9 @@
   }
 
   /**
-   * Removes an object if it is there.
+   * Removes an object, if present.
    *
-   * @param id the object, never null
+   * @param id the id of the object, never null
    * @return this
    */
   public ConfigurationBuilder remove(ObjectId id) {
@@ -78,9 +78,9 @@
   }
 
   /**
-   * Finds an object.
+   * Returns an object.
    *
-   * @param id the object, never null
+   * @param id the id of the object, never null
    * @return the object, empty if there is none
    */
   public Optional<ConfigurationObject> get(ObjectId id) {
@@ -94,9 +94,9 @@
   }
 
   /**
-   * Makes the configuration.
+   * Builds the configuration.
    *
-   * @return the configuration, with the revision of the one begun with
+   * @return the configuration, with the revision of the initial one
    */
   public Configuration build() {
     return new Configuration(
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationChecks.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationChecks.java
@@ -11,7 +11,8 @@
 import java.util.Map;
 
 /**
- * Checks what only a configuration in whole can show: objects that clash or select nothing.
+ * Checks across the objects of a configuration: duplicate addresses are errors, and selectors that
+ * match nothing are warnings.
  *
  * <p>Stateless and safe for use by several threads.
  *
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationDocument.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationDocument.java
@@ -15,10 +15,10 @@
 import org.larkkeel.lib.Revision;
 
 /**
- * A configuration as text: JSON with comments and trailing commas.
+ * A parsed configuration document: JSON with comments and trailing commas.
  *
- * <p>Reading reports every problem at once with its place. Immutable and safe for use by several
- * threads.
+ * <p>Parsing reports all problems at once, each with its position in the text. Immutable and safe
+ * for use by several threads.
  *
  * @since 0.1
  */
@@ -49,27 +49,31 @@
   }
 
   /**
-   * Reads a document that stands for itself, and checks it in whole.
+   * Parses a document that holds a complete configuration, and validates it including the checks
+   * across objects.
    *
-   * @param source the file or other origin, for problems
+   * @param source the file or other origin, named in problems
    * @param text the document
-   * @return the configuration with the revision named in the document or {@link Revision#NONE}, or
-   *     every problem
+   * @return the configuration with the revision named in the document or {@link Revision#NONE}; or
+   *     all problems found
    */
   public static Checked<Configuration> read(String source, String text) {
     ConfigurationDocument document = parse(source, text);
-    Problems whole = document.locate(ConfigurationChecks.check(document.configuration));
+    Problems configurationProblems =
+        document.locate(ConfigurationChecks.check(document.configuration));
     return Checked.of(
-        document.configuration, document.problems.plus(whole.without(document.problems)));
+        document.configuration,
+        document.problems.plus(configurationProblems.without(document.problems)));
   }
 
   /**
-   * Reads a configuration that was accepted before, as a snapshot holds it. Unknown keys, which a
-   * later version may have written, are only warnings, and the whole is not checked again.
+   * Parses a configuration that was accepted before, such as the content of a snapshot. Unknown
+   * keys are only warnings, since a later version of the software may have written them, and the
+   * checks across objects are skipped.
    *
-   * @param source the origin, for problems
+   * @param source the file or other origin, named in problems
    * @param text the document
-   * @return the configuration, or every problem
+   * @return the configuration, or all problems found
    */
   public static Checked<Configuration> readAccepted(String source, String text) {
     ConfigurationDocument document = parse(text, new ProblemCollector(source, Severity.WARNING));
@@ -77,25 +81,26 @@
   }
 
   /**
-   * Reads a document that may be a part of a configuration, and checks each object alone.
+   * Parses a document that may hold only part of a configuration, and validates each object on its
+   * own.
    *
-   * @param source the file or other origin, for problems
+   * @param source the file or other origin, named in problems
    * @param text the document
-   * @return the document; see {@link #problems()} before use
+   * @return the document; check {@link #problems()} before using it
    */
   public static ConfigurationDocument parse(String source, String text) {
     return parse(text, new ProblemCollector(source, Severity.ERROR));
   }
 
   private static ConfigurationDocument parse(String text, ProblemCollector problems) {
-    LocatedParser parser = new LocatedParser(problems);
+    LocatedValueParser parser = new LocatedValueParser(problems);
     Configuration configuration =
         parser.parse(text).map(root -> readSections(root, problems)).orElse(Configuration.EMPTY);
     return new ConfigurationDocument(
         problems.source(), configuration, problems.build(), parser.positions());
   }
 
-  private static Configuration readSections(Located root, ProblemCollector problems) {
+  private static Configuration readSections(LocatedValue root, ProblemCollector problems) {
     FieldReader fields = FieldReader.open(root, JsonPath.ROOT, SECTIONS, problems);
     ObjectReader objects = new ObjectReader(problems);
     long revision = fields.whole(ConfigurationKeys.REVISION, 0, Long.MAX_VALUE, 0);
@@ -103,7 +108,7 @@
         new ConfigurationBuilder(Configuration.EMPTY.withRevision(new Revision(revision)));
     for (ObjectKind kind : ObjectKind.values()) {
       fields
-          .named(kind.section())
+          .namedMembers(kind.section())
           .forEach(
               (name, value) -> {
                 ObjectId id = new ObjectId(kind, name);
@@ -114,11 +119,11 @@
   }
 
   /**
-   * Writes a configuration in its canonical form: sections, names and keys in a fixed order, two
-   * spaces a level, no comments.
+   * Writes a configuration in its canonical form: sections, names and keys in a fixed order,
+   * indented by two spaces per level, without comments.
    *
    * @param configuration the configuration, never null
-   * @return the text, ended by a line feed; equal configurations give equal texts
+   * @return the text, ending with a line feed; equal configurations give equal texts
    */
   public static String write(Configuration configuration) {
     try {
@@ -128,12 +133,12 @@
               .replace("\r\n", "\n")
           + "\n";
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree of plain nodes can always be written", e);
+      throw new IllegalStateException("could not serialise the JSON tree of the configuration", e);
     }
   }
 
   /**
-   * What was read; objects with problems may be missing or incomplete.
+   * Returns the parsed configuration; objects with problems may be missing or incomplete.
    *
    * @return the configuration, never null
    */
@@ -142,7 +147,7 @@
   }
 
   /**
-   * The problems of single objects.
+   * Returns the problems found in single objects, without those of checks across objects.
    *
    * @return the problems, never null
    */
@@ -151,10 +156,12 @@
   }
 
   /**
-   * Adds places in this document to problems that were found without it.
+   * Adds positions in this document to problems that were found without its text, such as by a
+   * server.
    *
-   * @param others problems that carry paths
-   * @return the same problems; those whose object stands in this document carry a place
+   * @param others problems with JSON paths
+   * @return the same problems, with a position where this document contains the path or a parent of
+   *     it
    */
   public Problems locate(Problems others) {
     return new Problems(
@@ -162,12 +169,12 @@
   }
 
   private Problem locate(Problem problem) {
-    return nearest(problem.path()).map(p -> problem.at(source, p)).orElse(problem);
+    return nearestPosition(problem.path()).map(p -> problem.at(source, p)).orElse(problem);
   }
 
-  private Optional<Position> nearest(JsonPath path) {
-    for (JsonPath at = path; !at.equals(JsonPath.ROOT); at = at.parent()) {
-      Position position = positions.get(at);
+  private Optional<Position> nearestPosition(JsonPath path) {
+    for (JsonPath ancestor = path; !ancestor.equals(JsonPath.ROOT); ancestor = ancestor.parent()) {
+      Position position = positions.get(ancestor);
       if (position != null) {
         return Optional.of(position);
       }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationKeys.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationKeys.java
@@ -14,7 +14,7 @@
  * @since 0.1
  */
 public final class ConfigurationKeys {
-  /** The revision that a document was read at. */
+  /** The revision of the configuration that a document was exported from. */
   public static final String REVISION = "revision";
 
   /** Upstreams by name. */
@@ -32,28 +32,28 @@
   /** Labels of an object. */
   public static final String LABELS = "labels";
 
-  /** IP number and port of an upstream. */
+  /** IP address and port of an upstream. */
   public static final String ADDRESS = "address";
 
   /** Models of an upstream. */
   public static final String MODELS = "models";
 
-  /** Requests that an upstream runs at once. */
+  /** Number of requests that an upstream runs at once. */
   public static final String SLOTS = "slots";
 
-  /** Whether an upstream checks fencing numbers. */
+  /** The {@link FencingSupport} of an upstream. */
   public static final String FENCING = "fencing";
 
-  /** The rate of an upstream's link. */
+  /** Rate of an upstream's network link for KV cache, in bytes per second. */
   public static final String LINK_BYTES_PER_SECOND = "linkBytesPerSecond";
 
   /** The role of a pool. */
   public static final String ROLE = "role";
 
-  /** The order in which rules are tried. */
+  /** Priority of a rule; rules of higher priority are tried first. */
   public static final String PRIORITY = "priority";
 
-  /** Which requests a rule takes. */
+  /** The condition on the requests that a rule applies to. */
   public static final String MATCH = "match";
 
   /** The model of a match. */
@@ -62,37 +62,37 @@
   /** The path prefix of a match. */
   public static final String PATH_PREFIX = "pathPrefix";
 
-  /** The class of a rule's requests. */
+  /** The urgency of a rule's requests. */
   public static final String URGENCY = "urgency";
 
   /** Latency targets of a rule. */
   public static final String TARGETS = "targets";
 
-  /** Target for the first token. */
+  /** Target for the time to the first token, in milliseconds. */
   public static final String FIRST_TOKEN_MILLIS = "firstTokenMillis";
 
-  /** Target between tokens. */
+  /** Target for the mean time between tokens, in milliseconds. */
   public static final String BETWEEN_TOKENS_MILLIS = "betweenTokensMillis";
 
-  /** Deadline of a request. */
+  /** Deadline of a request after its arrival, in milliseconds. */
   public static final String DEADLINE_MILLIS = "deadlineMillis";
 
-  /** How often a request may run. */
+  /** The {@link Repeatability} of a rule's requests. */
   public static final String REPEATABILITY = "repeatability";
 
-  /** Attempts in all. */
+  /** Maximum number of attempts per request, including the first. */
   public static final String MAX_ATTEMPTS = "maxAttempts";
 
   /** Limits of a workspace. */
   public static final String LIMITS = "limits";
 
-  /** Requests a second. */
+  /** Limit of requests per second. */
   public static final String REQUESTS_PER_SECOND = "requestsPerSecond";
 
-  /** Prompt tokens a second. */
+  /** Limit of prompt tokens per second. */
   public static final String PROMPT_TOKENS_PER_SECOND = "promptTokensPerSecond";
 
-  /** Requests in progress at once. */
+  /** Limit of requests in progress at the same time. */
   public static final String CONCURRENCY = "concurrency";
 
   /** SHA-256 of a workspace's bearer token. */
@@ -104,13 +104,13 @@
   /** The author of a change. */
   public static final String AUTHOR = "author";
 
-  /** The time of a change. */
+  /** The time of a change, in milliseconds since the Unix epoch. */
   public static final String AT_MILLIS = "atMillis";
 
   /** The reason of a change. */
   public static final String REASON = "reason";
 
-  /** The revision that a change was made from. */
+  /** The revision of the configuration that a change started from. */
   public static final String BASE = "base";
 
   /** The operations of a change. */
@@ -125,13 +125,13 @@
   /** The name of an object. */
   public static final String NAME = "name";
 
-  /** The content of an object that is put. */
+  /** The content of the object of a put operation. */
   public static final String SPEC = "spec";
 
-  /** Labels to set. */
+  /** The labels that a label operation sets. */
   public static final String SET = "set";
 
-  /** Label keys to remove. */
+  /** The keys of the labels that a label operation removes. */
   public static final String REMOVE = "remove";
 
   private ConfigurationKeys() {}
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationObject.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationObject.java
@@ -9,7 +9,7 @@
 import org.larkkeel.lib.Labels;
 
 /**
- * One object that operators create, label and delete.
+ * A configuration object, which operators create, label and delete.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -17,14 +17,14 @@
  */
 public sealed interface ConfigurationObject permits Upstream, Pool, Rule, Workspace {
   /**
-   * The labels that selectors see.
+   * Returns the labels that selectors match.
    *
    * @return the labels, never null
    */
   Labels labels();
 
   /**
-   * The kind and name.
+   * Returns the id of the object: its kind and name.
    *
    * @return the id, never null
    */
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Replaces the labels.
+   * Returns a copy with other labels.
    *
    * @param newLabels the labels, never null
-   * @return a copy with those labels
+   * @return the copy
    */
   default ConfigurationObject withLabels(Labels newLabels) {
     return switch (this) {
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationObjects.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationObjects.java
@@ -10,7 +10,7 @@
 import java.util.Collection;
 
 /**
- * Looks at a configuration as objects over all kinds.
+ * Provides the objects of a configuration by kind and across all kinds.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -20,13 +20,13 @@
   private ConfigurationObjects() {}
 
   /**
-   * The objects of one kind.
+   * Returns the objects of one kind.
    *
    * @param configuration the configuration
    * @param kind the kind
-   * @return the objects in the order of their names
+   * @return the objects, sorted by name
    */
-  public static Collection<? extends ConfigurationObject> of(
+  public static Collection<? extends ConfigurationObject> ofKind(
       Configuration configuration, ObjectKind kind) {
     return switch (kind) {
       case UPSTREAM -> configuration.upstreams().values();
@@ -37,16 +37,16 @@
   }
 
   /**
-   * All objects.
+   * Returns the objects of all kinds.
    *
    * @param configuration the configuration
-   * @return the objects by kind and name
+   * @return the objects by id, sorted by kind and name
    */
   public static ImmutableSortedMap<ObjectId, ConfigurationObject> all(Configuration configuration) {
     ImmutableSortedMap.Builder<ObjectId, ConfigurationObject> all =
         ImmutableSortedMap.naturalOrder();
     for (ObjectKind kind : ObjectKind.values()) {
-      of(configuration, kind).forEach(object -> all.put(object.id(), object));
+      ofKind(configuration, kind).forEach(object -> all.put(object.id(), object));
     }
     return all.buildOrThrow();
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Diff.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Diff.java
@@ -15,22 +15,22 @@
 import java.util.TreeSet;
 
 /**
- * What differs between two configurations, by object and field.
+ * The differences between two configurations, by object and field.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param objects the objects that differ, by kind and name
+ * @param objects the objects that differ, sorted by kind and name
  * @since 0.1
  */
 public record Diff(ImmutableList<ObjectDiff> objects) {
 
-  /** What happened to an object. */
+  /** The type of an object's difference. */
   public enum Type {
-    /** Only the later configuration has it. */
+    /** Only the later configuration contains the object. */
     ADDED,
-    /** Both have it, with different fields. */
+    /** Both configurations contain the object, with different fields. */
     CHANGED,
-    /** Only the earlier configuration has it. */
+    /** Only the earlier configuration contains the object. */
     REMOVED
   }
 
@@ -38,7 +38,7 @@
    * An object that differs.
    *
    * @param id the object
-   * @param type what happened to it
+   * @param type the type of the difference
    * @param fields the fields that differ
    */
   public record ObjectDiff(ObjectId id, Type type, ImmutableList<FieldDiff> fields) {}
@@ -46,46 +46,48 @@
   /**
    * A field that differs.
    *
-   * @param path the JSON pointer within the object
-   * @param before the earlier value as JSON, empty if there was none
-   * @param after the later value as JSON, empty if there is none
+   * @param path the JSON pointer of the field within the object
+   * @param before the earlier value as JSON; empty if the field was absent
+   * @param after the later value as JSON; empty if the field is absent
    */
   public record FieldDiff(JsonPath path, Optional<String> before, Optional<String> after) {}
 
   /**
-   * Compares two configurations; revisions are left aside.
+   * Compares two configurations, ignoring their revisions.
    *
-   * @param before the earlier
-   * @param after the later
-   * @return what differs
+   * @param before the earlier configuration
+   * @param after the later configuration
+   * @return the differences
    */
   public static Diff between(Configuration before, Configuration after) {
-    Map<ObjectId, ConfigurationObject> old = ConfigurationObjects.all(before);
-    Map<ObjectId, ConfigurationObject> now = ConfigurationObjects.all(after);
+    Map<ObjectId, ConfigurationObject> beforeObjects = ConfigurationObjects.all(before);
+    Map<ObjectId, ConfigurationObject> afterObjects = ConfigurationObjects.all(after);
     ImmutableList.Builder<ObjectDiff> objects = ImmutableList.builder();
-    for (ObjectId id : new TreeSet<>(Sets.union(old.keySet(), now.keySet()))) {
-      Optional<ConfigurationObject> a = Optional.ofNullable(old.get(id));
-      Optional<ConfigurationObject> b = Optional.ofNullable(now.get(id));
-      if (!a.equals(b)) {
-        objects.add(new ObjectDiff(id, type(a, b), fields(a, b)));
+    for (ObjectId id : new TreeSet<>(Sets.union(beforeObjects.keySet(), afterObjects.keySet()))) {
+      Optional<ConfigurationObject> beforeObject = Optional.ofNullable(beforeObjects.get(id));
+      Optional<ConfigurationObject> afterObject = Optional.ofNullable(afterObjects.get(id));
+      if (!beforeObject.equals(afterObject)) {
+        objects.add(
+            new ObjectDiff(
+                id, typeOf(beforeObject, afterObject), compareFields(beforeObject, afterObject)));
       }
     }
     return new Diff(objects.build());
   }
 
   /**
-   * The steps that lead from the earlier to the later configuration.
+   * Returns the operations that transform the earlier into the later configuration.
    *
    * @param after the later configuration
-   * @param prune whether objects that it lacks are deleted
-   * @return the steps
+   * @param prune true to delete the objects that the later configuration lacks
+   * @return the operations, sorted by kind and name of their objects
    */
   public ImmutableList<Operation> operations(Configuration after, boolean prune) {
-    Map<ObjectId, ConfigurationObject> now = ConfigurationObjects.all(after);
+    Map<ObjectId, ConfigurationObject> afterObjects = ConfigurationObjects.all(after);
     ImmutableList.Builder<Operation> operations = ImmutableList.builder();
     for (ObjectDiff object : objects) {
       if (object.type() != Type.REMOVED) {
-        operations.add(new Operation.Put(now.get(object.id())));
+        operations.add(new Operation.Put(afterObjects.get(object.id())));
       } else if (prune) {
         operations.add(new Operation.Delete(object.id()));
       }
@@ -93,23 +95,24 @@
     return operations.build();
   }
 
-  private static Type type(Optional<ConfigurationObject> a, Optional<ConfigurationObject> b) {
-    if (a.isEmpty()) {
+  private static Type typeOf(
+      Optional<ConfigurationObject> before, Optional<ConfigurationObject> after) {
+    if (before.isEmpty()) {
       return Type.ADDED;
     }
-    return b.isEmpty() ? Type.REMOVED : Type.CHANGED;
+    return after.isEmpty() ? Type.REMOVED : Type.CHANGED;
   }
 
-  private static ImmutableList<FieldDiff> fields(
-      Optional<ConfigurationObject> a, Optional<ConfigurationObject> b) {
-    Map<String, String> before = a.map(Diff::flatten).orElseGet(TreeMap::new);
-    Map<String, String> after = b.map(Diff::flatten).orElseGet(TreeMap::new);
+  private static ImmutableList<FieldDiff> compareFields(
+      Optional<ConfigurationObject> beforeObject, Optional<ConfigurationObject> afterObject) {
+    Map<String, String> before = beforeObject.map(Diff::flatten).orElseGet(TreeMap::new);
+    Map<String, String> after = afterObject.map(Diff::flatten).orElseGet(TreeMap::new);
     ImmutableList.Builder<FieldDiff> fields = ImmutableList.builder();
     for (String pointer : new TreeSet<>(Sets.union(before.keySet(), after.keySet()))) {
-      Optional<String> x = Optional.ofNullable(before.get(pointer));
-      Optional<String> y = Optional.ofNullable(after.get(pointer));
-      if (!x.equals(y)) {
-        fields.add(new FieldDiff(new JsonPath(pointer), x, y));
+      Optional<String> beforeValue = Optional.ofNullable(before.get(pointer));
+      Optional<String> afterValue = Optional.ofNullable(after.get(pointer));
+      if (!beforeValue.equals(afterValue)) {
+        fields.add(new FieldDiff(new JsonPath(pointer), beforeValue, afterValue));
       }
     }
     return fields.build();
--- a/org.larkkeel/src/main/java/org/larkkeel/config/FencingSupport.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/FencingSupport.java
@@ -7,13 +7,16 @@
 package org.larkkeel.config;
 
 /**
- * Whether an upstream checks the fencing number of an order.
+ * The support of an upstream for the fencing numbers of orders.
  *
  * @since 0.1
  */
 public enum FencingSupport {
-  /** Orders with an older number are refused. */
+  /** The upstream refuses orders with an older fencing number. */
   CHECKED,
-  /** The number is ignored, so the sender has to wait out every older holder. */
+  /**
+   * The upstream ignores fencing numbers, so a sender must wait until no order of an earlier lease
+   * holder can arrive any more.
+   */
   IGNORED
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/FieldReader.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/FieldReader.java
@@ -20,68 +20,76 @@
 import org.larkkeel.selector.SelectorSyntaxException;
 
 /**
- * Reads the members of one JSON object and gathers every problem on the way; a faulty member gives
- * its default, so that reading goes on.
+ * Reads the members of a JSON object and collects all problems. An invalid member is read as its
+ * default, so that reading continues and finds further problems.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class FieldReader {
-  private static final String REQUIRED = "the key is missing";
+  private static final String MISSING_KEY = "the key is missing";
   private static final String NAME_REMEDY =
       "use letters, digits and . _ / -, beginning and ending with a letter or a digit";
 
-  private final Located.Fields fields;
+  private final LocatedValue.ObjectValue object;
   private final JsonPath path;
   private final ProblemCollector problems;
 
-  private FieldReader(Located.Fields fields, JsonPath path, ProblemCollector problems) {
-    this.fields = fields;
+  private FieldReader(LocatedValue.ObjectValue object, JsonPath path, ProblemCollector problems) {
+    this.object = object;
     this.path = path;
     this.problems = problems;
   }
 
   /**
-   * Reads a document of JSON with comments that must be an object.
+   * Parses a document of JSON with comments whose root must be an object.
    *
    * @param text the document
-   * @param known the keys that it may have; others are reported
-   * @param problems takes every problem
-   * @return a reader of its members; empty after a syntax error
+   * @param knownKeys the allowed keys; others are reported
+   * @param problems collects the problems
+   * @return a reader of the root's members; empty after a syntax error
    */
   public static Optional<FieldReader> document(
-      String text, ImmutableSet<String> known, ProblemCollector problems) {
-    return new LocatedParser(problems)
+      String text, ImmutableSet<String> knownKeys, ProblemCollector problems) {
+    return new LocatedValueParser(problems)
         .parse(text)
-        .map(root -> open(root, JsonPath.ROOT, known, problems));
+        .map(root -> open(root, JsonPath.ROOT, knownKeys, problems));
   }
 
-  /** Opens a value that must be an object and reports keys other than the known. */
+  /** Creates a reader of a value that must be an object, and reports unknown keys. */
   static FieldReader open(
-      Located value, JsonPath path, ImmutableSet<String> known, ProblemCollector problems) {
-    FieldReader reader = of(value, path, problems);
-    reader.fields.values().forEach((key, field) -> reader.checkKnown(key, field, known));
+      LocatedValue value,
+      JsonPath path,
+      ImmutableSet<String> knownKeys,
+      ProblemCollector problems) {
+    FieldReader reader = ofValue(value, path, problems);
+    reader
+        .object
+        .members()
+        .forEach((key, member) -> reader.checkKeyIsKnown(key, member, knownKeys));
     return reader;
   }
 
-  private static FieldReader of(Located value, JsonPath path, ProblemCollector problems) {
-    if (value instanceof Located.Fields fields) {
-      return new FieldReader(fields, path, problems);
+  private static FieldReader ofValue(LocatedValue value, JsonPath path, ProblemCollector problems) {
+    if (value instanceof LocatedValue.ObjectValue objectValue) {
+      return new FieldReader(objectValue, path, problems);
     }
-    wrongType(problems, value, path, "an object");
-    return new FieldReader(new Located.Fields(value.at(), ImmutableMap.of()), path, problems);
+    reportWrongType(problems, value, path, "an object");
+    return new FieldReader(
+        new LocatedValue.ObjectValue(value.position(), ImmutableMap.of()), path, problems);
   }
 
-  private void checkKnown(String key, Located.Field field, ImmutableSet<String> known) {
-    if (known.contains(key)) {
+  private void checkKeyIsKnown(
+      String key, LocatedValue.Member member, ImmutableSet<String> knownKeys) {
+    if (knownKeys.contains(key)) {
       return;
     }
     String remedy =
-        NearestName.find(key, known)
+        NearestName.find(key, knownKeys)
             .map(nearest -> "did you mean \"" + nearest + "\"?")
-            .orElse("use one of " + String.join(", ", known));
-    problems.unknownKey(field.keyAt(), path.child(key), remedy);
+            .orElse("use one of " + String.join(", ", knownKeys));
+    problems.addUnknownKey(member.keyPosition(), path.child(key), remedy);
   }
 
   JsonPath path() {
@@ -89,54 +97,63 @@
   }
 
   /**
-   * Opens a member that is an object; a missing one is empty.
+   * Opens a member that must be an object. A missing member is read as an empty object.
    *
    * @param key the key
-   * @param known the keys that it may have; others are reported
+   * @param knownKeys the allowed keys; others are reported
    * @return a reader of its members
    */
-  public FieldReader child(String key, ImmutableSet<String> known) {
-    return open(member(key).orElse(empty()), path.child(key), known, problems);
+  public FieldReader child(String key, ImmutableSet<String> knownKeys) {
+    return open(member(key).orElse(emptyObject()), path.child(key), knownKeys, problems);
   }
 
-  private Located empty() {
-    return new Located.Fields(fields.at(), ImmutableMap.of());
+  private LocatedValue emptyObject() {
+    return new LocatedValue.ObjectValue(object.position(), ImmutableMap.of());
   }
 
-  Optional<Located> member(String key) {
-    return Optional.ofNullable(fields.values().get(key)).map(Located.Field::value);
+  Optional<LocatedValue> member(String key) {
+    return Optional.ofNullable(object.members().get(key)).map(LocatedValue.Member::value);
   }
 
-  /** The members of the object whose keys are names; others are reported and left out. */
-  ImmutableMap<String, Located> named(String key) {
-    FieldReader section = of(member(key).orElse(empty()), path.child(key), problems);
-    ImmutableMap.Builder<String, Located> named = ImmutableMap.builder();
-    section.fields.values().forEach((name, field) -> section.addNamed(name, field, named));
+  /**
+   * Returns the values of a member that maps names to values. Invalid names are reported and left
+   * out.
+   */
+  ImmutableMap<String, LocatedValue> namedMembers(String key) {
+    FieldReader section = ofValue(member(key).orElse(emptyObject()), path.child(key), problems);
+    ImmutableMap.Builder<String, LocatedValue> named = ImmutableMap.builder();
+    section.object.members().forEach((name, member) -> section.addNamedMember(name, member, named));
     return named.buildOrThrow();
   }
 
   /**
-   * Opens the members of a member that maps names to objects.
+   * Opens a member that maps names to objects.
    *
    * @param key the key
-   * @param known the keys that each of the objects may have; others are reported
-   * @return readers by name; names that are not valid are reported and left out
+   * @param knownKeys the keys allowed in each object; others are reported
+   * @return readers by name; invalid names are reported and left out
    */
-  public ImmutableMap<String, FieldReader> children(String key, ImmutableSet<String> known) {
+  public ImmutableMap<String, FieldReader> children(String key, ImmutableSet<String> knownKeys) {
     ImmutableMap.Builder<String, FieldReader> children = ImmutableMap.builder();
-    JsonPath at = path.child(key);
-    named(key)
-        .forEach((name, value) -> children.put(name, open(value, at.child(name), known, problems)));
+    JsonPath sectionPath = path.child(key);
+    namedMembers(key)
+        .forEach(
+            (name, value) ->
+                children.put(name, open(value, sectionPath.child(name), knownKeys, problems)));
     return children.buildOrThrow();
   }
 
-  private void addNamed(
-      String name, Located.Field field, ImmutableMap.Builder<String, Located> named) {
+  private void addNamedMember(
+      String name, LocatedValue.Member member, ImmutableMap.Builder<String, LocatedValue> named) {
     if (Names.isValid(name)) {
-      named.put(name, field.value());
+      named.put(name, member.value());
     } else {
       problems.error(
-          field.keyAt(), path.child(name), '"' + name + '"', "not a valid name", NAME_REMEDY);
+          member.keyPosition(),
+          path.child(name),
+          '"' + name + '"',
+          "not a valid name",
+          NAME_REMEDY);
     }
   }
 
@@ -144,26 +161,26 @@
    * Reads a string.
    *
    * @param key the key
-   * @return the value; empty if it is missing or faulty
+   * @return the value; empty if it is missing or invalid
    */
   public Optional<String> text(String key) {
     return member(key).flatMap(value -> text(value, path.child(key)));
   }
 
-  private Optional<String> text(Located value, JsonPath at) {
-    if (value instanceof Located.Text text) {
+  private Optional<String> text(LocatedValue value, JsonPath valuePath) {
+    if (value instanceof LocatedValue.Text text) {
       return Optional.of(text.value());
     }
-    wrongType(problems, value, at, "a string");
+    reportWrongType(problems, value, valuePath, "a string");
     return Optional.empty();
   }
 
   /**
-   * Reads a string that must be there.
+   * Reads a required string.
    *
    * @param key the key
-   * @param remedy what to write if it is missing
-   * @return the value; empty if it is missing or faulty
+   * @param remedy what to write, reported if the member is missing
+   * @return the value; empty if it is missing or invalid
    */
   public Optional<String> requiredText(String key, String remedy) {
     if (member(key).isEmpty()) {
@@ -173,13 +190,14 @@
   }
 
   /**
-   * Reads a string that a parser refuses with {@link IllegalArgumentException}.
+   * Reads a string and converts it with a parser that throws {@link IllegalArgumentException} if
+   * the text is invalid.
    *
    * @param key the key
    * @param parser the parser
-   * @param remedy what to write if it is refused
+   * @param remedy what to write, reported if the text is invalid
    * @param <T> the type of the value
-   * @return the value; empty if it is missing or faulty
+   * @return the value; empty if it is missing or invalid
    */
   public <T> Optional<T> parsed(String key, Function<String, T> parser, String remedy) {
     return text(key).flatMap(text -> parse(text, key, parser, remedy));
@@ -199,52 +217,52 @@
    * Reads a whole number.
    *
    * @param key the key
-   * @param min the least accepted
-   * @param max the greatest accepted
-   * @param absent the value if it is missing or faulty
+   * @param min the minimum
+   * @param max the maximum
+   * @param defaultValue the value if the member is missing or invalid
    * @return the value
    */
-  public long whole(String key, long min, long max, long absent) {
-    Optional<Located> value = member(key);
+  public long whole(String key, long min, long max, long defaultValue) {
+    Optional<LocatedValue> value = member(key);
     if (value.isEmpty()) {
-      return absent;
+      return defaultValue;
     }
-    if (!(value.get() instanceof Located.Whole whole)) {
-      wrongType(problems, value.get(), path.child(key), "a whole number");
-      return absent;
+    if (!(value.get() instanceof LocatedValue.WholeNumber number)) {
+      reportWrongType(problems, value.get(), path.child(key), "a whole number");
+      return defaultValue;
     }
-    if (whole.value() < min || whole.value() > max) {
+    if (number.value() < min || number.value() > max) {
       report(key, "out of range", "use " + min + " to " + max);
-      return absent;
+      return defaultValue;
     }
-    return whole.value();
+    return number.value();
   }
 
   /**
-   * Reads one of the choices of an enum, written in lower case with hyphens.
+   * Reads an enum constant, written in lower case with hyphens.
    *
    * @param key the key
-   * @param type the enum
-   * @param absent the value if it is missing or faulty
-   * @param <E> the enum
+   * @param type the class of the enum
+   * @param defaultValue the value if the member is missing or invalid
+   * @param <E> the type of the enum
    * @return the value
    */
-  public <E extends Enum<E>> E choice(String key, Class<E> type, E absent) {
-    return text(key).flatMap(text -> choose(key, text, type)).orElse(absent);
+  public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
+    return text(key).flatMap(text -> parseChoice(key, text, type)).orElse(defaultValue);
   }
 
   <E extends Enum<E>> Optional<E> requiredChoice(String key, Class<E> type) {
     Optional<String> text = requiredText(key, "use one of " + slugs(type));
-    return text.flatMap(t -> choose(key, t, type));
+    return text.flatMap(t -> parseChoice(key, t, type));
   }
 
-  private <E extends Enum<E>> Optional<E> choose(String key, String text, Class<E> type) {
-    Optional<E> chosen =
+  private <E extends Enum<E>> Optional<E> parseChoice(String key, String text, Class<E> type) {
+    Optional<E> constant =
         Arrays.stream(type.getEnumConstants()).filter(e -> Slugs.of(e).equals(text)).findFirst();
-    if (chosen.isEmpty()) {
+    if (constant.isEmpty()) {
       report(key, "not one of the choices", "use one of " + slugs(type));
     }
-    return chosen;
+    return constant;
   }
 
   private static <E extends Enum<E>> String slugs(Class<E> type) {
@@ -253,109 +271,126 @@
 
   Labels labels(String key) {
     ImmutableSortedMap.Builder<String, String> labels = ImmutableSortedMap.naturalOrder();
-    named(key).forEach((name, value) -> addLabel(path.child(key).child(name), name, value, labels));
+    namedMembers(key)
+        .forEach((name, value) -> addLabel(path.child(key).child(name), name, value, labels));
     return new Labels(labels.buildOrThrow());
   }
 
   private void addLabel(
-      JsonPath at, String name, Located value, ImmutableSortedMap.Builder<String, String> labels) {
-    Optional<String> text = text(value, at);
+      JsonPath labelPath,
+      String name,
+      LocatedValue value,
+      ImmutableSortedMap.Builder<String, String> labels) {
+    Optional<String> text = text(value, labelPath);
     if (text.isEmpty()) {
       return;
     }
     if (text.get().isEmpty() || Names.isValid(text.get())) {
       labels.put(name, text.get());
     } else {
-      problems.error(value.at(), at, value.show(), "not a valid label value", NAME_REMEDY);
+      problems.error(
+          value.position(), labelPath, value.displayText(), "not a valid label value", NAME_REMEDY);
     }
   }
 
   Selector selector(String key) {
-    return selectorText(key, text(key));
+    return parseSelector(key, text(key));
   }
 
-  /** A selector that has to be written; an empty text chooses everything. */
+  /** Reads a required selector; an empty text matches everything. */
   Selector requiredSelector(String key) {
-    return selectorText(key, requiredText(key, "write a selector such as \"role=decode\""));
+    return parseSelector(key, requiredText(key, "write a selector such as \"role=decode\""));
   }
 
-  private Selector selectorText(String key, Optional<String> text) {
+  private Selector parseSelector(String key, Optional<String> text) {
     try {
       return Selector.parse(text.orElse(""));
     } catch (SelectorSyntaxException e) {
-      Located value = member(key).orElseThrow();
-      Position at = value.at().plus(1 + e.position());
+      LocatedValue value = member(key).orElseThrow();
+      Position position = value.position().plus(1 + e.position());
       problems.error(
-          at,
+          position,
           path.child(key),
-          value.show(),
+          value.displayText(),
           "bad selector at character " + (e.position() + 1),
           "write " + e.expected() + " there");
       return Selector.ALL;
     }
   }
 
-  /** An array of names without repetition. */
+  /** Reads an array of distinct names; invalid and repeated names are reported and left out. */
   ImmutableSet<String> names(String key) {
     ImmutableSet.Builder<String> names = ImmutableSet.builder();
-    ImmutableMap<JsonPath, Located> items = items(key);
-    items.forEach((at, item) -> text(item, at).ifPresent(t -> addName(at, item, t, names)));
+    ImmutableMap<JsonPath, LocatedValue> items = items(key);
+    items.forEach(
+        (itemPath, item) -> text(item, itemPath).ifPresent(t -> addName(itemPath, item, t, names)));
     return names.build();
   }
 
-  private void addName(JsonPath at, Located item, String text, ImmutableSet.Builder<String> names) {
+  private void addName(
+      JsonPath itemPath, LocatedValue item, String text, ImmutableSet.Builder<String> names) {
     if (!Names.isValid(text)) {
-      problems.error(item.at(), at, item.show(), "not a valid name", NAME_REMEDY);
+      problems.error(
+          item.position(), itemPath, item.displayText(), "not a valid name", NAME_REMEDY);
     } else if (names.build().contains(text)) {
-      problems.error(item.at(), at, item.show(), "the name stands twice", "remove one of the two");
+      problems.error(
+          item.position(),
+          itemPath,
+          item.displayText(),
+          "the name stands twice",
+          "remove one of the two");
     } else {
       names.add(text);
     }
   }
 
-  /** The items of an array by their place; a missing one is empty. */
-  ImmutableMap<JsonPath, Located> items(String key) {
-    Optional<Located> value = member(key);
-    JsonPath at = path.child(key);
+  /** Returns the items of an array by their path; empty if the member is missing. */
+  ImmutableMap<JsonPath, LocatedValue> items(String key) {
+    Optional<LocatedValue> value = member(key);
+    JsonPath arrayPath = path.child(key);
     if (value.isEmpty()) {
       return ImmutableMap.of();
     }
-    if (!(value.get() instanceof Located.Items items)) {
-      wrongType(problems, value.get(), at, "an array");
+    if (!(value.get() instanceof LocatedValue.ArrayValue array)) {
+      reportWrongType(problems, value.get(), arrayPath, "an array");
       return ImmutableMap.of();
     }
-    ImmutableMap.Builder<JsonPath, Located> byPath = ImmutableMap.builder();
-    for (int i = 0; i < items.values().size(); i++) {
-      byPath.put(at.item(i), items.values().get(i));
+    ImmutableMap.Builder<JsonPath, LocatedValue> byPath = ImmutableMap.builder();
+    for (int i = 0; i < array.items().size(); i++) {
+      byPath.put(arrayPath.item(i), array.items().get(i));
     }
     return byPath.buildOrThrow();
   }
 
   /**
-   * Reports a member that is missing.
+   * Reports a missing member.
    *
    * @param key the key
    * @param remedy what to write
    */
   public void missing(String key, String remedy) {
-    problems.error(fields.at(), path.child(key), "", REQUIRED, remedy);
+    problems.error(object.position(), path.child(key), "", MISSING_KEY, remedy);
   }
 
   /**
-   * Reports a member that is there.
+   * Reports an error in the value of a member.
    *
    * @param key the key
    * @param message what is wrong
    * @param remedy what to write instead
    */
   public void report(String key, String message, String remedy) {
-    Located value = member(key).orElse(fields);
-    problems.error(value.at(), path.child(key), value.show(), message, remedy);
+    LocatedValue value = member(key).orElse(object);
+    problems.error(value.position(), path.child(key), value.displayText(), message, remedy);
   }
 
-  private static void wrongType(
-      ProblemCollector problems, Located value, JsonPath path, String expected) {
+  private static void reportWrongType(
+      ProblemCollector problems, LocatedValue value, JsonPath path, String expected) {
     problems.error(
-        value.at(), path, value.show(), "the value is " + value.type(), "write " + expected);
+        value.position(),
+        path,
+        value.displayText(),
+        "the value is " + value.typeName(),
+        "write " + expected);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/JsonPath.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/JsonPath.java
@@ -15,33 +15,33 @@
  * @since 0.1
  */
 public record JsonPath(String pointer) {
-  /** The whole document. */
+  /** The pointer to the whole document. */
   public static final JsonPath ROOT = new JsonPath("");
 
   /**
-   * Points to a member.
+   * Returns the pointer to a member of this value.
    *
    * @param key the key, unescaped
-   * @return the pointer to that member
+   * @return the pointer to the member
    */
   public JsonPath child(String key) {
     return new JsonPath(pointer + "/" + key.replace("~", "~0").replace("/", "~1"));
   }
 
   /**
-   * Points to an item of an array.
+   * Returns the pointer to an item of this array.
    *
    * @param index the index from 0
-   * @return the pointer to that item
+   * @return the pointer to the item
    */
   public JsonPath item(int index) {
     return new JsonPath(pointer + "/" + index);
   }
 
   /**
-   * Points to the enclosing value.
+   * Returns the pointer to the enclosing value.
    *
-   * @return the pointer without its last part; the root has itself
+   * @return the pointer without its last token; the root for the root itself
    */
   public JsonPath parent() {
     int slash = pointer.lastIndexOf('/');
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Limits.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Limits.java
@@ -7,13 +7,13 @@
 package org.larkkeel.config;
 
 /**
- * The limits of a workspace over all nodes together; 0 means unlimited.
+ * The limits of a workspace, which apply to the sum over all nodes; 0 means unlimited.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param requestsPerSecond accepted requests a second
- * @param promptTokensPerSecond accepted prompt tokens a second
- * @param concurrency requests in progress at once
+ * @param requestsPerSecond the maximum number of accepted requests per second
+ * @param promptTokensPerSecond the maximum number of accepted prompt tokens per second
+ * @param concurrency the maximum number of requests in progress at the same time
  * @since 0.1
  */
 public record Limits(long requestsPerSecond, long promptTokensPerSecond, int concurrency) {
--- a/org.larkkeel/src/main/java/org/larkkeel/config/LocatedParser.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/LocatedValueParser.java
@@ -20,8 +20,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads JSON with comments into located values. Not safe for use by several threads. */
-final class LocatedParser {
+/**
+ * Parses JSON with comments and trailing commas into values with positions. An instance parses one
+ * document. Not safe for use by several threads.
+ */
+final class LocatedValueParser {
   private static final JsonFactory FACTORY =
       JsonFactory.builder()
           .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
@@ -31,19 +34,22 @@
   private final ProblemCollector problems;
   private final Map<JsonPath, Position> positions = new LinkedHashMap<>();
 
-  LocatedParser(ProblemCollector problems) {
+  LocatedValueParser(ProblemCollector problems) {
     this.problems = problems;
   }
 
-  /** Reads one value; empty after a syntax error, which is then among the problems. */
-  Optional<Located> parse(String text) {
+  /**
+   * Parses a document. Returns empty if it is blank or has a syntax error, which is added to the
+   * problems.
+   */
+  Optional<LocatedValue> parse(String text) {
     try (JsonParser parser = FACTORY.createParser(text)) {
       if (parser.nextToken() == null) {
         problems.error(
             new Position(1, 1), JsonPath.ROOT, "", "the document is empty", "write an object {}");
         return Optional.empty();
       }
-      Located value = value(parser, JsonPath.ROOT);
+      LocatedValue value = parseValue(parser, JsonPath.ROOT);
       if (parser.nextToken() != null) {
         problems.error(
             position(parser.currentTokenLocation()),
@@ -66,60 +72,62 @@
     }
   }
 
-  /** Where each value of the document begins. */
+  /** Returns the position where each value of the document begins. */
   ImmutableMap<JsonPath, Position> positions() {
     return ImmutableMap.copyOf(positions);
   }
 
-  private Located value(JsonParser parser, JsonPath path) throws IOException {
-    Position at = position(parser.currentTokenLocation());
-    positions.putIfAbsent(path, at);
+  private LocatedValue parseValue(JsonParser parser, JsonPath path) throws IOException {
+    Position position = position(parser.currentTokenLocation());
+    positions.putIfAbsent(path, position);
     return switch (parser.currentToken()) {
-      case START_OBJECT -> fields(parser, path, at);
-      case START_ARRAY -> items(parser, path, at);
-      case VALUE_STRING -> new Located.Text(at, parser.getText());
-      case VALUE_NUMBER_INT -> whole(parser, at);
-      default -> new Located.Other(at, parser.getText());
+      case START_OBJECT -> parseObject(parser, path, position);
+      case START_ARRAY -> parseArray(parser, path, position);
+      case VALUE_STRING -> new LocatedValue.Text(position, parser.getText());
+      case VALUE_NUMBER_INT -> parseNumber(parser, position);
+      default -> new LocatedValue.Other(position, parser.getText());
     };
   }
 
-  private Located fields(JsonParser parser, JsonPath path, Position at) throws IOException {
-    Map<String, Located.Field> fields = new LinkedHashMap<>();
+  private LocatedValue parseObject(JsonParser parser, JsonPath path, Position position)
+      throws IOException {
+    Map<String, LocatedValue.Member> members = new LinkedHashMap<>();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String key = parser.currentName();
-      Position keyAt = position(parser.currentTokenLocation());
+      Position keyPosition = position(parser.currentTokenLocation());
       parser.nextToken();
       JsonPath child = path.child(key);
-      Located.Field earlier = fields.get(key);
-      Located.Field field = new Located.Field(keyAt, value(parser, child));
+      LocatedValue.Member earlier = members.get(key);
+      LocatedValue.Member member = new LocatedValue.Member(keyPosition, parseValue(parser, child));
       if (earlier == null) {
-        fields.put(key, field);
+        members.put(key, member);
       } else {
         problems.error(
-            keyAt,
+            keyPosition,
             child,
             "",
-            "the name stands already in line " + earlier.keyAt().line(),
+            "the name stands already in line " + earlier.keyPosition().line(),
             "rename or remove one of the two");
       }
     }
-    return new Located.Fields(at, ImmutableMap.copyOf(fields));
+    return new LocatedValue.ObjectValue(position, ImmutableMap.copyOf(members));
   }
 
-  private Located items(JsonParser parser, JsonPath path, Position at) throws IOException {
-    ImmutableList.Builder<Located> items = ImmutableList.builder();
+  private LocatedValue parseArray(JsonParser parser, JsonPath path, Position position)
+      throws IOException {
+    ImmutableList.Builder<LocatedValue> items = ImmutableList.builder();
     int index = 0;
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      items.add(value(parser, path.item(index)));
+      items.add(parseValue(parser, path.item(index)));
       index++;
     }
-    return new Located.Items(at, items.build());
+    return new LocatedValue.ArrayValue(position, items.build());
   }
 
-  private static Located whole(JsonParser parser, Position at) throws IOException {
+  private static LocatedValue parseNumber(JsonParser parser, Position position) throws IOException {
     return switch (parser.getNumberType()) {
-      case INT, LONG -> new Located.Whole(at, parser.getLongValue());
-      default -> new Located.Other(at, parser.getText());
+      case INT, LONG -> new LocatedValue.WholeNumber(position, parser.getLongValue());
+      default -> new LocatedValue.Other(position, parser.getText());
     };
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Match.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Match.java
@@ -11,13 +11,14 @@
 import org.larkkeel.selector.Selector;
 
 /**
- * Which requests a rule takes; every part that is present must hold.
+ * The condition on the requests that a rule applies to; all parts that are present must hold.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param model the model asked for; empty matches any request
+ * @param model the requested model; empty matches any request
  * @param pathPrefix the beginning of the path of a plain call; empty matches any request
- * @param workspaces chooses workspaces by their labels; {@link Selector#ALL} matches any
+ * @param workspaces selects the callers' workspaces by their labels; {@link Selector#ALL} matches
+ *     any
  * @since 0.1
  */
 public record Match(Optional<ModelName> model, Optional<String> pathPrefix, Selector workspaces) {}
--- a/org.larkkeel/src/main/java/org/larkkeel/config/NearestName.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/NearestName.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 /**
- * Finds the name that was probably meant.
+ * Finds the existing name that is most similar to a misspelt one, for error messages.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -22,17 +22,18 @@
   private NearestName() {}
 
   /**
-   * Finds the candidate with the smallest edit distance.
+   * Finds the candidate with the smallest edit distance, ignoring case.
    *
-   * @param name what was written
-   * @param candidates the names that exist
-   * @return the nearest, empty if none is near
+   * @param name the misspelt name
+   * @param candidates the existing names
+   * @return the most similar candidate; empty if each needs more than three edits, or more than
+   *     half the length of a name under six characters
    */
   public static Optional<String> find(String name, Collection<String> candidates) {
     String best = null;
     int bestDistance = Math.min(MAX_DISTANCE, Math.max(1, name.length() / 2)) + 1;
     for (String candidate : candidates) {
-      int distance = distance(name, candidate);
+      int distance = editDistance(name, candidate);
       if (distance < bestDistance) {
         best = candidate;
         bestDistance = distance;
@@ -41,24 +42,25 @@
     return Optional.ofNullable(best);
   }
 
-  private static int distance(String a, String b) {
-    int[] previous = new int[b.length() + 1];
+  private static int editDistance(String a, String b) {
+    int[] previousRow = new int[b.length() + 1];
     for (int j = 0; j <= b.length(); j++) {
-      previous[j] = j;
+      previousRow[j] = j;
     }
     for (int i = 1; i <= a.length(); i++) {
-      int[] current = new int[b.length() + 1];
-      current[0] = i;
+      int[] currentRow = new int[b.length() + 1];
+      currentRow[0] = i;
       for (int j = 1; j <= b.length(); j++) {
-        int replace = previous[j - 1] + (same(a.charAt(i - 1), b.charAt(j - 1)) ? 0 : 1);
-        current[j] = Math.min(replace, Math.min(previous[j], current[j - 1]) + 1);
+        int substitutionCost =
+            previousRow[j - 1] + (equalsIgnoringCase(a.charAt(i - 1), b.charAt(j - 1)) ? 0 : 1);
+        currentRow[j] = Math.min(substitutionCost, Math.min(previousRow[j], currentRow[j - 1]) + 1);
       }
-      previous = current;
+      previousRow = currentRow;
     }
-    return previous[b.length()];
+    return previousRow[b.length()];
   }
 
-  private static boolean same(char a, char b) {
+  private static boolean equalsIgnoringCase(char a, char b) {
     return Character.toLowerCase(a) == Character.toLowerCase(b);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ObjectId.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ObjectId.java
@@ -10,7 +10,7 @@
 import org.larkkeel.lib.Names;
 
 /**
- * Names one configuration object over all kinds.
+ * The identity of a configuration object across all kinds.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -22,15 +22,15 @@
   private static final Comparator<ObjectId> ORDER =
       Comparator.comparing(ObjectId::kind).thenComparing(ObjectId::name);
 
-  /** Checks the name. */
+  /** Validates the name. */
   public ObjectId {
     Names.check("the " + kind.slug(), name);
   }
 
   /**
-   * Reads an id as {@link #toString()} writes it.
+   * Parses an id in the form that {@link #toString()} writes.
    *
-   * @param text kind and name, as {@code pool/p}
+   * @param text kind and name, such as {@code pool/p}
    * @return the id
    * @throws IllegalArgumentException if the text is not an id
    */
@@ -46,7 +46,7 @@
   }
 
   /**
-   * The place of the object in a document.
+   * Returns the path of the object in a configuration document.
    *
    * @return a JSON pointer
    */
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ObjectKind.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ObjectKind.java
@@ -31,7 +31,7 @@
   }
 
   /**
-   * The key of the kind's section in a document.
+   * Returns the key of the kind's section in a document.
    *
    * @return the plural, such as {@code upstreams}
    */
@@ -40,7 +40,7 @@
   }
 
   /**
-   * The name in messages and changes.
+   * Returns the name of the kind in messages and changes.
    *
    * @return the singular, such as {@code upstream}
    */
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Finds a kind by its singular or plural.
+   * Finds a kind by the singular or plural of its name.
    *
    * @param text the text, never null
    * @return the kind, empty if there is none of that name
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ObjectReader.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ObjectReader.java
@@ -43,12 +43,12 @@
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.lib.WorkspaceName;
 
-/** Reads single configuration objects. Not safe for use by several threads. */
+/** Reads single configuration objects from JSON. Not safe for use by several threads. */
 final class ObjectReader {
   static final int MAX_SLOTS = 100_000;
   static final int MAX_PRIORITY = 1_000_000;
   static final int MAX_ATTEMPTS_LIMIT = 10;
-  static final long MAX_MILLIS = Duration.ofDays(1).toMillis();
+  static final long MAX_DURATION_MILLIS = Duration.ofDays(1).toMillis();
 
   private static final ImmutableSet<String> UPSTREAM_KEYS =
       ImmutableSet.of(ADDRESS, LABELS, MODELS, SLOTS, FENCING, LINK_BYTES_PER_SECOND);
@@ -74,68 +74,68 @@
   }
 
   /**
-   * Reads one object. A faulty one is returned with defaults in the place of what is wrong, so that
-   * later checks can go on; it is empty if even that fails.
+   * Reads one object. Invalid fields are reported and replaced by defaults, so that later checks
+   * can continue; the result is empty if a required field has no default.
    */
-  Optional<ConfigurationObject> read(ObjectId id, Located value, JsonPath path) {
+  Optional<ConfigurationObject> read(ObjectId id, LocatedValue value, JsonPath path) {
     return switch (id.kind()) {
-      case UPSTREAM -> Optional.of(upstream(id.name(), open(value, path, UPSTREAM_KEYS)));
-      case POOL -> pool(id.name(), open(value, path, POOL_KEYS));
-      case RULE -> Optional.of(rule(id.name(), open(value, path, RULE_KEYS)));
-      case WORKSPACE -> Optional.of(workspace(id.name(), open(value, path, WORKSPACE_KEYS)));
+      case UPSTREAM -> Optional.of(readUpstream(id.name(), open(value, path, UPSTREAM_KEYS)));
+      case POOL -> readPool(id.name(), open(value, path, POOL_KEYS));
+      case RULE -> Optional.of(readRule(id.name(), open(value, path, RULE_KEYS)));
+      case WORKSPACE -> Optional.of(readWorkspace(id.name(), open(value, path, WORKSPACE_KEYS)));
     };
   }
 
-  private FieldReader open(Located value, JsonPath path, ImmutableSet<String> keys) {
+  private FieldReader open(LocatedValue value, JsonPath path, ImmutableSet<String> keys) {
     return FieldReader.open(value, path, keys, problems);
   }
 
-  private ConfigurationObject upstream(String name, FieldReader fields) {
+  private ConfigurationObject readUpstream(String name, FieldReader fields) {
     return new Upstream(
         new UpstreamName(name),
-        address(fields),
+        readAddress(fields),
         fields.labels(LABELS),
-        models(fields),
+        readModels(fields),
         (int) fields.whole(SLOTS, 1, MAX_SLOTS, Upstream.DEFAULT_SLOTS),
         fields.choice(FENCING, FencingSupport.class, FencingSupport.IGNORED),
         fields.whole(
             LINK_BYTES_PER_SECOND, 1, Long.MAX_VALUE, Upstream.DEFAULT_LINK_BYTES_PER_SECOND));
   }
 
-  private static String address(FieldReader fields) {
-    Optional<String> text = fields.requiredText(ADDRESS, Addresses.REMEDY);
+  private static String readAddress(FieldReader fields) {
+    Optional<String> text = fields.requiredText(ADDRESS, Addresses.FORMAT_REMEDY);
     if (text.isPresent() && !Addresses.isValid(text.get())) {
-      fields.report(ADDRESS, "not an IP number and port", Addresses.REMEDY);
+      fields.report(ADDRESS, "not an IP number and port", Addresses.FORMAT_REMEDY);
       return NO_ADDRESS;
     }
     return text.orElse(NO_ADDRESS);
   }
 
-  private static ImmutableSet<ModelName> models(FieldReader fields) {
+  private static ImmutableSet<ModelName> readModels(FieldReader fields) {
     return fields.names(MODELS).stream().map(ModelName::new).collect(ImmutableSet.toImmutableSet());
   }
 
-  private static Optional<ConfigurationObject> pool(String name, FieldReader fields) {
+  private static Optional<ConfigurationObject> readPool(String name, FieldReader fields) {
     Optional<Role> role = fields.requiredChoice(ROLE, Role.class);
     var labels = fields.labels(LABELS);
     var upstreams = fields.requiredSelector(UPSTREAMS);
     return role.map(r -> new Pool(new PoolName(name), r, labels, upstreams));
   }
 
-  private static ConfigurationObject rule(String name, FieldReader fields) {
+  private static ConfigurationObject readRule(String name, FieldReader fields) {
     return new Rule(
         new RuleName(name),
         fields.labels(LABELS),
         (int) fields.whole(PRIORITY, -MAX_PRIORITY, MAX_PRIORITY, 0),
-        match(fields.child(MATCH, MATCH_KEYS)),
+        readMatch(fields.child(MATCH, MATCH_KEYS)),
         fields.requiredSelector(POOLS),
         fields.choice(URGENCY, Urgency.class, Urgency.INTERACTIVE),
-        targets(fields.child(TARGETS, TARGET_KEYS)),
+        readTargets(fields.child(TARGETS, TARGET_KEYS)),
         fields.choice(REPEATABILITY, Repeatability.class, Repeatability.BY_METHOD),
         (int) fields.whole(MAX_ATTEMPTS, 1, MAX_ATTEMPTS_LIMIT, Rule.DEFAULT_MAX_ATTEMPTS));
   }
 
-  private static Match match(FieldReader fields) {
+  private static Match readMatch(FieldReader fields) {
     Optional<ModelName> model = fields.parsed(MODEL, ModelName::new, "write the name of a model");
     Optional<String> prefix = fields.text(PATH_PREFIX);
     if (prefix.isPresent() && !prefix.get().startsWith("/")) {
@@ -144,9 +144,9 @@
     return new Match(model, prefix, fields.selector(WORKSPACES));
   }
 
-  private static Targets targets(FieldReader fields) {
-    Duration deadline = millis(fields, DEADLINE_MILLIS, Targets.DEFAULT.deadline());
-    Duration firstToken = millis(fields, FIRST_TOKEN_MILLIS, Targets.DEFAULT.firstToken());
+  private static Targets readTargets(FieldReader fields) {
+    Duration deadline = readMillis(fields, DEADLINE_MILLIS, Targets.DEFAULT.deadline());
+    Duration firstToken = readMillis(fields, FIRST_TOKEN_MILLIS, Targets.DEFAULT.firstToken());
     if (firstToken.compareTo(deadline) > 0) {
       fields.report(
           FIRST_TOKEN_MILLIS,
@@ -155,35 +155,35 @@
     }
     return new Targets(
         firstToken,
-        millis(fields, BETWEEN_TOKENS_MILLIS, Targets.DEFAULT.betweenTokens()),
+        readMillis(fields, BETWEEN_TOKENS_MILLIS, Targets.DEFAULT.betweenTokens()),
         deadline);
   }
 
-  private static Duration millis(FieldReader fields, String key, Duration absent) {
-    return Duration.ofMillis(fields.whole(key, 1, MAX_MILLIS, absent.toMillis()));
+  private static Duration readMillis(FieldReader fields, String key, Duration defaultValue) {
+    return Duration.ofMillis(fields.whole(key, 1, MAX_DURATION_MILLIS, defaultValue.toMillis()));
   }
 
-  private static ConfigurationObject workspace(String name, FieldReader fields) {
+  private static ConfigurationObject readWorkspace(String name, FieldReader fields) {
     return new Workspace(
         new WorkspaceName(name),
         fields.labels(LABELS),
-        limits(fields.child(LIMITS, LIMIT_KEYS)),
-        token(fields));
+        readLimits(fields.child(LIMITS, LIMIT_KEYS)),
+        readTokenHash(fields));
   }
 
-  private static Limits limits(FieldReader fields) {
+  private static Limits readLimits(FieldReader fields) {
     return new Limits(
         fields.whole(REQUESTS_PER_SECOND, 0, Long.MAX_VALUE, 0),
         fields.whole(PROMPT_TOKENS_PER_SECOND, 0, Long.MAX_VALUE, 0),
         (int) fields.whole(CONCURRENCY, 0, Integer.MAX_VALUE, 0));
   }
 
-  private static Optional<String> token(FieldReader fields) {
-    Optional<String> token = fields.text(TOKEN_SHA256);
-    if (token.isPresent() && !SHA256.matcher(token.get()).matches()) {
+  private static Optional<String> readTokenHash(FieldReader fields) {
+    Optional<String> hash = fields.text(TOKEN_SHA256);
+    if (hash.isPresent() && !SHA256.matcher(hash.get()).matches()) {
       fields.report(
           TOKEN_SHA256, "not a SHA-256", "write 64 hex digits in lower case, never the token");
     }
-    return token;
+    return hash;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ObjectWriter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ObjectWriter.java
@@ -13,7 +13,8 @@
 import org.larkkeel.lib.Labels;
 
 /**
- * Writes configuration objects as JSON: every key in a fixed order, also where it has its default.
+ * Writes configuration objects as JSON, with the keys in a fixed order and including those that
+ * have their default.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -25,10 +26,11 @@
   private ObjectWriter() {}
 
   /**
-   * Writes a whole configuration.
+   * Converts a complete configuration to JSON.
    *
    * @param configuration the configuration, never null
-   * @return a new tree; the revision is left out if it is {@link org.larkkeel.lib.Revision#NONE}
+   * @return a new JSON tree; the revision is left out if it is {@link
+   *     org.larkkeel.lib.Revision#NONE}
    */
   public static ObjectNode toJson(Configuration configuration) {
     ObjectNode node = NODES.objectNode();
@@ -37,7 +39,7 @@
     }
     for (ObjectKind kind : ObjectKind.values()) {
       ObjectNode section = node.putObject(kind.section());
-      for (ConfigurationObject object : ConfigurationObjects.of(configuration, kind)) {
+      for (ConfigurationObject object : ConfigurationObjects.ofKind(configuration, kind)) {
         section.set(object.id().name(), toJson(object));
       }
     }
@@ -45,24 +47,24 @@
   }
 
   /**
-   * Writes one object, without its name.
+   * Converts one object to JSON, without its name.
    *
    * @param object the object, never null
-   * @return a new tree
+   * @return a new JSON tree
    */
   public static ObjectNode toJson(ConfigurationObject object) {
     return switch (object) {
-      case Upstream upstream -> upstream(upstream);
-      case Pool pool -> pool(pool);
-      case Rule rule -> rule(rule);
-      case Workspace workspace -> workspace(workspace);
+      case Upstream upstream -> writeUpstream(upstream);
+      case Pool pool -> writePool(pool);
+      case Rule rule -> writeRule(rule);
+      case Workspace workspace -> writeWorkspace(workspace);
     };
   }
 
-  private static ObjectNode upstream(Upstream upstream) {
+  private static ObjectNode writeUpstream(Upstream upstream) {
     ObjectNode node = NODES.objectNode();
     node.put(ConfigurationKeys.ADDRESS, upstream.address());
-    node.set(ConfigurationKeys.LABELS, labels(upstream.labels()));
+    node.set(ConfigurationKeys.LABELS, writeLabels(upstream.labels()));
     ArrayNode models = node.putArray(ConfigurationKeys.MODELS);
     upstream.models().stream().sorted().forEach(model -> models.add(model.value()));
     node.put(ConfigurationKeys.SLOTS, upstream.slots());
@@ -71,17 +73,17 @@
     return node;
   }
 
-  private static ObjectNode pool(Pool pool) {
+  private static ObjectNode writePool(Pool pool) {
     ObjectNode node = NODES.objectNode();
     node.put(ConfigurationKeys.ROLE, Slugs.of(pool.role()));
-    node.set(ConfigurationKeys.LABELS, labels(pool.labels()));
+    node.set(ConfigurationKeys.LABELS, writeLabels(pool.labels()));
     node.put(ConfigurationKeys.UPSTREAMS, pool.upstreams().toString());
     return node;
   }
 
-  private static ObjectNode rule(Rule rule) {
+  private static ObjectNode writeRule(Rule rule) {
     ObjectNode node = NODES.objectNode();
-    node.set(ConfigurationKeys.LABELS, labels(rule.labels()));
+    node.set(ConfigurationKeys.LABELS, writeLabels(rule.labels()));
     node.put(ConfigurationKeys.PRIORITY, rule.priority());
     ObjectNode match = node.putObject(ConfigurationKeys.MATCH);
     rule.match().model().ifPresent(m -> match.put(ConfigurationKeys.MODEL, m.value()));
@@ -98,9 +100,9 @@
     return node;
   }
 
-  private static ObjectNode workspace(Workspace workspace) {
+  private static ObjectNode writeWorkspace(Workspace workspace) {
     ObjectNode node = NODES.objectNode();
-    node.set(ConfigurationKeys.LABELS, labels(workspace.labels()));
+    node.set(ConfigurationKeys.LABELS, writeLabels(workspace.labels()));
     ObjectNode limits = node.putObject(ConfigurationKeys.LIMITS);
     Limits values = workspace.limits();
     limits.put(ConfigurationKeys.REQUESTS_PER_SECOND, values.requestsPerSecond());
@@ -110,7 +112,7 @@
     return node;
   }
 
-  private static ObjectNode labels(Labels labels) {
+  private static ObjectNode writeLabels(Labels labels) {
     ObjectNode node = NODES.objectNode();
     labels.entries().forEach(node::put);
     return node;
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Operation.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Operation.java
@@ -10,7 +10,7 @@
 import com.google.common.collect.ImmutableSortedSet;
 
 /**
- * One step of a change.
+ * One operation of a change.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -18,7 +18,7 @@
  */
 public sealed interface Operation {
   /**
-   * The object that the step touches.
+   * Returns the object that the operation changes.
    *
    * @return the id, never null
    */
@@ -27,7 +27,7 @@
   /**
    * Adds or replaces an object.
    *
-   * @param object the object in whole
+   * @param object the complete object
    */
   record Put(ConfigurationObject object) implements Operation {
     @Override
@@ -37,18 +37,18 @@
   }
 
   /**
-   * Removes an object, which has to be there.
+   * Removes an object, which must exist.
    *
    * @param target the object
    */
   record Delete(ObjectId target) implements Operation {}
 
   /**
-   * Sets and removes labels of an object, which has to be there.
+   * Sets and removes labels of an object, which must exist.
    *
    * @param target the object
    * @param set the labels to set
-   * @param remove the keys of the labels to remove; a missing label is no failure
+   * @param remove the keys of the labels to remove; a missing label is no error
    */
   record Label(
       ObjectId target, ImmutableSortedMap<String, String> set, ImmutableSortedSet<String> remove)
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Pool.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Pool.java
@@ -11,20 +11,20 @@
 import org.larkkeel.selector.Selector;
 
 /**
- * A set of upstreams with one role, chosen by a selector over their labels.
+ * A set of upstreams with one role; a selector over their labels determines the members.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param name the name, unique among pools
- * @param role what its upstreams do
+ * @param role the role of its upstreams
  * @param labels the labels that rules select pools by
- * @param upstreams chooses the members
+ * @param upstreams selects the members by their labels
  * @since 0.1
  */
 public record Pool(PoolName name, Role role, Labels labels, Selector upstreams)
     implements ConfigurationObject {
   /**
-   * Tells whether an upstream gets new work of this pool.
+   * Returns whether an upstream receives new work of this pool.
    *
    * @param upstream the upstream
    * @return true if the selector matches it and it is not leaving
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Position.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Position.java
@@ -7,7 +7,7 @@
 package org.larkkeel.config;
 
 /**
- * A place in a text.
+ * A position in a text.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -16,14 +16,14 @@
  * @since 0.1
  */
 public record Position(int line, int column) {
-  /** No place in any text. */
+  /** The position of a value that comes from no text. */
   public static final Position NONE = new Position(0, 0);
 
   /**
-   * Moves along the line.
+   * Returns a position further to the right in the line.
    *
-   * @param characters how far
-   * @return the place that many characters on
+   * @param characters the number of characters to move by
+   * @return the new position
    */
   public Position plus(int characters) {
     return new Position(line, column + characters);
