--- a/org.larkkeel/src/main/java/org/larkkeel/config/Problem.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Problem.java
@@ -7,14 +7,14 @@
 package org.larkkeel.config;
 
 /**
- * One thing that is wrong in a document or change.
+ * A problem in a document or change.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param severity whether it leads to refusal
+ * @param severity whether the document or change is refused for it
  * @param source the file or other origin; empty if unknown
- * @param position where in the source; {@link Position#NONE} if unknown
- * @param path where in the document
+ * @param position the position in the source; {@link Position#NONE} if unknown
+ * @param path the path of the value in the document
  * @param value the offending value as text; empty if there is none
  * @param message what is wrong
  * @param remedy what to write instead
@@ -30,9 +30,9 @@
     String remedy) {
 
   /**
-   * Makes an error without a place in a text.
+   * Creates an error without a position.
    *
-   * @param path where in the document
+   * @param path the path of the value in the document
    * @param value the offending value
    * @param message what is wrong
    * @param remedy what to write instead
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Makes a warning without a place in a text.
+   * Creates a warning without a position.
    *
-   * @param path where in the document
+   * @param path the path of the value in the document
    * @param value the offending value
    * @param message what is wrong
    * @param remedy what to write instead
@@ -56,11 +56,11 @@
   }
 
   /**
-   * Adds the place in a text.
+   * Returns a copy with a position.
    *
    * @param newSource the file or other origin
-   * @param newPosition the place
-   * @return a copy with that place
+   * @param newPosition the position in the source
+   * @return the copy
    */
   public Problem at(String newSource, Position newPosition) {
     return new Problem(severity, newSource, newPosition, path, value, message, remedy);
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ProblemCollector.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ProblemCollector.java
@@ -9,7 +9,7 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * Gathers the problems of one source.
+ * Collects the problems of one source.
  *
  * <p>Not safe for use by several threads.
  *
@@ -17,37 +17,38 @@
  */
 public final class ProblemCollector {
   private final String source;
-  private final Severity unknownKeys;
+  private final Severity unknownKeySeverity;
   private final ImmutableList.Builder<Problem> problems = ImmutableList.builder();
 
   /**
    * Creates a collector without problems.
    *
    * @param source the file or other origin
-   * @param unknownKeys how grave an unknown key is
+   * @param unknownKeySeverity the severity of an unknown key
    */
-  public ProblemCollector(String source, Severity unknownKeys) {
+  public ProblemCollector(String source, Severity unknownKeySeverity) {
     this.source = source;
-    this.unknownKeys = unknownKeys;
+    this.unknownKeySeverity = unknownKeySeverity;
   }
 
   String source() {
     return source;
   }
 
-  void unknownKey(Position at, JsonPath path, String remedy) {
-    problems.add(new Problem(unknownKeys, source, at, path, "", "the key is unknown", remedy));
+  void addUnknownKey(Position position, JsonPath path, String remedy) {
+    problems.add(
+        new Problem(unknownKeySeverity, source, position, path, "", "the key is unknown", remedy));
   }
 
-  /** Adds an error with what is wrong and what to do. */
-  public void error(Position at, JsonPath path, String value, String message, String remedy) {
-    problems.add(Problem.error(path, value, message, remedy).at(source, at));
+  /** Adds an error; {@link Problem} describes the parameters. */
+  public void error(Position position, JsonPath path, String value, String message, String remedy) {
+    problems.add(Problem.error(path, value, message, remedy).at(source, position));
   }
 
   /**
-   * What was gathered.
+   * Returns the problems collected so far.
    *
-   * @return the problems, never null
+   * @return the problems in the order of addition, never null
    */
   public Problems build() {
     return new Problems(problems.build());
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Problems.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Problems.java
@@ -23,7 +23,7 @@
   public static final Problems NONE = new Problems(ImmutableList.of());
 
   /**
-   * Tells whether any problem leads to refusal.
+   * Returns whether any problem leads to refusal.
    *
    * @return true if there is an error
    */
@@ -32,20 +32,21 @@
   }
 
   /**
-   * Appends the problems of another check.
+   * Returns these problems followed by those of another check.
    *
    * @param others the other problems
-   * @return both
+   * @return the problems of both
    */
   public Problems plus(Problems others) {
     return new Problems(ImmutableList.<Problem>builder().addAll(all).addAll(others.all).build());
   }
 
   /**
-   * Leaves out what only follows from other problems.
+   * Returns the problems without those at a path that already has a problem, since they may only be
+   * consequences of it.
    *
    * @param others problems of an earlier check
-   * @return the problems whose path none of the others has
+   * @return the problems whose path none of {@code others} has
    */
   public Problems without(Problems others) {
     ImmutableSet<JsonPath> paths =
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Repeatability.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Repeatability.java
@@ -7,15 +7,15 @@
 package org.larkkeel.config;
 
 /**
- * How often a request of a rule may run.
+ * The rule on whether a request may be run more than once.
  *
  * @since 0.1
  */
 public enum Repeatability {
-  /** Follows the method: GET, HEAD, OPTIONS, PUT, DELETE and completions are idempotent. */
+  /** Depends on the HTTP method: GET, HEAD, OPTIONS, PUT, DELETE and completions are idempotent. */
   BY_METHOD,
-  /** May run more than once. */
+  /** A request may be run more than once. */
   IDEMPOTENT,
-  /** Runs at most once. */
+  /** A request is run at most once. */
   NON_IDEMPOTENT
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Role.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Role.java
@@ -7,7 +7,7 @@
 package org.larkkeel.config;
 
 /**
- * What the upstreams of a pool do.
+ * The role of the upstreams of a pool.
  *
  * @since 0.1
  */
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Rule.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Rule.java
@@ -11,20 +11,20 @@
 import org.larkkeel.selector.Selector;
 
 /**
- * Routes matching requests to pools chosen by labels.
+ * Routes matching requests to pools that are selected by their labels.
  *
  * <p>Rules are tried by descending priority, then by name; the first match decides. Immutable and
  * safe for use by several threads.
  *
  * @param name the name, unique among rules
  * @param labels the rule's own labels
- * @param priority higher is tried first
- * @param match which requests it takes
- * @param pools chooses pools by their labels; a pool's role tells what it is used for
- * @param urgency the class of its requests
+ * @param priority the priority; rules of higher priority are tried first
+ * @param match the condition on its requests
+ * @param pools selects pools by their labels; a pool is used according to its role
+ * @param urgency the urgency of its requests
  * @param targets latency targets and deadline
- * @param repeatability how often a request may run
- * @param maxAttempts attempts in all, at least 1; 1 means no retry
+ * @param repeatability whether a request may be run more than once
+ * @param maxAttempts the maximum number of attempts per request, at least 1; 1 means no retry
  * @since 0.1
  */
 public record Rule(
@@ -38,6 +38,6 @@
     Repeatability repeatability,
     int maxAttempts)
     implements ConfigurationObject {
-  /** Attempts of a rule that names none. */
+  /** The maximum number of attempts of a rule that names none. */
   public static final int DEFAULT_MAX_ATTEMPTS = 3;
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Severity.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Severity.java
@@ -7,13 +7,13 @@
 package org.larkkeel.config;
 
 /**
- * How grave a problem is.
+ * The severity of a problem.
  *
  * @since 0.1
  */
 public enum Severity {
   /** The document or change is refused. */
   ERROR,
-  /** The document or change is accepted, and the operator is told. */
+  /** The document or change is accepted, and the warning is shown to the operator. */
   WARNING
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Targets.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Targets.java
@@ -9,13 +9,14 @@
 import java.time.Duration;
 
 /**
- * The times that requests of a rule should meet.
+ * The latency targets and the deadline of a rule's requests.
  *
  * <p>Invariant: all are positive. Immutable and safe for use by several threads.
  *
- * @param firstToken from arrival to the first token, or to the answer of a plain call
- * @param betweenTokens mean time between tokens after the first
- * @param deadline from arrival to the end; work past it is given up
+ * @param firstToken the target time from arrival to the first token, or to the answer of a plain
+ *     call
+ * @param betweenTokens the target mean time between tokens after the first
+ * @param deadline the maximum time from arrival to the end; work that exceeds it is abandoned
  * @since 0.1
  */
 public record Targets(Duration firstToken, Duration betweenTokens, Duration deadline) {
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Urgency.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Urgency.java
@@ -7,13 +7,16 @@
 package org.larkkeel.config;
 
 /**
- * The class of a request.
+ * The urgency of a request.
  *
  * @since 0.1
  */
 public enum Urgency {
-  /** Somebody waits for the first token; refused early when the latency target can't be met. */
+  /**
+   * A user waits for the first token; the request is refused early if its latency target cannot be
+   * met.
+   */
   INTERACTIVE,
-  /** Can wait for its deadline; queued rather than refused. */
+  /** The caller can wait until the deadline; the request is queued rather than refused. */
   PATIENT
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Workspace.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Workspace.java
@@ -16,9 +16,10 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param name the name, unique among workspaces
- * @param labels the labels that rules see
- * @param limits the limits over all nodes
- * @param tokenSha256 SHA-256 of its bearer token in hex; empty if it needs none
+ * @param labels the labels that rules select workspaces by
+ * @param limits the limits, which apply to the sum over all nodes
+ * @param tokenSha256 SHA-256 of its bearer token in hexadecimal digits; empty if callers need no
+ *     token
  * @since 0.1
  */
 public record Workspace(
