--- a/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/EngineStandinTest.java
+++ b/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/EngineStandinTest.java
@@ -27,9 +27,9 @@
 
 /** Tests of {@link EngineStandin}. */
 public class EngineStandinTest {
-  private static final long GIVE_UP_MILLIS = 20_000;
-  private static final int WHILE_CALLS = 20;
-  private static final long INSTANT_LINK = 1_000_000_000_000_000L;
+  private static final long TIMEOUT_MILLIS = 20_000;
+  private static final int CALLS_DURING_STALL = 20;
+  private static final long INSTANT_LINK_BYTES_PER_SECOND = 1_000_000_000_000_000L;
   private static final String MODEL = "pricing";
   private static final String PROMPT = "dossier ".repeat(3_000);
 
@@ -38,23 +38,23 @@
     EngineStandin prefill;
     EngineStandin decode;
 
-    /** Starts the engines: fast, with two slots. */
+    /** Starts fast engines with two slots and undelayed reports. */
     @BeforeMethod
     public void start() {
       EngineSpeeds fast = new EngineSpeeds(1_000_000, 2, 0);
-      EngineReports prompt = new EngineReports(0, 0, 0, 1);
-      EngineMemory memory = EngineMemory.DEFAULTS.withSlots(2).withEvictMillis(60_000);
+      EngineReports undelayed = new EngineReports(0, 0, 0, 1);
+      EngineMemory memory = EngineMemory.DEFAULTS.withSlots(2).withEvictAfterMillis(60_000);
       EngineSettings settings =
           EngineSettings.of("p", EngineRole.PREFILL, MODEL)
               .withSpeeds(fast)
-              .withReports(prompt)
+              .withReports(undelayed)
               .withMemory(memory);
       prefill = EngineStandin.start(settings);
       decode =
           EngineStandin.start(
               EngineSettings.of("d", EngineRole.DECODE, MODEL)
                   .withSpeeds(fast)
-                  .withReports(prompt)
+                  .withReports(undelayed)
                   .withMemory(memory)
                   .withLoadMillis(0));
     }
@@ -86,8 +86,8 @@
       return http(decode).call("POST", "/v1/kv/imports", message.toString());
     }
 
-    /** Prefills and imports under one id. */
-    void place(String id) throws Exception {
+    /** Prefills the prompt and imports its KV cache under one id. */
+    void prefillAndImport(String id) throws Exception {
       JsonNode params = prefill(id, PROMPT).body().get("kv_transfer_params");
       assertEquals(importKv(id, params).status(), 200);
     }
@@ -109,36 +109,40 @@
       return http(engine).call("DELETE", path, "").body().get("state").asText();
     }
 
-    static String completion(String prompt, int maxTokens, int from, String kv) {
+    static String completion(String prompt, int maxTokens, int from, String kvFlag) {
       ObjectNode message = Http.MAPPER.createObjectNode();
       message.put("model", MODEL).put("prompt", prompt).put("max_tokens", maxTokens);
       message.put("stream", true).put("resume_from", from);
-      message.putObject("kv_transfer_params").put(kv, true);
+      message.putObject("kv_transfer_params").put(kvFlag, true);
       return message.toString();
     }
 
-    static String textOf(String line) throws Exception {
+    static String parseText(String line) throws Exception {
       JsonNode chunk = Http.MAPPER.readTree(line.substring("data: ".length()));
       return chunk.at("/choices/0/text").asText();
     }
 
-    static String rest(Iterator<String> lines) throws Exception {
+    static String readRemainingText(Iterator<String> lines) throws Exception {
       StringBuilder text = new StringBuilder();
       for (String line = lines.next(); !line.equals("data: [DONE]"); line = lines.next()) {
-        text.append(textOf(line));
+        text.append(parseText(line));
       }
       return text.toString();
     }
   }
 
-  /** The path of a request. */
-  public static class Path extends WithEngines {
-    /** The answer is that of the oracle, and prefill, import and decode are each in a ledger. */
+  /** The life cycle of a request: prefill, import, decode. */
+  public static class RequestPath extends WithEngines {
+    /**
+     * The answer must be that of the oracle, and the ledgers must record prefill, import and
+     * decode.
+     */
     @Test
-    public void wholeAnswer() throws Exception {
-      place("h/1/1");
+    public void completeAnswer() throws Exception {
+      prefillAndImport("h/1/1");
       assertEquals(decode.ledger().snapshot().slots().asList(), List.of("h/1/1"));
-      assertEquals(rest(stream("h/1/1", 30, 0)), AnswerOracle.whole(MODEL, PROMPT, 30));
+      assertEquals(
+          readRemainingText(stream("h/1/1", 30, 0)), AnswerOracle.whole(MODEL, PROMPT, 30));
       assertEquals(
           prefill.ledger().snapshot().prefills().getFirst().fate(), EngineLedger.Fate.IMPORTED);
       assertEquals(
@@ -146,41 +150,47 @@
       assertEquals(decode.ledger().snapshot().slots().size(), 0);
     }
 
-    /** A stream broken by a kill goes on with the same text after another prefill. */
+    /**
+     * A restart breaks the stream. After another prefill, a decode that resumes at the next token
+     * must complete the same text.
+     */
     @Test
     public void resumesAfterKill() throws Exception {
-      place("h/1/1");
+      prefillAndImport("h/1/1");
       Iterator<String> broken = stream("h/1/1", 40, 0);
       StringBuilder text = new StringBuilder();
       for (int i = 0; i < 5; i++) {
-        text.append(textOf(broken.next()));
+        text.append(parseText(broken.next()));
       }
       long before = decode.incarnation();
       decode.restart();
       assertNotEquals(decode.incarnation(), before);
       assertBreaks(broken);
       assertEquals(decode.ledger().snapshot().imports().getFirst().fate(), EngineLedger.Fate.LOST);
-      place("h/1/2");
-      text.append(rest(stream("h/1/2", 40, 5)));
+      prefillAndImport("h/1/2");
+      text.append(readRemainingText(stream("h/1/2", 40, 5)));
       assertEquals(text.toString(), AnswerOracle.whole(MODEL, PROMPT, 40));
     }
 
-    /** A repeated id is the same request: one prefill, one decode. */
+    /**
+     * Calls that repeat an id must get the answer of the first call, without a second prefill or
+     * decode.
+     */
     @Test
-    public void repeatedId() throws Exception {
+    public void repeatedIdRunsOnce() throws Exception {
       JsonNode params = prefill("h/1/1", PROMPT).body().get("kv_transfer_params");
       assertEquals(prefill("h/1/1", PROMPT).body().get("kv_transfer_params"), params);
       importKv("h/1/1", params);
       assertEquals(importKv("h/1/1", params).status(), 200);
-      String first = rest(stream("h/1/1", 20, 0));
-      assertEquals(rest(stream("h/1/1", 20, 0)), first);
+      String first = readRemainingText(stream("h/1/1", 20, 0));
+      assertEquals(readRemainingText(stream("h/1/1", 20, 0)), first);
       assertEquals(prefill.ledger().snapshot().prefills().size(), 1);
       assertEquals(decode.ledger().snapshot().decodes().get("h/1/1"), Integer.valueOf(1));
     }
 
-    /** A cached prefix is reported and makes the prefill smaller. */
+    /** The usage must report cached prefix tokens, and the cache events their keys. */
     @Test
-    public void prefixCache() throws Exception {
+    public void prefixCacheIsReported() throws Exception {
       prefill("h/1/1", PROMPT);
       JsonNode usage = prefill("h/1/2", PROMPT + "more").body().get("usage");
       assertEquals(usage.at("/prompt_tokens_details/cached_tokens").asInt(), 6_000);
@@ -189,7 +199,8 @@
     }
 
     private static void assertBreaks(Iterator<String> lines) {
-      expectThrows(UncheckedIOException.class, () -> lines.forEachRemaining(Path::assertNotDone));
+      expectThrows(
+          UncheckedIOException.class, () -> lines.forEachRemaining(RequestPath::assertNotDone));
     }
 
     private static void assertNotDone(String line) {
@@ -197,11 +208,13 @@
     }
   }
 
-  /** Starting again under the name and address that it had. */
+  /** Restarts under the same name and address. */
   public static class Restart extends WithEngines {
-    /** A KV cache that was held is gone, and whoever wants it is told so. */
+    /**
+     * A restart loses the held KV caches: an import from the old incarnation is refused with 410.
+     */
     @Test
-    public void holdsNothingOfBefore() throws Exception {
+    public void losesHeldCaches() throws Exception {
       JsonNode params = prefill("h/1/1", PROMPT).body().get("kv_transfer_params");
       prefill.restart();
       assertEquals(importKv("h/1/1", params).status(), 410);
@@ -210,10 +223,10 @@
       assertEquals(held.get("requests").size(), 0);
     }
 
-    /** A KV cache that was imported is gone as well, and its slot is free. */
+    /** A restart loses the imported KV caches and releases their slots. */
     @Test
-    public void knowsNoImportOfBefore() throws Exception {
-      place("h/1/1");
+    public void losesImports() throws Exception {
+      prefillAndImport("h/1/1");
       decode.restart();
       Http.Answer answer =
           http(decode)
@@ -227,9 +240,9 @@
       assertEquals(decode.ledger().snapshot().slots().size(), 0);
     }
 
-    /** Cache events count from the first again, under a greater incarnation. */
+    /** After a restart, cache event numbers start again, under a greater incarnation number. */
     @Test
-    public void countsCacheEventsAnew() throws Exception {
+    public void restartsCacheEventNumbers() throws Exception {
       prefill("h/1/1", PROMPT);
       JsonNode before = http(prefill).call("GET", "/v1/cache/events?after=0", "").body();
       prefill.restart();
@@ -240,7 +253,7 @@
       assertTrue(after.get("incarnation").asLong() > before.get("incarnation").asLong());
     }
 
-    /** Fencing numbers and roles that were ordered are forgotten. */
+    /** A restart forgets fencing numbers and ordered roles. */
     @Test
     public void forgetsOrders() throws Exception {
       String order = "{\"fencing\":%d,\"order\":{\"type\":\"set_role\",\"role\":\"prefill\"}}";
@@ -252,17 +265,17 @@
       assertEquals(http(decode).call("POST", "/v1/orders", order.formatted(4)).status(), 200);
     }
 
-    /** The control plays it too, at the same address. */
+    /** A kill through the control endpoint with a restart delay restarts at the same address. */
     @Test
-    public void byControl() throws Exception {
+    public void restartByControl() throws Exception {
       long before = decode.incarnation();
       try {
         http(decode).call("POST", "/control/kill?restart_after_millis=0", "");
       } catch (IOException e) {
-        // The kill may end the connection of the control before its answer is out.
+        // The kill may close the connection of this call before the answer is sent.
       }
-      long giveUp = System.nanoTime() + GIVE_UP_MILLIS * 1_000_000;
-      while (decode.incarnation() == before && System.nanoTime() < giveUp) {
+      long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
+      while (decode.incarnation() == before && System.nanoTime() < deadline) {
         Thread.sleep(5);
       }
       JsonNode load = http(decode).call("GET", "/v1/load", "").body();
@@ -270,9 +283,12 @@
     }
   }
 
-  /** Moving a KV cache on from a decode engine. */
+  /** Moves of a KV cache from one decode engine to another. */
   public static class Move extends WithEngines {
-    /** A third engine takes over a running decode; the slot here is freed and the text goes on. */
+    /**
+     * Another engine imports the KV cache of a running decode: the source releases its slot, and
+     * the stream resumes at the destination with the same text.
+     */
     @Test
     public void movesRunningDecode() throws Exception {
       EngineSettings fast = decode.settings();
@@ -281,13 +297,15 @@
       JsonNode first = prefill("h/1/1", PROMPT).body().get("kv_transfer_params");
       JsonNode onward = importKv("h/1/1", first).body().get("kv_transfer_params");
       Iterator<String> broken = stream("h/1/1", 400, 0);
-      String text = textOf(broken.next()) + textOf(broken.next());
+      String text = parseText(broken.next()) + parseText(broken.next());
       EngineStandin source = decode;
       try {
         decode = EngineStandin.start(fast);
         assertEquals(importKv("h/1/2", onward).status(), 200);
         assertEquals(source.ledger().snapshot().slots().size(), 0);
-        assertEquals(text + rest(stream("h/1/2", 400, 2)), AnswerOracle.whole(MODEL, PROMPT, 400));
+        assertEquals(
+            text + readRemainingText(stream("h/1/2", 400, 2)),
+            AnswerOracle.whole(MODEL, PROMPT, 400));
         assertEquals(
             source.ledger().snapshot().imports().getFirst().fate(), EngineLedger.Fate.IMPORTED);
       } finally {
@@ -296,13 +314,13 @@
     }
   }
 
-  /** Slots, eviction and cancel. */
+  /** Slots, eviction and cancellation. */
   public static class Capacity extends WithEngines {
-    /** A third import is refused, until a cancel frees a slot. */
+    /** With both slots held, an import is refused until a cancellation releases a slot. */
     @Test
-    public void slotsAndCancel() throws Exception {
-      place("h/1/1");
-      place("h/1/2");
+    public void cancelFreesSlot() throws Exception {
+      prefillAndImport("h/1/1");
+      prefillAndImport("h/1/2");
       JsonNode params = prefill("h/1/3", PROMPT).body().get("kv_transfer_params");
       Http.Answer refused = importKv("h/1/3", params);
       assertEquals(refused.status(), 503);
@@ -314,9 +332,9 @@
       assertEquals(decode.ledger().snapshot().slots().asList(), List.of("h/1/2", "h/1/3"));
     }
 
-    /** What is evicted can not be imported, and counts as wasted. */
+    /** An evicted KV cache cannot be imported, and its prefill counts as wasted. */
     @Test
-    public void eviction() throws Exception {
+    public void evictedCacheIsNotImportable() throws Exception {
       JsonNode params = prefill("h/1/1", PROMPT).body().get("kv_transfer_params");
       prefill.evictAll();
       assertEquals(importKv("h/1/1", params).status(), 410);
@@ -324,13 +342,13 @@
       assertEquals(prefill.ledger().snapshot().wastedPrefillTokens(), 6_000);
     }
 
-    /** What nobody imports is evicted when its time is over. */
-    @Test(timeOut = GIVE_UP_MILLIS)
-    public void evictionByTime() throws Exception {
-      EngineSettings brief =
-          prefill.settings().withMemory(EngineMemory.DEFAULTS.withEvictMillis(1));
+    /** A KV cache that is not imported in time is evicted. */
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void unimportedCacheIsEvicted() throws Exception {
+      EngineSettings quickEviction =
+          prefill.settings().withMemory(EngineMemory.DEFAULTS.withEvictAfterMillis(1));
       prefill.close();
-      prefill = EngineStandin.start(brief);
+      prefill = EngineStandin.start(quickEviction);
       prefill("h/1/1", PROMPT);
       while (prefill.ledger().snapshot().wastedPrefillTokens() == 0) {
         Thread.onSpinWait();
@@ -340,23 +358,25 @@
     }
 
     /**
-     * A stalled import holds its slot until it is cancelled; the source still holds the KV cache.
+     * A stalled import holds its slot until it is cancelled. The source still holds the KV cache,
+     * so a second import succeeds.
      */
-    @Test(timeOut = GIVE_UP_MILLIS)
-    public void stalledImport() throws Exception {
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void stalledImportHoldsSlot() throws Exception {
       EngineSettings settings = decode.settings();
       decode.close();
       decode =
           EngineStandin.start(
-              settings.withMemory(settings.memory().withLinkBytesPerSecond(INSTANT_LINK)));
+              settings.withMemory(
+                  settings.memory().withLinkBytesPerSecond(INSTANT_LINK_BYTES_PER_SECOND)));
       decode.stallTransfers(true);
       JsonNode params = prefill("h/1/1", PROMPT).body().get("kv_transfer_params");
       final Thread importing =
-          Thread.startVirtualThread(() -> quietly(() -> importKv("h/1/1", params)));
+          Thread.startVirtualThread(() -> runUnchecked(() -> importKv("h/1/1", params)));
       while (decode.ledger().snapshot().slots().isEmpty()) {
         Thread.onSpinWait();
       }
-      for (int i = 0; i < WHILE_CALLS; i++) {
+      for (int i = 0; i < CALLS_DURING_STALL; i++) {
         http(decode).call("GET", "/v1/load", "");
       }
       JsonNode held = http(decode).call("GET", "/v1/requests", "").body().at("/requests/0");
@@ -368,10 +388,13 @@
       assertEquals(importKv("h/1/2", params).status(), 200);
     }
 
-    /** A decode goes on when its connection breaks, until it is cancelled. */
-    @Test(timeOut = GIVE_UP_MILLIS)
-    public void orphan() throws Exception {
-      place("h/1/1");
+    /**
+     * A decode whose caller stops reading continues to its end, also on a draining engine, and then
+     * releases its slot. A draining engine refuses new imports.
+     */
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void decodeContinuesWithoutReader() throws Exception {
+      prefillAndImport("h/1/1");
       stream("h/1/1", 20, 0).next();
       decode.drain(true);
       assertEquals(prefill("h/1/2", PROMPT).status(), 200);
@@ -387,11 +410,11 @@
       return prefill(id, PROMPT).body().get("kv_transfer_params");
     }
 
-    private interface Risky {
+    private interface ThrowingRunnable {
       void run() throws Exception;
     }
 
-    private static void quietly(Risky call) {
+    private static void runUnchecked(ThrowingRunnable call) {
       try {
         call.run();
       } catch (Exception e) {
@@ -400,11 +423,11 @@
     }
   }
 
-  /** The queue of prefills. */
+  /** The prefill queue. */
   public static class Queue extends WithEngines {
-    /** A lower priority number goes first, however late it came. */
-    @Test(timeOut = GIVE_UP_MILLIS)
-    public void priority() throws Exception {
+    /** A queued prefill with a lower priority number starts first, also if it arrived later. */
+    @Test(timeOut = TIMEOUT_MILLIS)
+    public void lowerPriorityNumberFirst() throws Exception {
       EngineSettings slow = prefill.settings().withSpeeds(new EngineSpeeds(1, 1, 1));
       prefill.close();
       prefill = EngineStandin.start(slow);
@@ -419,14 +442,16 @@
       }
     }
 
-    private void submit(ExecutorService threads, String id, int priority, int known)
+    private void submit(ExecutorService threads, String id, int priority, int expectedRequests)
         throws Exception {
       String body = completion(PROMPT, 1, 0, "do_remote_decode");
-      String urgent = body.replace("{\"model\"", "{\"priority\":" + priority + ",\"model\"");
+      String withPriority = body.replace("{\"model\"", "{\"priority\":" + priority + ",\"model\"");
       var unused =
           threads.submit(
-              () -> http(prefill).call("POST", "/v1/completions", urgent, "X-Request-Id", id));
-      while (http(prefill).call("GET", "/v1/requests", "").body().get("requests").size() < known) {
+              () ->
+                  http(prefill).call("POST", "/v1/completions", withPriority, "X-Request-Id", id));
+      while (http(prefill).call("GET", "/v1/requests", "").body().get("requests").size()
+          < expectedRequests) {
         Thread.onSpinWait();
       }
       awaitStarted(1);
@@ -439,11 +464,11 @@
     }
   }
 
-  /** Orders. */
+  /** Orders to an engine. */
   public static class Orders extends WithEngines {
-    /** One habit refuses an old number, the other carries the order out. */
+    /** CHECK refuses an order with an old fencing number, IGNORE executes it. */
     @Test
-    public void fencingHabits() throws Exception {
+    public void staleOrdersByFencingMode() throws Exception {
       assertEquals(order(decode, 5, "prefill").status(), 200);
       Http.Answer stale = order(decode, 4, "decode");
       assertEquals(stale.status(), 409);
@@ -452,18 +477,18 @@
       decode = EngineStandin.start(decode.settings().withFencing(FencingHabit.IGNORE));
       assertEquals(order(decode, 5, "prefill").status(), 200);
       assertEquals(order(decode, 4, "decode").status(), 200);
-      JsonNode force = http(decode).call("GET", "/v1/orders", "").body();
-      assertEquals(force.get("role").asText(), "decode");
-      assertEquals(force.get("fencing").asInt(), 4);
+      JsonNode inForce = http(decode).call("GET", "/v1/orders", "").body();
+      assertEquals(inForce.get("role").asText(), "decode");
+      assertEquals(inForce.get("fencing").asInt(), 4);
     }
 
-    /** A model that was ordered is served, another is not. */
+    /** A loaded model is reported with its version; an order without fields is refused. */
     @Test
     public void loadsModel() throws Exception {
       String load =
           "{\"fencing\":1,\"order\":{\"type\":\"load_model\",\"model\":\"m\",\"version\":\"2\"}}";
-      JsonNode force = http(decode).call("POST", "/v1/orders", load).body();
-      assertEquals(force.get("models").toString(), "[\"m@2\",\"pricing\"]");
+      JsonNode inForce = http(decode).call("POST", "/v1/orders", load).body();
+      assertEquals(inForce.get("models").toString(), "[\"m@2\",\"pricing\"]");
       assertEquals(http(decode).call("POST", "/v1/orders", "{}").status(), 400);
     }
 
--- a/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/Http.java
+++ b/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/Http.java
@@ -17,7 +17,7 @@
 import java.time.Duration;
 import java.util.stream.Stream;
 
-/** A blocking client of one stand-in. */
+/** A blocking HTTP client of one stand-in. */
 final class Http {
   static final ObjectMapper MAPPER = new ObjectMapper();
   private static final HttpClient CLIENT =
@@ -45,7 +45,7 @@
         .body();
   }
 
-  boolean isCut(String method, String path, String body) throws Exception {
+  boolean isConnectionClosed(String method, String path, String body) throws Exception {
     try {
       call(method, path, body);
       return false;
--- a/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/PlatformStandinTest.java
+++ b/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/PlatformStandinTest.java
@@ -26,7 +26,7 @@
 
 /** Tests of {@link PlatformStandin}. */
 public class PlatformStandinTest {
-  private static final String LOG = "/apis/larkkeel.org/v1/configlog";
+  private static final String CONFIG_LOG = "/apis/larkkeel.org/v1/configlog";
 
   /** Starts a platform for each test. */
   public abstract static class WithPlatform {
@@ -54,15 +54,17 @@
     }
 
     Http.Answer create(String name) throws Exception {
-      return http.call("POST", LOG, object(name, "", 0));
+      return http.call("POST", CONFIG_LOG, object(name, "", 0));
     }
   }
 
   /** Conditional writes. */
   public static class Writes extends WithPlatform {
-    /** Of many that create the same object, one wins. */
+    /**
+     * Of concurrent creations of the same object, exactly one must succeed; the others conflict.
+     */
     @Test
-    public void createIsWonByOne() throws Exception {
+    public void concurrentCreatesSucceedOnce() throws Exception {
       try (ExecutorService threads = Executors.newVirtualThreadPerTaskExecutor()) {
         Callable<Integer> create = () -> create("1").status();
         List<Future<Integer>> all =
@@ -73,65 +75,68 @@
       }
     }
 
-    /** An update needs the version that it replaces. */
+    /** An update or deletion with an old resource version must conflict and change nothing. */
     @Test
     public void staleUpdateConflicts() throws Exception {
       String version = create("1").body().at("/metadata/resourceVersion").asText();
-      assertEquals(http.call("PUT", LOG + "/1", object("1", version, 1)).status(), 200);
-      Http.Answer stale = http.call("PUT", LOG + "/1", object("1", version, 2));
+      assertEquals(http.call("PUT", CONFIG_LOG + "/1", object("1", version, 1)).status(), 200);
+      Http.Answer stale = http.call("PUT", CONFIG_LOG + "/1", object("1", version, 2));
       assertEquals(stale.status(), 409);
       assertEquals(stale.body().get("reason").asText(), "Conflict");
-      assertEquals(http.call("GET", LOG + "/1", "").body().at("/spec/value").asInt(), 1);
-      assertEquals(http.call("DELETE", LOG + "/1?resourceVersion=" + version, "").status(), 409);
+      assertEquals(http.call("GET", CONFIG_LOG + "/1", "").body().at("/spec/value").asInt(), 1);
+      assertEquals(
+          http.call("DELETE", CONFIG_LOG + "/1?resourceVersion=" + version, "").status(), 409);
     }
 
-    /** A lost answer leaves the effect, a lost write leaves none. */
+    /** A write whose answer is lost has taken effect; a write that is lost has not. */
     @Test
-    public void lostAnswerAfterEffect() throws Exception {
+    public void lostAnswersAndLostWrites() throws Exception {
       platform.loseAnswers(1);
-      assertTrue(http.isCut("POST", LOG, object("1", "", 0)));
-      assertEquals(http.call("GET", LOG + "/1", "").status(), 200);
+      assertTrue(http.isConnectionClosed("POST", CONFIG_LOG, object("1", "", 0)));
+      assertEquals(http.call("GET", CONFIG_LOG + "/1", "").status(), 200);
       platform.loseWrites(1);
-      assertTrue(http.isCut("POST", LOG, object("2", "", 0)));
-      assertEquals(http.call("GET", LOG + "/2", "").status(), 404);
+      assertTrue(http.isConnectionClosed("POST", CONFIG_LOG, object("2", "", 0)));
+      assertEquals(http.call("GET", CONFIG_LOG + "/2", "").status(), 404);
       assertEquals(create("2").status(), 201);
     }
 
-    /** A body above a megabyte is refused. */
+    /** A body larger than one megabyte is refused. */
     @Test
-    public void tooLarge() throws Exception {
-      Http.Answer answer = http.call("POST", LOG, " ".repeat((1 << 20) + 1));
+    public void oversizedBodyIsRefused() throws Exception {
+      Http.Answer answer = http.call("POST", CONFIG_LOG, " ".repeat((1 << 20) + 1));
       assertEquals(answer.body().get("reason").asText(), "TooLarge");
     }
   }
 
   /** Lists and watches. */
   public static class Reads extends WithPlatform {
-    /** Pages follow the order of names within the prefix. */
+    /** Pages of a prefix are ordered by name and continue where the previous page ended. */
     @Test
-    public void pages() throws Exception {
+    public void pagesFollowNameOrder() throws Exception {
       for (String name : List.of("b2", "a1", "b1", "b3", "c1")) {
         create(name);
       }
-      JsonNode first = http.call("GET", LOG + "?prefix=b&limit=2", "").body();
+      JsonNode first = http.call("GET", CONFIG_LOG + "?prefix=b&limit=2", "").body();
       assertEquals(first.at("/items/0/metadata/name").asText(), "b1");
       String next = first.at("/metadata/continue").asText();
-      JsonNode second = http.call("GET", LOG + "?prefix=b&limit=2&continue=" + next, "").body();
+      JsonNode second =
+          http.call("GET", CONFIG_LOG + "?prefix=b&limit=2&continue=" + next, "").body();
       assertEquals(second.get("items").size(), 1);
       assertEquals(second.at("/items/0/metadata/name").asText(), "b3");
       assertEquals(second.at("/metadata/continue").asText(), "");
     }
 
-    /** A watch shows what comes after its version, in order, and ends with a bookmark. */
+    /** A watch sends the changes of its collection after its version in order, then a bookmark. */
     @Test
     public void watch() throws Exception {
       String version = create("1").body().at("/metadata/resourceVersion").asText();
       final Iterator<String> lines =
-          http.lines("GET", LOG + "?watch=true&timeoutSeconds=2&resourceVersion=" + version, "")
+          http.lines(
+                  "GET", CONFIG_LOG + "?watch=true&timeoutSeconds=2&resourceVersion=" + version, "")
               .iterator();
       http.call("POST", "/apis/larkkeel.org/v1/leases", object("other", "", 0));
       create("2");
-      http.call("DELETE", LOG + "/1", "");
+      http.call("DELETE", CONFIG_LOG + "/1", "");
       assertEvent(lines.next(), "ADDED", "2");
       assertEvent(lines.next(), "DELETED", "1");
       assertEvent(lines.next(), "BOOKMARK", "");
@@ -139,18 +144,19 @@
       assertEquals(platform.calls().get(PlatformVerb.WATCH), Long.valueOf(1));
     }
 
-    /** A watch from a forgotten version is refused. */
+    /** A watch from a version that is no longer in the history is refused with 410. */
     @Test
-    public void expired() throws Exception {
+    public void watchFromDroppedVersionIsRefused() throws Exception {
       for (int i = 0; i < 30; i++) {
         create("entry-" + i);
       }
-      assertEquals(http.call("GET", LOG + "?watch=true&resourceVersion=1", "").status(), 410);
+      assertEquals(
+          http.call("GET", CONFIG_LOG + "?watch=true&resourceVersion=1", "").status(), 410);
     }
 
-    /** Hosts are shown, and only the platform writes them. */
+    /** Hosts are listed with their phase and cannot be written by callers. */
     @Test
-    public void hosts() throws Exception {
+    public void hostsAreReadOnly() throws Exception {
       platform.putHost("host-1", "127.0.0.1:9000", "manizales", HostPhase.LEAVING);
       JsonNode host = http.call("GET", "/apis/larkkeel.org/v1/hosts/host-1", "").body();
       assertEquals(host.at("/spec/phase").asText(), "leaving");
@@ -166,10 +172,11 @@
 
   /** Outages and limits. */
   public static class Faults extends WithPlatform {
-    /** An outage, switched by the control endpoint, refuses calls and cuts watches. */
+    /** An outage started through the control endpoint refuses calls and closes watches. */
     @Test
     public void outage() throws Exception {
-      final var lines = http.lines("GET", LOG + "?watch=true&timeoutSeconds=15", "").iterator();
+      final var lines =
+          http.lines("GET", CONFIG_LOG + "?watch=true&timeoutSeconds=15", "").iterator();
       http.call("POST", "/control/outage?on=1", "");
       assertEquals(create("1").status(), 503);
       expectThrows(UncheckedIOException.class, lines::next);
@@ -178,9 +185,9 @@
       assertEquals(http.call("GET", "/control/calls", "").body().get("CREATE").asInt(), 2);
     }
 
-    /** Above the rate, calls are refused with Retry-After. */
+    /** Calls above the rate limit are refused with 429 and {@code Retry-After}. */
     @Test
-    public void rate() throws Exception {
+    public void rateLimitSetsRetryAfter() throws Exception {
       platform.limit(0.01);
       assertEquals(create("1").status(), 201);
       Http.Answer refused = create("2");
@@ -188,9 +195,9 @@
       assertTrue(refused.response().headers().firstValue("Retry-After").isPresent());
     }
 
-    /** Pulls of weights are limited. */
+    /** Weight pulls above the concurrency limit are refused with 429. */
     @Test
-    public void weights() throws Exception {
+    public void concurrentPullsAreLimited() throws Exception {
       for (int status : new int[] {202, 202, 429}) {
         assertEquals(
             http.call("POST", "/weights/v1/m/1/pulls", "{\"upstream\":\"u\"}").status(), status);
--- a/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/ServiceStandinTest.java
+++ b/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/ServiceStandinTest.java
@@ -14,9 +14,9 @@
 /** Tests of {@link ServiceStandin}. */
 public class ServiceStandinTest {
 
-  /** Calls that may not be repeated. */
+  /** Calls that must not be executed twice, and lookups. */
   public static class Changes {
-    /** Executions are counted, also those whose answer was lost, and not those refused. */
+    /** The ledger counts executions whose answer was lost, but not refused calls. */
     @Test
     public void countsExecutions() throws Exception {
       try (ServiceStandin service = ServiceStandin.start(ServiceSettings.DEFAULTS)) {
@@ -27,7 +27,7 @@
         assertEquals(refused.status(), 503);
         assertEquals(refused.response().headers().firstValue("X-Not-Run").orElse(""), "true");
         service.cutAfterRun(1);
-        assertTrue(http.isCut("POST", "/permits", body));
+        assertTrue(http.isConnectionClosed("POST", "/permits", body));
         Http.Answer second = http.call("POST", "/permits", body, "Idempotency-Key", "k");
         assertEquals(second.body().toString(), ServiceOracle.change("/permits", "r1", 2));
         assertEquals(service.ledger().snapshot().byReference().get("r1"), Integer.valueOf(2));
@@ -36,7 +36,7 @@
       }
     }
 
-    /** Lookups have the body that the oracle tells. */
+    /** The answer to a lookup must be that of the oracle. */
     @Test
     public void lookup() throws Exception {
       try (ServiceStandin service = ServiceStandin.start(ServiceSettings.DEFAULTS)) {
--- a/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/internal/ReportLogTest.java
+++ b/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/internal/ReportLogTest.java
@@ -26,32 +26,35 @@
 
   /** Load reports. */
   public static class Loads {
-    /** The load shown is the newest that is old enough, with its age. */
+    /** The reported load is the newest whose delay has passed, with its age. */
     @Test
-    public void lag() {
+    public void reportsNewestLoadOlderThanLag() {
       ReportLog reports = new ReportLog(LATE);
       for (int i = 0; i < 10; i++) {
         reports.sample(new Load(1, 0, "decode", 20, i, 0, 1, 1, List.of()), millis(i * 100L));
       }
-      Load shown = reports.load(millis(930));
-      assertEquals(shown.running(), 4);
-      assertEquals(shown.ageMillis(), 530);
+      Load reported = reports.load(millis(930));
+      assertEquals(reported.running(), 4);
+      assertEquals(reported.ageMillis(), 530);
     }
   }
 
   /** Cache events. */
   public static class Events {
-    /** Events appear late, in order and with gaps; the same seed loses the same ones. */
+    /**
+     * Events are reported after their delay, in order, and some are lost. The same seed loses the
+     * same events.
+     */
     @Test
-    public void lateWithGaps() {
-      assertEquals(seqs(1_050), List.of());
-      List<Long> all = seqs(10_000);
-      assertTrue(all.size() < 100 && all.size() > 40, "shown: " + all.size());
-      assertEquals(all, all.stream().sorted().distinct().toList());
-      assertEquals(seqs(10_000), all);
+    public void eventsAreLateAndLossy() {
+      assertEquals(visibleNumbers(1_050), List.of());
+      List<Long> numbers = visibleNumbers(10_000);
+      assertTrue(numbers.size() < 100 && numbers.size() > 40, "reported: " + numbers.size());
+      assertEquals(numbers, numbers.stream().sorted().distinct().toList());
+      assertEquals(visibleNumbers(10_000), numbers);
     }
 
-    private static List<Long> seqs(long atMillis) {
+    private static List<Long> visibleNumbers(long atMillis) {
       ReportLog reports = new ReportLog(LATE);
       for (int i = 0; i < 100; i++) {
         reports.add(new PrefixCache.Change(List.of("key-" + i), List.of()), millis(100));
--- a/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/internal/package-info.java
+++ b/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the workings of the stand-ins. */
+/** Tests of the implementation of the stand-ins. */
 package org.larkkeel.standin.internal;
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/AnswerOracle.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/AnswerOracle.java
@@ -11,7 +11,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The answers that engines produce, as a pure function of model and prompt.
+ * The expected answers of the stand-in engines, as a pure function of model and prompt.
+ *
+ * <p>Engines produce these answers; tests compare what a caller received with them.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -19,11 +21,11 @@
  */
 public final class AnswerOracle {
   private static final int BYTES_PER_TOKEN = 4;
-  private static final int SHORTEST = 48;
-  private static final int SPREAD = 400;
-  private static final long STEP = 0x9E3779B97F4A7C15L;
+  private static final int MIN_LENGTH_TOKENS = 48;
+  private static final int LENGTH_RANGE_TOKENS = 400;
+  private static final long TOKEN_SEED_STEP = 0x9E3779B97F4A7C15L;
 
-  /** Words with several bytes a character and with characters that JSON escapes. */
+  /** Contains multi-byte and JSON-escaped characters. The number of words is a power of two. */
   private static final String[] WORDS = {
     "precio", "tejido", "niño", "barro", "\"cita\"", "línea\n", "feria", "caña",
     "ülevaade", "tellingud", "koormus", "šahht", "a\\b", "õue", "plaan", "10 €"
@@ -32,55 +34,55 @@
   private AnswerOracle() {}
 
   /**
-   * One answer, with the hash of its prompt worked out once.
+   * One answer, with the hash of model and prompt computed once.
    *
    * <p>Immutable and safe for use by several threads.
    *
    * @param seed the hash of model and prompt
-   * @param length the number of tokens after which the answer ends by itself
+   * @param length the number of tokens of the answer without a limit
    * @since 0.1
    */
   public record Answer(long seed, int length) {
 
     /**
-     * The text of one token.
+     * Returns the text of one token.
      *
      * @param index the position, from 0
      * @return the text, never empty
      */
     public String text(int index) {
-      long hash = mix(seed + (index + 1) * STEP);
+      long hash = mix(seed + (index + 1) * TOKEN_SEED_STEP);
       String word = WORDS[(int) (hash & (WORDS.length - 1))];
       return " " + word + Long.toString((hash >>> 8) & 0xFFF, Character.MAX_RADIX);
     }
 
     /**
-     * The number of tokens that are produced under a limit.
+     * Returns the number of tokens that are produced under a limit.
      *
-     * @param maxTokens the limit
-     * @return the number of tokens
+     * @param maxTokens the limit in tokens
+     * @return the lesser of the limit and the answer's own length
      */
     public int tokens(int maxTokens) {
       return Math.min(maxTokens, length);
     }
 
     /**
-     * The whole text under a limit.
+     * Returns the complete text under a limit.
      *
      * @param maxTokens the limit in tokens
      * @return the texts of all tokens, joined
      */
-    public String whole(int maxTokens) {
-      StringBuilder all = new StringBuilder();
+    public String completeText(int maxTokens) {
+      StringBuilder joined = new StringBuilder();
       for (int i = 0; i < tokens(maxTokens); i++) {
-        all.append(text(i));
+        joined.append(text(i));
       }
-      return all.toString();
+      return joined.toString();
     }
   }
 
   /**
-   * The answer to a prompt.
+   * Returns the answer to a prompt.
    *
    * @param model the model's name
    * @param prompt the prompt
@@ -98,7 +100,7 @@
   }
 
   /**
-   * The text of one token.
+   * Returns the text of one token.
    *
    * @param model the model's name
    * @param prompt the prompt
@@ -110,7 +112,7 @@
   }
 
   /**
-   * The whole answer.
+   * Returns the complete text of an answer.
    *
    * @param model the model's name
    * @param prompt the prompt
@@ -118,11 +120,11 @@
    * @return the texts of all tokens, joined
    */
   public static String whole(String model, String prompt, int maxTokens) {
-    return answer(model, prompt).whole(maxTokens);
+    return answer(model, prompt).completeText(maxTokens);
   }
 
   /**
-   * The number of tokens in an answer.
+   * Returns the number of tokens in an answer.
    *
    * @param prompt the prompt
    * @param maxTokens the limit in tokens
@@ -133,7 +135,7 @@
   }
 
   /**
-   * The number of tokens in a prompt: one for four bytes, rounded up.
+   * Returns the number of tokens in a prompt: one per four bytes of UTF-8, rounded up.
    *
    * @param prompt the prompt
    * @return the number of tokens
@@ -145,7 +147,7 @@
 
   private static int naturalLength(String prompt) {
     long hash = Hashing.murmur3_128().hashString(prompt, StandardCharsets.UTF_8).asLong();
-    return SHORTEST + (int) Long.remainderUnsigned(hash, SPREAD);
+    return MIN_LENGTH_TOKENS + (int) Long.remainderUnsigned(hash, LENGTH_RANGE_TOKENS);
   }
 
   private static long mix(long value) {
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineLedger.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineLedger.java
@@ -16,17 +16,17 @@
 import java.util.Set;
 
 /**
- * What an engine saw, over all its incarnations.
+ * Records the requests that an engine executed, over all its incarnations.
  *
- * <p>Invariant: each accepted prefill and import has exactly one entry an incarnation, whose fate
- * is final once it is not {@link Fate#ACTIVE}. Grows with the number of requests. Safe for use by
- * several threads.
+ * <p>Invariant: each accepted prefill and import has exactly one entry per incarnation, whose fate
+ * is final once it is not {@link Fate#ACTIVE}. Entries are never removed, so memory grows with the
+ * number of requests. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class EngineLedger {
-  private final Map<Key, Work> prefills = new LinkedHashMap<>();
-  private final Map<Key, Work> imports = new LinkedHashMap<>();
+  private final Map<Key, KvCacheRecord> prefills = new LinkedHashMap<>();
+  private final Map<Key, KvCacheRecord> imports = new LinkedHashMap<>();
   private final Map<String, Integer> decodes = new HashMap<>();
   private final Set<String> slots = new LinkedHashSet<>();
   private long decodedTokens;
@@ -34,36 +34,37 @@
   private record Key(long incarnation, String id) {}
 
   /**
-   * What became of a KV cache.
+   * The state of a KV cache, or how it ended.
    *
    * @since 0.1
    */
   public enum Fate {
-    /** It is being made or is held. */
+    /** It is being computed or imported, or is held. */
     ACTIVE,
-    /** Another engine took it. */
+    /** Another engine imported it. */
     IMPORTED,
-    /** Its answer was written to the end. */
+    /** Its answer was decoded completely. */
     DECODED,
-    /** It was dropped because its time was over or memory was emptied. */
+    /** It was dropped because it expired or because all memory was cleared. */
     EVICTED,
-    /** The router cancelled it. */
+    /** Its request was cancelled. */
     CANCELLED,
-    /** It went with its engine, or its import failed. */
+    /** Its incarnation ended, or its import failed. */
     LOST
   }
 
   /**
-   * One prefill or one import.
+   * The KV cache of one prefill or one import.
    *
    * @param id the request id
    * @param promptTokens the tokens of the prompt
-   * @param workedTokens the tokens computed so far, without cached ones; for an import, all
-   * @param fate what became of the KV cache
+   * @param workedTokens the tokens computed so far, excluding tokens from the prefix cache; for an
+   *     import, all tokens of the prompt
+   * @param fate the state of the KV cache, or how it ended
    * @since 0.1
    */
-  public record Work(String id, int promptTokens, int workedTokens, Fate fate) {
-    private boolean wasted() {
+  public record KvCacheRecord(String id, int promptTokens, int workedTokens, Fate fate) {
+    private boolean hasWastedTokens() {
       return fate == Fate.EVICTED || fate == Fate.CANCELLED || fate == Fate.LOST;
     }
   }
@@ -73,102 +74,110 @@
    *
    * @param prefills the prefills in the order of their start
    * @param imports the imports in the order of their start
-   * @param decodes the number of decode executions by request id
-   * @param slots the ids of the requests that hold a slot now
-   * @param decodedTokens the tokens written
+   * @param decodes the number of decodes started, by request id
+   * @param slots the ids of the requests that hold a slot
+   * @param decodedTokens the number of tokens decoded
    * @since 0.1
    */
   public record Snapshot(
-      ImmutableList<Work> prefills,
-      ImmutableList<Work> imports,
+      ImmutableList<KvCacheRecord> prefills,
+      ImmutableList<KvCacheRecord> imports,
       ImmutableMap<String, Integer> decodes,
       ImmutableSet<String> slots,
       long decodedTokens) {
 
     /**
-     * The prompt tokens computed.
+     * Returns the number of prompt tokens computed.
      *
      * @return the sum over all prefills
      */
     public long prefilledTokens() {
-      return prefills.stream().mapToLong(Work::workedTokens).sum();
+      return prefills.stream().mapToLong(KvCacheRecord::workedTokens).sum();
     }
 
     /**
-     * The prompt tokens computed here whose KV cache was never imported.
+     * Returns the number of prompt tokens computed here whose KV cache was never imported.
      *
      * @return the sum over prefills evicted, cancelled or lost
      */
     public long wastedPrefillTokens() {
-      return prefills.stream().filter(Work::wasted).mapToLong(Work::workedTokens).sum();
+      return prefills.stream()
+          .filter(KvCacheRecord::hasWastedTokens)
+          .mapToLong(KvCacheRecord::workedTokens)
+          .sum();
     }
 
     /**
-     * The prompt tokens imported here whose answer was not written to the end here.
+     * Returns the number of prompt tokens imported here whose answer was not completed here.
      *
      * @return the sum over imports evicted, cancelled or lost
      */
     public long abandonedImportTokens() {
-      return imports.stream().filter(Work::wasted).mapToLong(Work::workedTokens).sum();
+      return imports.stream()
+          .filter(KvCacheRecord::hasWastedTokens)
+          .mapToLong(KvCacheRecord::workedTokens)
+          .sum();
     }
   }
 
   /**
-   * Records a prefill's start or progress.
+   * Records the start or the progress of a prefill.
    *
    * @param incarnation the engine's incarnation
    * @param id the request id
    * @param promptTokens the tokens of the prompt
-   * @param workedTokens the tokens computed so far
+   * @param workedTokens the tokens computed so far, excluding tokens from the prefix cache
    */
-  public synchronized void prefill(
+  public synchronized void recordPrefill(
       long incarnation, String id, int promptTokens, int workedTokens) {
-    prefills.put(new Key(incarnation, id), new Work(id, promptTokens, workedTokens, Fate.ACTIVE));
+    prefills.put(
+        new Key(incarnation, id), new KvCacheRecord(id, promptTokens, workedTokens, Fate.ACTIVE));
   }
 
   /**
-   * Records an import's start.
+   * Records the start of an import.
    *
    * @param incarnation the engine's incarnation
    * @param id the request id
    * @param promptTokens the tokens of the prompt
    */
-  public synchronized void startImport(long incarnation, String id, int promptTokens) {
-    imports.put(new Key(incarnation, id), new Work(id, promptTokens, promptTokens, Fate.ACTIVE));
+  public synchronized void recordImport(long incarnation, String id, int promptTokens) {
+    imports.put(
+        new Key(incarnation, id), new KvCacheRecord(id, promptTokens, promptTokens, Fate.ACTIVE));
   }
 
   /**
-   * Records the end of a prefill's or import's KV cache; only the first fate counts.
+   * Records the end of the KV cache of a prefill or import. Later calls for it have no effect.
    *
    * @param incarnation the engine's incarnation
    * @param id the request id
-   * @param fate what became of it
+   * @param fate how the KV cache ended
    */
-  public synchronized void end(long incarnation, String id, Fate fate) {
+  public synchronized void recordEnd(long incarnation, String id, Fate fate) {
     Key key = new Key(incarnation, id);
     prefills.computeIfPresent(key, (k, work) -> withFate(work, fate));
     imports.computeIfPresent(key, (k, work) -> withFate(work, fate));
   }
 
   /**
-   * Records the loss of all that an incarnation held.
+   * Records the end of an incarnation: its active KV caches are lost and no slot is held.
    *
    * @param incarnation the engine's incarnation
    */
-  public synchronized void loseAll(long incarnation) {
+  public synchronized void recordLostIncarnation(long incarnation) {
     prefills.replaceAll((k, w) -> k.incarnation == incarnation ? withFate(w, Fate.LOST) : w);
     imports.replaceAll((k, w) -> k.incarnation == incarnation ? withFate(w, Fate.LOST) : w);
     slots.clear();
   }
 
   /**
-   * Records that a slot was taken or freed.
+   * Records that a request reserved or released a slot.
    *
    * @param id the request id
-   * @param taken true if it was taken
+   * @param reserved true if the slot was reserved, false if it was released
    */
-  public synchronized void slot(String id, boolean taken) {
-    if (taken) {
+  public synchronized void recordSlot(String id, boolean reserved) {
+    if (reserved) {
       slots.add(id);
     } else {
       slots.remove(id);
@@ -176,25 +185,25 @@
   }
 
   /**
-   * Records the start of a decode execution.
+   * Records the start of a decode.
    *
    * @param id the request id
    */
-  public synchronized void decode(String id) {
+  public synchronized void recordDecode(String id) {
     decodes.merge(id, 1, Integer::sum);
   }
 
   /**
-   * Records tokens written.
+   * Adds to the number of tokens decoded.
    *
    * @param count the number of tokens
    */
-  public synchronized void decoded(int count) {
+  public synchronized void recordDecodedTokens(int count) {
     decodedTokens += count;
   }
 
   /**
-   * Copies the ledger.
+   * Returns a copy of the ledger.
    *
    * @return a consistent view
    */
@@ -207,10 +216,10 @@
         decodedTokens);
   }
 
-  private static Work withFate(Work work, Fate fate) {
+  private static KvCacheRecord withFate(KvCacheRecord work, Fate fate) {
     if (work.fate != Fate.ACTIVE) {
       return work;
     }
-    return new Work(work.id, work.promptTokens, work.workedTokens, fate);
+    return new KvCacheRecord(work.id, work.promptTokens, work.workedTokens, fate);
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineMemory.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineMemory.java
@@ -7,18 +7,20 @@
 package org.larkkeel.standin;
 
 /**
- * Slots, KV memory and link of an engine.
+ * The slots, the KV memory and the KV transfer link of an engine.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param slots the requests that a decode engine holds at most
- * @param queueLimit the prefills that wait at most
- * @param kvPieces the KV pieces (2,000 tokens each) that requests may hold
- * @param prefixPieces the KV pieces of the prefix cache
- * @param kvBytesPerToken the size of the KV cache of a token, in bytes
- * @param linkBytesPerSecond the rate of the link that imports share, in bytes a second
- * @param evictMillis how long a KV cache is held unless it is imported, in milliseconds
- * @param exportMillis how long an import may take before the source evicts, in milliseconds
+ * @param slots the maximum number of requests that a decode engine holds
+ * @param queueLimit the maximum number of queued prefills
+ * @param kvPieces the number of KV pieces (2,000 tokens each) for requests
+ * @param prefixPieces the number of KV pieces for the prefix cache
+ * @param kvBytesPerToken the size of the KV cache of one token, in bytes
+ * @param linkBytesPerSecond the rate of the link that all imports share, in bytes per second
+ * @param evictAfterMillis the time after a prefill until its KV cache is evicted unless an import
+ *     begins, in milliseconds
+ * @param exportTimeoutMillis the time after the start of an import until the source evicts the KV
+ *     cache, in milliseconds
  * @since 0.1
  */
 public record EngineMemory(
@@ -28,17 +30,17 @@
     int prefixPieces,
     long kvBytesPerToken,
     long linkBytesPerSecond,
-    long evictMillis,
-    long exportMillis) {
-  /** Twenty slots; a prompt of 2,000 tokens takes 32 ms on the link. */
+    long evictAfterMillis,
+    long exportTimeoutMillis) {
+  /** Twenty slots, and 32 ms on the link for a prompt of 2,000 tokens. */
   public static final EngineMemory DEFAULTS =
       new EngineMemory(20, 64, 400, 200, 160_000, 10_000_000_000L, 800, 5_000);
 
   /**
-   * Changes the slots.
+   * Returns a copy with another number of slots.
    *
-   * @param value the requests that a decode engine holds at most
-   * @return a copy
+   * @param value the maximum number of requests that a decode engine holds
+   * @return the copy
    */
   public EngineMemory withSlots(int value) {
     return new EngineMemory(
@@ -48,17 +50,17 @@
         prefixPieces,
         kvBytesPerToken,
         linkBytesPerSecond,
-        evictMillis,
-        exportMillis);
+        evictAfterMillis,
+        exportTimeoutMillis);
   }
 
   /**
-   * Changes the time until an unimported KV cache is evicted.
+   * Returns a copy with another time until an unimported KV cache is evicted.
    *
-   * @param value milliseconds
-   * @return a copy
+   * @param value the time in milliseconds
+   * @return the copy
    */
-  public EngineMemory withEvictMillis(long value) {
+  public EngineMemory withEvictAfterMillis(long value) {
     return new EngineMemory(
         slots,
         queueLimit,
@@ -67,14 +69,14 @@
         kvBytesPerToken,
         linkBytesPerSecond,
         value,
-        exportMillis);
+        exportTimeoutMillis);
   }
 
   /**
-   * Changes the rate of the link.
+   * Returns a copy with another rate of the link.
    *
-   * @param value bytes a second
-   * @return a copy
+   * @param value the rate in bytes per second
+   * @return the copy
    */
   public EngineMemory withLinkBytesPerSecond(long value) {
     return new EngineMemory(
@@ -84,7 +86,7 @@
         prefixPieces,
         kvBytesPerToken,
         value,
-        evictMillis,
-        exportMillis);
+        evictAfterMillis,
+        exportTimeoutMillis);
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineRole.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineRole.java
@@ -7,13 +7,13 @@
 package org.larkkeel.standin;
 
 /**
- * What an engine does.
+ * The role of an engine.
  *
  * @since 0.1
  */
 public enum EngineRole {
-  /** Reads prompts and hands over KV caches. */
+  /** Prefills prompts and exports their KV caches. */
   PREFILL,
-  /** Takes KV caches and writes answers. */
+  /** Imports KV caches and decodes answers. */
   DECODE
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineSettings.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineSettings.java
@@ -17,14 +17,14 @@
  *
  * @param name the engine's name, never null
  * @param bind the address to listen on; port 0 takes a free one
- * @param role the role at the start
- * @param speeds the speeds of the hardware
- * @param memory slots, memory and link
- * @param reports lag and loss of reports
- * @param fencing what happens to orders with an old fencing number
- * @param models the models loaded at the start
- * @param loadMillis how long loading a model takes, in milliseconds
- * @param cancelOnDisconnect whether a decode ends when its connection breaks
+ * @param role the role at startup
+ * @param speeds the prefill and decode speeds
+ * @param memory the slots, the KV memory and the transfer link
+ * @param reports the delay and loss of reports
+ * @param fencing whether orders with an old fencing number are refused
+ * @param models the models loaded at startup
+ * @param loadMillis the time to load a model or an adapter, in milliseconds
+ * @param cancelOnDisconnect true if a decode is cancelled when its connection breaks
  * @since 0.1
  */
 public record EngineSettings(
@@ -40,11 +40,11 @@
     boolean cancelOnDisconnect) {
 
   /**
-   * Settings with defaults: a new generation on a free port of 127.0.0.1.
+   * Returns default settings: new hardware on a free port of 127.0.0.1.
    *
    * @param name the engine's name
-   * @param role the role at the start
-   * @param models the models loaded at the start
+   * @param role the role at startup
+   * @param models the models loaded at startup
    * @return the settings
    */
   public static EngineSettings of(String name, EngineRole role, String... models) {
@@ -62,10 +62,10 @@
   }
 
   /**
-   * Changes the address.
+   * Returns a copy with another address.
    *
    * @param value the address to listen on
-   * @return a copy
+   * @return the copy
    */
   public EngineSettings withBind(InetSocketAddress value) {
     return new EngineSettings(
@@ -82,10 +82,10 @@
   }
 
   /**
-   * Changes the speeds.
+   * Returns a copy with other speeds.
    *
    * @param value the speeds
-   * @return a copy
+   * @return the copy
    */
   public EngineSettings withSpeeds(EngineSpeeds value) {
     return new EngineSettings(
@@ -93,10 +93,10 @@
   }
 
   /**
-   * Changes slots, memory and link.
+   * Returns a copy with other slots, KV memory and transfer link.
    *
-   * @param value slots, memory and link
-   * @return a copy
+   * @param value the slots, the KV memory and the transfer link
+   * @return the copy
    */
   public EngineSettings withMemory(EngineMemory value) {
     return new EngineSettings(
@@ -104,10 +104,10 @@
   }
 
   /**
-   * Changes lag and loss of reports.
+   * Returns a copy with another delay and loss of reports.
    *
-   * @param value lag and loss
-   * @return a copy
+   * @param value the delay and loss
+   * @return the copy
    */
   public EngineSettings withReports(EngineReports value) {
     return new EngineSettings(
@@ -115,10 +115,10 @@
   }
 
   /**
-   * Changes what happens to orders with an old fencing number.
+   * Returns a copy with another treatment of orders with an old fencing number.
    *
-   * @param value the habit
-   * @return a copy
+   * @param value the fencing mode
+   * @return the copy
    */
   public EngineSettings withFencing(FencingHabit value) {
     return new EngineSettings(
@@ -126,10 +126,10 @@
   }
 
   /**
-   * Changes how long loading a model takes.
+   * Returns a copy with another time to load a model or an adapter.
    *
-   * @param value milliseconds
-   * @return a copy
+   * @param value the time in milliseconds
+   * @return the copy
    */
   public EngineSettings withLoadMillis(long value) {
     return new EngineSettings(
@@ -137,10 +137,10 @@
   }
 
   /**
-   * Changes whether a decode ends when its connection breaks.
+   * Returns a copy that cancels or continues decodes whose connection breaks.
    *
-   * @param value true to end it
-   * @return a copy
+   * @param value true to cancel the decode, false to continue it
+   * @return the copy
    */
   public EngineSettings withCancelOnDisconnect(boolean value) {
     return new EngineSettings(
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineSpeeds.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineSpeeds.java
@@ -7,41 +7,42 @@
 package org.larkkeel.standin;
 
 /**
- * The speeds of a hardware generation.
+ * The prefill and decode speeds of a hardware generation.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param prefillTokensPerSecond prompt tokens read a second, greater than 0
- * @param decodeBaseMillis the time of a decode step without any request, in milliseconds
- * @param decodeMillisPerRequest what each request in the batch adds to a step, in milliseconds
+ * @param prefillTokensPerSecond the number of prompt tokens prefilled per second, greater than 0
+ * @param decodeBaseMillis the duration of a decode step with an empty batch, in milliseconds
+ * @param decodeMillisPerRequest the time that each request of the batch adds to a decode step, in
+ *     milliseconds
  * @since 0.1
  */
 public record EngineSpeeds(
     double prefillTokensPerSecond, double decodeBaseMillis, double decodeMillisPerRequest) {
-  /** An old generation: 40 ms a token in a batch of 20. */
+  /** An old generation: 40 ms per token in a batch of 20. */
   public static final EngineSpeeds OLD = new EngineSpeeds(6_000, 24, 0.8);
 
-  /** A new generation: 20 ms a token in a batch of 20. */
+  /** A new generation: 20 ms per token in a batch of 20. */
   public static final EngineSpeeds NEW = new EngineSpeeds(24_000, 14, 0.3);
 
   private static final double NANOS_PER_MILLI = 1e6;
   private static final double NANOS_PER_SECOND = 1e9;
 
   /**
-   * The time of one decode step.
+   * Returns the duration of one decode step.
    *
    * @param batch the number of requests in the batch
-   * @return nanoseconds
+   * @return the duration in nanoseconds
    */
   public long stepNanos(int batch) {
     return (long) ((decodeBaseMillis + decodeMillisPerRequest * batch) * NANOS_PER_MILLI);
   }
 
   /**
-   * The time of a prefill.
+   * Returns the duration of a prefill.
    *
-   * @param tokens the prompt tokens that are not in the prefix cache
-   * @return nanoseconds
+   * @param tokens the number of prompt tokens that are not in the prefix cache
+   * @return the duration in nanoseconds
    */
   public long prefillNanos(int tokens) {
     return (long) (tokens / prefillTokensPerSecond * NANOS_PER_SECOND);
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineStandin.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineStandin.java
@@ -12,13 +12,13 @@
 import org.larkkeel.standin.internal.EngineIncarnation;
 
 /**
- * A stand-in for a model engine, with faults on demand.
+ * A stand-in for a model engine, with fault injection.
  *
- * <p>Invariant: at most one incarnation runs at a time; the address stays the same over restarts.
- * All faults are also controls: {@code POST /control/kill?restart_after_millis=n}, {@code
- * stall?on=1}, {@code drain?on=1}, {@code freeze?on=1}, {@code evict-all}, {@code
- * fail-next?count=n}; {@code GET /control/ledger} shows the ledger. Safe for use by several
- * threads.
+ * <p>Invariant: at most one incarnation runs at a time; the address does not change when the engine
+ * restarts. Each fault can also be injected over HTTP: {@code POST
+ * /control/kill?restart_after_millis=n}, {@code stall?on=1}, {@code drain?on=1}, {@code
+ * freeze?on=1}, {@code evict-all}, {@code fail-next?count=n}; {@code GET /control/ledger} returns
+ * the ledger. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -28,14 +28,15 @@
   private final EngineFaults faults = new EngineFaults();
   private final Controls controls;
   private InetSocketAddress address;
-  private EngineIncarnation running;
+  private EngineIncarnation latest;
 
   private EngineStandin(EngineSettings settings) {
     this.settings = settings;
     address = settings.bind();
     controls =
         Controls.builder()
-            .action("kill", call -> killSoon(call.queryNumber("restart_after_millis", -1)))
+            .action(
+                "kill", call -> killAsynchronously(call.queryNumber("restart_after_millis", -1)))
             .action("stall", call -> stallTransfers(call.queryNumber("on", 1) != 0))
             .action("drain", call -> drain(call.queryNumber("on", 1) != 0))
             .action("freeze", call -> freeze(call.queryNumber("on", 1) != 0))
@@ -58,86 +59,87 @@
   }
 
   /**
-   * The address.
+   * Returns the address that the engine listens on.
    *
-   * @return the address with the real port
+   * @return the address with the actual port
    */
   public synchronized InetSocketAddress address() {
     return address;
   }
 
   /**
-   * The settings.
+   * Returns the settings.
    *
-   * @return the settings it was started with
+   * @return the settings that the engine was started with
    */
   public EngineSettings settings() {
     return settings;
   }
 
   /**
-   * What the engine saw.
+   * Returns the record of the requests that the engine executed.
    *
-   * @return the ledger, which goes on over restarts
+   * @return the ledger, which is kept over restarts
    */
   public EngineLedger ledger() {
     return ledger;
   }
 
   /**
-   * The number of the latest incarnation.
+   * Returns the number of the latest incarnation.
    *
-   * @return the number; it stays after a kill until the next start
+   * @return the number; a kill does not change it, the next restart does
    */
   public synchronized long incarnation() {
-    return running.number();
+    return latest.number();
   }
 
-  /** Closes the listener and all connections abruptly and loses all state. */
+  /** Closes the listener and all connections abruptly and discards all state. */
   public synchronized void kill() {
-    running.close();
+    latest.close();
   }
 
-  /** Kills the engine if it runs and starts it with a new incarnation on the same port. */
+  /** Kills the engine if it is running and starts a new incarnation on the same port. */
   public synchronized void restart() {
-    if (running != null) {
-      running.close();
+    if (latest != null) {
+      latest.close();
     }
-    running = new EngineIncarnation(settings, address, faults, ledger, controls);
-    address = running.address();
+    latest = new EngineIncarnation(settings, address, faults, ledger, controls);
+    address = latest.address();
   }
 
   /**
-   * Lets transfers into this engine make no progress.
+   * Stops or resumes the progress of KV transfers into this engine.
    *
-   * @param on true to stall
+   * @param on true to stop the progress
    */
   public void stallTransfers(boolean on) {
-    faults.stalled = on;
+    faults.transfersStalled = on;
   }
 
   /**
-   * Lets the engine refuse new requests with 503 {@code draining}.
+   * Starts or ends the refusal of new requests with 503 {@code draining}.
    *
-   * @param on true to refuse
+   * @param on true to refuse new requests
    */
   public void drain(boolean on) {
     faults.draining = on;
   }
 
   /**
-   * Lets the engine do nothing and answer nothing, with connections open.
+   * Freezes or resumes the engine. A frozen engine does no work and sends no answer, but keeps its
+   * connections open; {@code /control/} calls still work.
    *
    * @param on true to freeze
    */
   public void freeze(boolean on) {
-    faults.gate.shut(on);
+    faults.gate.setClosed(on);
   }
 
   /**
-   * Lets the next prefills, imports and decodes fail with 500.
+   * Makes the next prefills, imports and decodes fail with 500.
    *
-   * @param count how many fail
+   * @param count the number of requests that fail
    */
   public void failNext(int count) {
     faults.failNext(count);
@@ -145,7 +147,7 @@
 
   /** Drops all KV caches and the prefix cache. */
   public synchronized void evictAll() {
-    running.evictAll();
+    latest.evictAll();
   }
 
   @Override
@@ -154,17 +156,17 @@
     freeze(false);
   }
 
-  private void killSoon(long restartAfterMillis) {
+  private void killAsynchronously(long restartAfterMillis) {
     Thread.startVirtualThread(() -> killAndRestart(restartAfterMillis));
   }
 
-  private void killAndRestart(long afterMillis) {
+  private void killAndRestart(long restartAfterMillis) {
     kill();
-    if (afterMillis < 0) {
+    if (restartAfterMillis < 0) {
       return;
     }
     try {
-      Thread.sleep(afterMillis);
+      Thread.sleep(restartAfterMillis);
       restart();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/FencingHabit.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/FencingHabit.java
@@ -7,13 +7,13 @@
 package org.larkkeel.standin;
 
 /**
- * What an engine does with an order that carries an old fencing number.
+ * The treatment of orders whose fencing number is lower than one already accepted.
  *
  * @since 0.1
  */
 public enum FencingHabit {
   /** Refuses the order. */
   CHECK,
-  /** Carries it out. */
+  /** Executes the order. */
   IGNORE
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/HostPhase.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/HostPhase.java
@@ -7,13 +7,13 @@
 package org.larkkeel.standin;
 
 /**
- * What the list of hosts says of a host.
+ * The phase of a host in the list of hosts.
  *
  * @since 0.1
  */
 public enum HostPhase {
-  /** The host runs. */
+  /** The host is running. */
   LIVE,
-  /** The host will stop soon. */
+  /** The host has announced that it will stop. */
   LEAVING
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/PlatformSettings.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/PlatformSettings.java
@@ -15,11 +15,11 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param bind the address to listen on; port 0 takes a free one
- * @param hostLagMillis how late the list of hosts shows a change, in milliseconds
- * @param historyLimit the changes kept for watches
+ * @param hostLagMillis the delay until a change appears in the list of hosts, in milliseconds
+ * @param historyLimit the maximum number of changes kept for watches
  * @param weightBytes the size of each model version, in bytes
- * @param weightBytesPerSecond the rate of one pull of weights
- * @param weightPulls the pulls of weights that run at the same time
+ * @param weightBytesPerSecond the rate of one pull of weights, in bytes per second
+ * @param weightPulls the maximum number of concurrent pulls of weights
  * @since 0.1
  */
 public record PlatformSettings(
@@ -29,7 +29,7 @@
     long weightBytes,
     long weightBytesPerSecond,
     int weightPulls) {
-  /** A free port of 127.0.0.1, hosts shown a second late, two pulls of 5 s at a time. */
+  /** A free port of 127.0.0.1, a host delay of one second, two concurrent pulls of 5 s each. */
   public static final PlatformSettings DEFAULTS =
       new PlatformSettings(
           new InetSocketAddress(InetAddress.ofLiteral("127.0.0.1"), 0),
@@ -40,10 +40,10 @@
           2);
 
   /**
-   * Changes the address.
+   * Returns a copy with another address.
    *
    * @param value the address to listen on
-   * @return a copy
+   * @return the copy
    */
   public PlatformSettings withBind(InetSocketAddress value) {
     return new PlatformSettings(
@@ -51,10 +51,10 @@
   }
 
   /**
-   * Changes the lag of the list of hosts.
+   * Returns a copy with another delay of the list of hosts.
    *
-   * @param value milliseconds, 0 for none
-   * @return a copy
+   * @param value the delay in milliseconds, 0 for none
+   * @return the copy
    */
   public PlatformSettings withHostLagMillis(long value) {
     return new PlatformSettings(
@@ -62,10 +62,10 @@
   }
 
   /**
-   * Changes how many changes are kept for watches.
+   * Returns a copy with another limit of changes kept for watches.
    *
-   * @param value the number
-   * @return a copy
+   * @param value the maximum number of changes
+   * @return the copy
    */
   public PlatformSettings withHistoryLimit(int value) {
     return new PlatformSettings(
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/PlatformStandin.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/PlatformStandin.java
@@ -26,11 +26,11 @@
 /**
  * A stand-in for the platform: object API, list of hosts and weight store.
  *
- * <p>The faults are also controls: {@code POST /control/outage?on=1}, {@code latency?millis=n},
- * {@code lose-answers?count=n}, {@code lose-writes?count=n}, {@code limit?per_second=n}, {@code
- * host?name=&address=&data_centre=&phase=}, {@code remove-host?name=}; {@code GET /control/calls}
- * shows the counts. Objects survive {@link #restart} as they live in memory. Safe for use by
- * several threads.
+ * <p>Each fault can also be injected over HTTP: {@code POST /control/outage?on=1}, {@code
+ * latency?millis=n}, {@code lose-answers?count=n}, {@code lose-writes?count=n}, {@code
+ * limit?per_second=n}, {@code host?name=&address=&data_centre=&phase=}, {@code remove-host?name=};
+ * {@code GET /control/calls} returns the call counts. Objects are kept in the memory of this
+ * process and survive {@link #restart}. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -38,7 +38,8 @@
   private final PlatformSettings settings;
   private final ObjectStore store;
   private final PlatformFaults faults = new PlatformFaults();
-  private final ScheduledExecutorService lagging = Executors.newScheduledThreadPool(1, daemons());
+  private final ScheduledExecutorService hostScheduler =
+      Executors.newScheduledThreadPool(1, daemonThreadFactory());
   private final PlatformRoutes routes;
   private StandinServer server;
 
@@ -63,62 +64,63 @@
   }
 
   /**
-   * The address.
+   * Returns the address that the platform listens on.
    *
-   * @return the address with the real port
+   * @return the address with the actual port
    */
   public synchronized InetSocketAddress address() {
     return server.address();
   }
 
   /**
-   * The calls so far, refused ones too; a watch counts once.
+   * Returns the number of calls received, including refused ones. A watch counts once.
    *
-   * @return calls by verb
+   * @return the number of calls by verb
    */
   public ImmutableMap<PlatformVerb, Long> calls() {
     return faults.calls();
   }
 
   /**
-   * Refuses all calls with 503 and cuts the watches.
+   * Starts or ends an outage, in which all calls are refused with 503 and watches are closed.
    *
-   * @param on true to begin, false to end
+   * @param on true to start, false to end
    */
   public void outage(boolean on) {
     faults.outage = on;
-    store.wake();
+    store.wakeWatches();
   }
 
   /**
-   * Delays each call.
+   * Delays the processing of each call.
    *
-   * @param millis milliseconds before a call is looked at, 0 for none
+   * @param millis the delay in milliseconds, 0 for none
    */
   public void latency(long millis) {
     faults.latencyMillis = millis;
   }
 
   /**
-   * Cuts the connections of the next writes after they took effect.
+   * Closes the connections of the next writes after they took effect and before the answer.
    *
-   * @param count how many
+   * @param count the number of writes
    */
   public void loseAnswers(int count) {
     faults.answersToLose.set(count);
   }
 
   /**
-   * Cuts the connections of the next writes before they take effect.
+   * Closes the connections of the next writes before they take effect.
    *
-   * @param count how many
+   * @param count the number of writes
    */
   public void loseWrites(int count) {
     faults.writesToLose.set(count);
   }
 
   /**
-   * Limits the rate of calls; up to a second's worth may come at once.
+   * Limits the rate of calls; calls above it are refused with 429. Allows a burst of one second's
+   * calls.
    *
    * @param callsPerSecond the rate, 0 for no limit
    */
@@ -127,12 +129,12 @@
   }
 
   /**
-   * Shows a host, or changes what is shown of it, after the lag.
+   * Adds a host to the list of hosts, or replaces its entry, after the configured delay.
    *
    * @param name the host's name
    * @param address the address, {@code ip:port}
    * @param dataCentre the name of its data centre
-   * @param phase live or leaving
+   * @param phase the phase of the host
    */
   public void putHost(String name, String address, String dataCentre, HostPhase phase) {
     ObjectNode host = PlatformRoutes.MAPPER.createObjectNode();
@@ -142,16 +144,16 @@
         .put("address", address)
         .put("dataCentre", dataCentre)
         .put("phase", phase.name().toLowerCase(Locale.ROOT));
-    afterLag(() -> store.set(PlatformRoutes.HOSTS, host));
+    applyAfterLag(() -> store.upsert(PlatformRoutes.HOSTS, host));
   }
 
   /**
-   * Stops showing a host after the lag.
+   * Removes a host from the list of hosts after the configured delay.
    *
    * @param name the host's name
    */
   public void removeHost(String name) {
-    afterLag(() -> store.remove(PlatformRoutes.HOSTS, name));
+    applyAfterLag(() -> store.deleteIfPresent(PlatformRoutes.HOSTS, name));
   }
 
   /** Closes the listener and all connections abruptly and listens again on the same port. */
@@ -164,15 +166,15 @@
   @Override
   public synchronized void close() {
     server.close();
-    lagging.shutdownNow();
+    hostScheduler.shutdownNow();
   }
 
-  private void afterLag(Runnable change) {
+  private void applyAfterLag(Runnable change) {
     if (settings.hostLagMillis() == 0) {
       change.run();
       return;
     }
-    var unused = lagging.schedule(change, settings.hostLagMillis(), TimeUnit.MILLISECONDS);
+    var unused = hostScheduler.schedule(change, settings.hostLagMillis(), TimeUnit.MILLISECONDS);
   }
 
   private Controls controls() {
@@ -183,22 +185,27 @@
         .action("lose-writes", call -> loseWrites((int) call.queryNumber("count", 1)))
         .action("limit", call -> limit((double) call.queryNumber("per_second", 0)))
         .action("host", this::putHostFrom)
-        .action("remove-host", call -> removeHost(needed(call, "name")))
+        .action("remove-host", call -> removeHost(requiredQuery(call, "name")))
         .view("calls", call -> calls())
         .build();
   }
 
   private void putHostFrom(Call call) {
-    HostPhase phase = needed(call, "phase").equals("leaving") ? HostPhase.LEAVING : HostPhase.LIVE;
-    putHost(needed(call, "name"), needed(call, "address"), needed(call, "data_centre"), phase);
+    HostPhase phase =
+        requiredQuery(call, "phase").equals("leaving") ? HostPhase.LEAVING : HostPhase.LIVE;
+    putHost(
+        requiredQuery(call, "name"),
+        requiredQuery(call, "address"),
+        requiredQuery(call, "data_centre"),
+        phase);
   }
 
-  private static String needed(Call call, String name) {
+  private static String requiredQuery(Call call, String name) {
     return call.query(name)
         .orElseThrow(() -> RefusedException.malformed("query " + name + " is missing: send it"));
   }
 
-  private static ThreadFactory daemons() {
+  private static ThreadFactory daemonThreadFactory() {
     return Thread.ofPlatform().daemon().name("platform-standin-hosts").factory();
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/PlatformVerb.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/PlatformVerb.java
@@ -7,7 +7,7 @@
 package org.larkkeel.standin;
 
 /**
- * The verbs by which the platform counts calls.
+ * The kinds of calls that the platform counts separately.
  *
  * @since 0.1
  */
@@ -22,13 +22,13 @@
   UPDATE,
   /** Deleting an object. */
   DELETE,
-  /** A watch, counted once however long it waits. */
+  /** A watch, counted once regardless of its duration. */
   WATCH,
   /** A call to the weight store. */
   WEIGHTS;
 
   /**
-   * Tells whether the verb changes an object.
+   * Returns whether the verb changes an object.
    *
    * @return true for create, update and delete
    */
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/ServiceLedger.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/ServiceLedger.java
@@ -11,9 +11,10 @@
 import java.util.Map;
 
 /**
- * What a service ran.
+ * Counts the executions and lookups of a service.
  *
- * <p>Grows with the number of references and keys. Safe for use by several threads.
+ * <p>Entries are never removed, so memory grows with the number of references and keys. Safe for
+ * use by several threads.
  *
  * @since 0.1
  */
@@ -26,10 +27,10 @@
   /**
    * A consistent view of the ledger.
    *
-   * @param byReference executions by the value of the reference field
-   * @param byKey executions by {@code Idempotency-Key}
-   * @param lookups lookups answered
-   * @param refused calls refused as not run
+   * @param byReference the number of executions by the value of the reference field
+   * @param byKey the number of executions by {@code Idempotency-Key}
+   * @param lookups the number of lookups
+   * @param refused the number of calls refused without execution
    * @since 0.1
    */
   public record Snapshot(
@@ -39,9 +40,9 @@
       long refused) {
 
     /**
-     * The references that ran more than once.
+     * Returns the number of references that were executed more than once.
      *
-     * @return their number
+     * @return the number of references
      */
     public long duplicated() {
       return byReference.values().stream().filter(n -> n > 1).count();
@@ -53,9 +54,9 @@
    *
    * @param reference the value of the reference field
    * @param key the idempotency key, null if there is none
-   * @return how many times the reference has now run
+   * @return the number of executions of the reference, including this one
    */
-  public synchronized int run(String reference, String key) {
+  public synchronized int recordRun(String reference, String key) {
     if (key != null) {
       byKey.merge(key, 1, Integer::sum);
     }
@@ -63,17 +64,17 @@
   }
 
   /** Records a lookup. */
-  public synchronized void lookup() {
+  public synchronized void recordLookup() {
     lookups++;
   }
 
-  /** Records a call refused as not run. */
-  public synchronized void refuse() {
+  /** Records a call refused without execution. */
+  public synchronized void recordRefusal() {
     refused++;
   }
 
   /**
-   * Copies the ledger.
+   * Returns a copy of the ledger.
    *
    * @return a consistent view
    */
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/ServiceOracle.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/ServiceOracle.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The answers of the plain service, as pure functions.
+ * The expected answers of the stand-in service, as pure functions.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -20,7 +20,7 @@
   private ServiceOracle() {}
 
   /**
-   * The body of the answer to a lookup.
+   * Returns the body of the answer to a lookup.
    *
    * @param pathAndQuery the path with its query, as sent
    * @return the body, JSON
@@ -30,11 +30,11 @@
   }
 
   /**
-   * The body of the answer to a call that changes something.
+   * Returns the body of the answer to a call that changes state.
    *
    * @param path the path, as sent
    * @param reference the value of the body's reference field
-   * @param run how many times the reference has now run; 1 if it runs once
+   * @param run the number of executions of the reference including this one, 1 for the first
    * @return the body, JSON
    */
   public static String change(String path, String reference, long run) {
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/ServiceStandin.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/ServiceStandin.java
@@ -17,26 +17,27 @@
 import org.larkkeel.standin.internal.StandinServer;
 
 /**
- * A stand-in for a plain service: lookups by GET and calls that may not be repeated by POST.
+ * A stand-in for a plain service: GET for lookups, POST for calls that must not be executed twice.
  *
- * <p>Answers are those of {@link ServiceOracle}. A POST needs a JSON object with the reference
- * field; it runs each time that it arrives, whatever its key. The faults are also controls: {@code
+ * <p>The answers are those of {@link ServiceOracle}. The body of a POST is a JSON object with the
+ * reference field. The service does not deduplicate: each POST that arrives is executed, also if
+ * its {@code Idempotency-Key} was seen before. Each fault can also be injected over HTTP: {@code
  * POST /control/cut-after-run?count=n}, {@code refuse-next?count=n}, {@code slow?millis=n}; {@code
- * GET /control/ledger} shows the ledger. Safe for use by several threads.
+ * GET /control/ledger} returns the ledger. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class ServiceStandin implements AutoCloseable {
-  private static final int MAX_BODY = 1 << 20;
+  private static final int MAX_BODY_BYTES = 1 << 20;
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final Health HEALTHY = new Health("ok");
 
   private final ServiceSettings settings;
   private final ServiceLedger ledger = new ServiceLedger();
-  private final AtomicInteger cuts = new AtomicInteger();
-  private final AtomicInteger refusals = new AtomicInteger();
+  private final AtomicInteger remainingCuts = new AtomicInteger();
+  private final AtomicInteger remainingRefusals = new AtomicInteger();
   private final Controls controls;
-  private volatile long slowMillis;
+  private volatile long answerDelayMillis;
   private StandinServer server;
 
   private record Health(String status) {}
@@ -49,7 +50,7 @@
         Controls.builder()
             .action("cut-after-run", call -> cutAfterRun((int) call.queryNumber("count", 1)))
             .action("refuse-next", call -> refuseNext((int) call.queryNumber("count", 1)))
-            .action("slow", call -> slow(call.queryNumber("millis", 0)))
+            .action("slow", call -> delayAnswers(call.queryNumber("millis", 0)))
             .view("ledger", call -> ledger.snapshot())
             .build();
     server = new StandinServer(settings.bind(), MAPPER, this::handle);
@@ -66,16 +67,16 @@
   }
 
   /**
-   * The address.
+   * Returns the address that the service listens on.
    *
-   * @return the address with the real port
+   * @return the address with the actual port
    */
   public synchronized InetSocketAddress address() {
     return server.address();
   }
 
   /**
-   * What the service ran.
+   * Returns the record of the executions and lookups of the service.
    *
    * @return the ledger
    */
@@ -84,33 +85,33 @@
   }
 
   /**
-   * Lets the next calls run and then lose their connection before the answer.
+   * Closes the connections of the next POST calls after their execution and before the answer.
    *
-   * @param count how many
+   * @param count the number of calls
    */
   public void cutAfterRun(int count) {
-    cuts.set(count);
+    remainingCuts.set(count);
   }
 
   /**
-   * Lets the next requests be refused with 503 and {@code X-Not-Run}.
+   * Refuses the next requests with 503 and {@code X-Not-Run} without executing them.
    *
-   * @param count how many
+   * @param count the number of requests
    */
   public void refuseNext(int count) {
-    refusals.set(count);
+    remainingRefusals.set(count);
   }
 
   /**
-   * Lets each request wait before it is answered; a call runs before the wait.
+   * Delays each answer. A POST call is executed before the delay.
    *
-   * @param millis milliseconds, 0 for none
+   * @param millis the delay in milliseconds, 0 for none
    */
-  public void slow(long millis) {
-    slowMillis = millis;
+  public void delayAnswers(long millis) {
+    answerDelayMillis = millis;
   }
 
-  /** Closes the listener and all connections abruptly; the ledger stays. */
+  /** Closes the listener and all connections abruptly; the ledger is kept. */
   public synchronized void kill() {
     server.close();
   }
@@ -133,46 +134,47 @@
     }
     if (call.path().equals("/healthz")) {
       call.reply(200, HEALTHY);
-    } else if (take(refusals)) {
-      ledger.refuse();
-      call.answerHeader("X-Not-Run", "true");
+    } else if (decrementIfPositive(remainingRefusals)) {
+      ledger.recordRefusal();
+      call.setAnswerHeader("X-Not-Run", "true");
       call.reply(503, new Refusal("refused", "refused on demand"));
     } else if (call.method().equals("GET")) {
-      ledger.lookup();
-      Thread.sleep(slowMillis);
+      ledger.recordLookup();
+      Thread.sleep(answerDelayMillis);
       call.reply(200, ServiceOracle.lookup(call.pathAndQuery()));
     } else {
-      change(call);
+      runChange(call);
     }
   }
 
-  private void change(Call call) throws IOException, InterruptedException {
+  private void runChange(Call call) throws IOException, InterruptedException {
     String reference;
     try {
-      reference = reference(call);
+      reference = readReference(call);
     } catch (RefusedException e) {
-      call.answerHeader("X-Not-Run", "true");
+      call.setAnswerHeader("X-Not-Run", "true");
       call.reply(e.status(), new Refusal(e.code(), e.getMessage()));
       return;
     }
-    int run = ledger.run(reference, call.header("Idempotency-Key").orElse(null));
-    Thread.sleep(slowMillis);
-    if (take(cuts)) {
-      call.cut();
+    int run = ledger.recordRun(reference, call.header("Idempotency-Key").orElse(null));
+    Thread.sleep(answerDelayMillis);
+    if (decrementIfPositive(remainingCuts)) {
+      call.closeConnection();
       return;
     }
     call.reply(201, ServiceOracle.change(call.path(), reference, run));
   }
 
-  private String reference(Call call) throws IOException {
-    JsonNode field = call.body(JsonNode.class, MAX_BODY).get(settings.referenceField());
+  private String readReference(Call call) throws IOException {
+    JsonNode field =
+        call.readMessage(JsonNode.class, MAX_BODY_BYTES).get(settings.referenceField());
     if (field == null || !field.isTextual()) {
       throw RefusedException.malformed(settings.referenceField() + " is missing: send a text");
     }
     return field.textValue();
   }
 
-  private static boolean take(AtomicInteger left) {
-    return left.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
+  private static boolean decrementIfPositive(AtomicInteger counter) {
+    return counter.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/StandinMain.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/StandinMain.java
@@ -27,7 +27,7 @@
  */
 public final class StandinMain {
   private static final Logger log = LoggerFactory.getLogger(StandinMain.class);
-  private static final int USAGE = 2;
+  private static final int USAGE_EXIT_CODE = 2;
 
   private enum Kind {
     PLATFORM,
@@ -83,9 +83,9 @@
   private StandinMain() {}
 
   /**
-   * Runs until the process is stopped.
+   * Starts the stand-in and runs until the process is stopped.
    *
-   * @param args the arguments
+   * @param args the command line arguments
    * @throws InterruptedException if the main thread is interrupted
    */
   public static void main(String[] args) throws InterruptedException {
@@ -94,8 +94,8 @@
     try {
       parser.parseArgument(args);
     } catch (CmdLineException e) {
-      usage(parser, e, System.err);
-      System.exit(USAGE);
+      printUsage(parser, e, System.err);
+      System.exit(USAGE_EXIT_CODE);
     }
     InetSocketAddress bound = main.start();
     log.info(
@@ -130,8 +130,8 @@
         .withMemory(EngineMemory.DEFAULTS.withSlots(slots));
   }
 
-  private static void usage(CmdLineParser parser, CmdLineException problem, PrintStream out) {
-    out.println(problem.getMessage());
+  private static void printUsage(CmdLineParser parser, CmdLineException error, PrintStream out) {
+    out.println(error.getMessage());
     out.println("usage: StandinMain KIND [options]");
     parser.printUsage(out);
   }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/Call.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/Call.java
@@ -20,9 +20,9 @@
 import org.xnio.IoUtils;
 
 /**
- * One HTTP call to a stand-in.
+ * One HTTP call to a stand-in, with its answer.
  *
- * <p>Used by the one thread that handles the call.
+ * <p>Not safe for use by several threads; used only by the thread that handles the call.
  *
  * @since 0.1
  */
@@ -36,16 +36,16 @@
   }
 
   /**
-   * The method.
+   * Returns the HTTP method.
    *
-   * @return the method's name, in capitals
+   * @return the method's name, in upper case
    */
   public String method() {
     return exchange.getRequestMethod().toString();
   }
 
   /**
-   * The path as sent, still encoded.
+   * Returns the path as sent, without percent-decoding.
    *
    * @return the path without the query
    */
@@ -54,9 +54,9 @@
   }
 
   /**
-   * The path as sent with its query.
+   * Returns the path with its query as sent, without percent-decoding.
    *
-   * @return the path, and the query after a question mark if there is one
+   * @return the path, followed by a question mark and the query if there is one
    */
   public String pathAndQuery() {
     String query = exchange.getQueryString();
@@ -64,10 +64,10 @@
   }
 
   /**
-   * The decoded part of the path after a prefix.
+   * Returns the part of the path after a prefix, percent-decoded.
    *
-   * @param prefix the prefix, which the path begins with
-   * @return the rest, decoded
+   * @param prefix the prefix; the path must start with it
+   * @return the decoded rest of the path
    */
   public String pathAfter(String prefix) {
     String rest = path().substring(prefix.length());
@@ -75,10 +75,10 @@
   }
 
   /**
-   * A query parameter.
+   * Returns a query parameter.
    *
-   * @param name the name
-   * @return its first value, if any
+   * @param name the name of the parameter
+   * @return its first value, or empty if it is missing or empty
    */
   public Optional<String> query(String name) {
     Deque<String> values = exchange.getQueryParameters().get(name);
@@ -86,17 +86,17 @@
   }
 
   /**
-   * A whole number among the query parameters.
+   * Returns a query parameter as an integer.
    *
-   * @param name the name
-   * @param otherwise the value if there is none
+   * @param name the name of the parameter
+   * @param defaultValue the value if the parameter is missing or empty
    * @return the number
-   * @throws RefusedException if the value is not a whole number
+   * @throws RefusedException if the value is not an integer
    */
-  public long queryNumber(String name, long otherwise) {
+  public long queryNumber(String name, long defaultValue) {
     Optional<String> value = query(name);
     if (value.isEmpty()) {
-      return otherwise;
+      return defaultValue;
     }
     try {
       return Long.parseLong(value.get());
@@ -107,9 +107,9 @@
   }
 
   /**
-   * A request header.
+   * Returns a request header.
    *
-   * @param name the name
+   * @param name the name of the header
    * @return its first value, if any
    */
   public Optional<String> header(String name) {
@@ -117,14 +117,14 @@
   }
 
   /**
-   * Reads the body.
+   * Reads the request body.
    *
-   * @param limit the greatest size in bytes
+   * @param limit the maximum size in bytes
    * @return the body
    * @throws IOException if the connection breaks
-   * @throws RefusedException if the body is larger
+   * @throws RefusedException if the body is larger than the limit
    */
-  public byte[] bytes(int limit) throws IOException {
+  public byte[] readBytes(int limit) throws IOException {
     byte[] body = exchange.getInputStream().readNBytes(limit + 1);
     if (body.length > limit) {
       throw new RefusedException(
@@ -134,17 +134,17 @@
   }
 
   /**
-   * Reads the body as a message.
+   * Reads the request body as a JSON message.
    *
    * @param type the type of the message
-   * @param limit the greatest size in bytes
+   * @param limit the maximum size in bytes
    * @param <T> the type of the message
    * @return the message
    * @throws IOException if the connection breaks
-   * @throws RefusedException if the body is larger or is not such a message
+   * @throws RefusedException if the body is larger than the limit or is not a message of the type
    */
-  public <T> T body(Class<T> type, int limit) throws IOException {
-    byte[] bytes = bytes(limit);
+  public <T> T readMessage(Class<T> type, int limit) throws IOException {
+    byte[] bytes = readBytes(limit);
     try {
       T message = mapper.readValue(bytes, type);
       if (message == null) {
@@ -159,18 +159,18 @@
   /**
    * Sets a header of the answer.
    *
-   * @param name the name
+   * @param name the name of the header
    * @param value the value
    */
-  public void answerHeader(String name, String value) {
+  public void setAnswerHeader(String name, String value) {
     exchange.getResponseHeaders().put(new HttpString(name), value);
   }
 
   /**
-   * Answers with a JSON document.
+   * Sends a complete answer with a JSON body.
    *
    * @param status the HTTP status
-   * @param message what Jackson writes as JSON, or a text that already is JSON
+   * @param message the object to serialize with Jackson, or a string that already is JSON
    * @throws IOException if the connection breaks
    */
   public void reply(int status, Object message) throws IOException {
@@ -186,30 +186,30 @@
   }
 
   /**
-   * Begins an answer that is sent in parts.
+   * Starts a streamed answer with status 200.
    *
    * @param contentType the media type
    * @return the stream, to be flushed after each part
    */
-  public OutputStream stream(String contentType) {
+  public OutputStream startStream(String contentType) {
     exchange.setStatusCode(200);
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, contentType);
     return exchange.getOutputStream();
   }
 
   /**
-   * Writes one message as JSON.
+   * Serializes a message as JSON.
    *
    * @param message the message
-   * @return the bytes
-   * @throws IOException never in practice
+   * @return the JSON in UTF-8
+   * @throws IOException if the message cannot be serialized
    */
-  public byte[] json(Object message) throws IOException {
+  public byte[] toJson(Object message) throws IOException {
     return mapper.writeValueAsBytes(message);
   }
 
-  /** Closes the connection without an answer. */
-  public void cut() {
+  /** Closes the connection abruptly; an answer that has not been sent completely is lost. */
+  public void closeConnection() {
     IoUtils.safeClose(exchange.getConnection());
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/Controls.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/Controls.java
@@ -12,7 +12,8 @@
 import java.util.function.Function;
 
 /**
- * The control endpoint of a stand-in: {@code POST /control/{name}?parameter=value}.
+ * The control endpoint of a stand-in, which injects faults and shows counters: {@code POST
+ * /control/{name}?parameter=value}.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -26,26 +27,26 @@
 
   private record Done(boolean done) {}
 
-  private record Unknown(String error, Iterable<String> known) {}
+  private record ControlError(String error, Iterable<String> known) {}
 
   private Controls(Map<String, Function<Call, Object>> actions) {
     this.actions = ImmutableMap.copyOf(actions);
   }
 
   /**
-   * Starts a list of actions.
+   * Returns a builder without actions.
    *
-   * @return a builder
+   * @return the builder
    */
   public static Builder builder() {
     return new Builder();
   }
 
   /**
-   * Answers a call if it is one to the control endpoint.
+   * Answers a call if its path belongs to the control endpoint.
    *
    * @param call the call
-   * @return true if it was answered
+   * @return true if the call was answered, false if it is not for the control endpoint
    * @throws IOException if the connection breaks
    */
   public boolean handle(Call call) throws IOException {
@@ -54,19 +55,19 @@
     }
     Function<Call, Object> action = actions.get(call.pathAfter(PREFIX));
     if (action == null) {
-      call.reply(404, new Unknown("no such control", actions.keySet()));
+      call.reply(404, new ControlError("no such control", actions.keySet()));
       return true;
     }
     try {
       call.reply(200, action.apply(call));
     } catch (RefusedException e) {
-      call.reply(e.status(), new Unknown(e.getMessage(), actions.keySet()));
+      call.reply(e.status(), new ControlError(e.getMessage(), actions.keySet()));
     }
     return true;
   }
 
   /**
-   * Gathers actions. Not safe for use by several threads.
+   * Builds the controls of a stand-in. Not safe for use by several threads.
    *
    * @since 0.1
    */
@@ -76,13 +77,13 @@
 
     private Builder() {}
 
-    /** An action without an answer of its own. */
+    /** An action that returns no result. */
     @FunctionalInterface
     public interface Action {
       /**
-       * Does it.
+       * Runs the action.
        *
-       * @param call the call, for its parameters
+       * @param call the call, which holds the parameters
        */
       void run(Call call);
     }
@@ -91,7 +92,7 @@
      * Adds an action.
      *
      * @param name the name in the path
-     * @param action what to do
+     * @param action the action
      * @return this builder
      */
     public Builder action(String name, Action action) {
@@ -108,7 +109,7 @@
      * Adds a view.
      *
      * @param name the name in the path
-     * @param view gives what to show as JSON
+     * @param view returns the object that is sent as JSON
      * @return this builder
      */
     public Builder view(String name, Function<Call, Object> view) {
@@ -117,7 +118,7 @@
     }
 
     /**
-     * Ends the list.
+     * Builds the controls.
      *
      * @return the controls
      */
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineFaults.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineFaults.java
@@ -9,39 +9,39 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The faults of an engine that last over its incarnations.
+ * The injected faults of an engine, which are kept over its incarnations.
  *
  * <p>Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class EngineFaults {
-  /** Holds every thread of the engine while it is frozen. */
+  /** Blocks every thread of the engine while the engine is frozen. */
   public final Gate gate = new Gate();
 
-  /** True while transfers make no progress. */
-  public volatile boolean stalled;
+  /** True while KV transfers make no progress. */
+  public volatile boolean transfersStalled;
 
   /** True while new requests are refused. */
   public volatile boolean draining;
 
-  private final AtomicInteger failures = new AtomicInteger();
+  private final AtomicInteger remainingFailures = new AtomicInteger();
 
   /**
-   * Sets how many of the next requests fail.
+   * Sets the number of following requests that fail.
    *
-   * @param count the number
+   * @param count the number of requests
    */
   public void failNext(int count) {
-    failures.set(count);
+    remainingFailures.set(count);
   }
 
   /**
-   * Takes one failure if there is one left.
+   * Uses up one injected failure, if any is left.
    *
-   * @return true if this request fails
+   * @return true if the request must fail
    */
-  boolean takeFailure() {
-    return failures.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
+  boolean consumeFailure() {
+    return remainingFailures.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineIncarnation.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineIncarnation.java
@@ -13,15 +13,15 @@
 import org.larkkeel.standin.EngineSettings;
 
 /**
- * One run of an engine, from its start to its kill.
+ * One run of an engine, from its start until it is killed.
  *
- * <p>Invariant: a later incarnation of the process has a greater number. Safe for use by several
- * threads.
+ * <p>Invariant: an incarnation has a greater number than all earlier incarnations of any engine in
+ * the process. Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class EngineIncarnation implements AutoCloseable {
-  private static final AtomicLong LAST = new AtomicLong();
+  private static final AtomicLong LAST_NUMBER = new AtomicLong();
 
   private final EngineState state;
   private final EngineWorkers workers;
@@ -34,8 +34,8 @@
    *
    * @param settings the settings
    * @param bind the address to listen on
-   * @param faults the faults
-   * @param ledger records what is seen
+   * @param faults the injected faults
+   * @param ledger the record of requests, shared by all incarnations of the engine
    * @param controls the control endpoint
    */
   public EngineIncarnation(
@@ -45,24 +45,24 @@
       EngineLedger ledger,
       Controls controls) {
     this.controls = controls;
-    state = new EngineState(settings, nextIncarnation(), faults, ledger);
+    state = new EngineState(settings, nextNumber(), faults, ledger);
     routes = new EngineRoutes(state);
     server = new StandinServer(bind, EngineMessages.MAPPER, this::handle);
-    routes.serveAt(server.address());
+    routes.setAddress(server.address());
     workers = new EngineWorkers(state);
   }
 
   /**
-   * The address.
+   * Returns the address that the engine listens on.
    *
-   * @return the address with the real port
+   * @return the address with the actual port
    */
   public InetSocketAddress address() {
     return server.address();
   }
 
   /**
-   * The number of this incarnation.
+   * Returns the number of this incarnation.
    *
    * @return the number
    */
@@ -75,10 +75,10 @@
     state.evictAll();
   }
 
-  /** Ends abruptly: connections are closed and all state is lost. */
+  /** Ends the incarnation abruptly: all connections are closed and all state is lost. */
   @Override
   public void close() {
-    state.die();
+    state.kill();
     server.close();
     workers.close();
   }
@@ -87,11 +87,11 @@
     if (controls.handle(call)) {
       return;
     }
-    state.faults.gate.pass();
+    state.faults.gate.awaitOpen();
     routes.handle(call);
   }
 
-  private static long nextIncarnation() {
-    return LAST.updateAndGet(last -> Math.max(last + 1, System.currentTimeMillis()));
+  private static long nextNumber() {
+    return LAST_NUMBER.updateAndGet(last -> Math.max(last + 1, System.currentTimeMillis()));
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineMessages.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineMessages.java
@@ -13,7 +13,8 @@
 import java.util.List;
 
 /**
- * The messages of an engine; their JSON names are in snake case.
+ * The messages of the engine protocol. Their JSON names are the names of the record components in
+ * snake case.
  *
  * @since 0.1
  */
@@ -26,7 +27,7 @@
 
   private EngineMessages() {}
 
-  /** A prefill or decode request. */
+  /** A prefill request or a decode request. */
   record Completion(
       String model,
       String prompt,
@@ -36,7 +37,7 @@
       int resumeFrom,
       KvParams kvTransferParams) {}
 
-  /** Where a KV cache is, or what is to be done with it. */
+  /** The location of a KV cache, or the kind of a completion request. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   record KvParams(
       Boolean doRemoteDecode,
@@ -50,47 +51,47 @@
   /** The answer to a prefill. */
   record PrefillAnswer(String id, Usage usage, KvParams kvTransferParams) {}
 
-  /** The tokens of a prompt. */
+  /** The number of tokens of a prompt. */
   record Usage(int promptTokens, UsageDetails promptTokensDetails) {}
 
-  /** The tokens found in the prefix cache. */
+  /** The number of tokens found in the prefix cache. */
   record UsageDetails(int cachedTokens) {}
 
   /** A request to import a KV cache. */
   record ImportRequest(String requestId, KvParams kvTransferParams) {}
 
-  /** The answer to an import, with what a further import needs. */
+  /** The answer to an import, with the parameters to import the KV cache from here. */
   record ImportAnswer(String requestId, long kvBytes, KvParams kvTransferParams) {}
 
-  /** What an engine asks another for during an import. */
+  /** The steps by which an importing engine controls the export at the source engine. */
   enum ExportStep {
     BEGIN,
     DONE,
     ABORT
   }
 
-  /** A step of an import, from engine to engine. */
+  /** One step of an export, sent by the importing engine to the source engine. */
   record ExportRequest(ExportStep step, String remoteEngineId, String block) {}
 
-  /** The answer to a step of an import. */
+  /** The answer to a step of an export. */
   record ExportAnswer(int promptTokens, long kvBytes) {}
 
-  /** One token of a stream. */
+  /** One event of a stream, with one token. */
   record Chunk(String id, List<Choice> choices) {}
 
-  /** The one choice of a token. */
+  /** The only choice of an event, with the text of its token. */
   record Choice(int index, String text, int tokenIndex, String finishReason) {}
 
-  /** The answer to a cancel. */
+  /** The answer to the cancellation of a request. */
   record CancelAnswer(String state) {}
 
-  /** The requests held. */
+  /** The requests that an engine holds. */
   record HeldRequests(long incarnation, List<HeldRequest> requests) {}
 
-  /** One request held. */
+  /** One request that an engine holds. */
   record HeldRequest(String id, String stage, boolean slot) {}
 
-  /** The load at an earlier time. */
+  /** The load of an engine, as it was {@code ageMillis} ago. */
   record Load(
       long incarnation,
       long ageMillis,
@@ -102,19 +103,19 @@
       int kvPiecesFree,
       List<String> models) {}
 
-  /** The cache events that have appeared. */
+  /** The cache events that are visible. */
   record CacheEvents(long incarnation, List<CacheEvent> events) {}
 
   /** One change of the prefix cache. */
   record CacheEvent(long seq, List<String> stored, List<String> removed) {}
 
-  /** An order with its fencing number. */
+  /** An order to an engine with its fencing number. */
   record OrderRequest(Long fencing, Order order) {}
 
-  /** An order. */
+  /** An order to an engine. */
   record Order(String type, String model, String version, String adapter, String role) {}
 
-  /** What is in force. */
+  /** The state of an engine that orders control, with the last accepted fencing number. */
   record OrdersInForce(long fencing, String role, List<String> models, List<String> adapters) {}
 
   /** An error. */
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineOrders.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineOrders.java
@@ -20,42 +20,42 @@
 import org.larkkeel.standin.internal.EngineMessages.OrdersInForce;
 
 /**
- * The orders in force at an engine.
+ * The orders in force at one incarnation of an engine: its role, models and adapters.
  *
- * <p>Invariant: with {@link FencingHabit#CHECK} the fencing number never falls within an
- * incarnation. Safe for use by several threads.
+ * <p>Invariant: with {@link FencingHabit#CHECK} the fencing number never decreases. Safe for use by
+ * several threads.
  *
  * @since 0.1
  */
 final class EngineOrders {
-  private final FencingHabit habit;
+  private final FencingHabit fencingMode;
   private final Map<String, String> versions = new TreeMap<>();
   private final TreeSet<String> adapters = new TreeSet<>();
   private EngineRole role;
   private long fencing;
 
   EngineOrders(EngineSettings settings) {
-    habit = settings.fencing();
+    fencingMode = settings.fencing();
     role = settings.role();
     settings.models().forEach(model -> versions.put(model, ""));
   }
 
-  /** Checks an order before it is carried out. */
+  /** Checks an order and records its fencing number, before the order is executed. */
   synchronized void accept(OrderRequest request) {
     if (request.fencing() == null || request.order() == null || request.order().type() == null) {
       throw RefusedException.malformed("fencing, order or order.type is missing: send all three");
     }
     check(request.order());
-    if (habit == FencingHabit.CHECK && request.fencing() < fencing) {
+    if (fencingMode == FencingHabit.CHECK && request.fencing() < fencing) {
       throw new RefusedException(
           409, "stale_fencing", "fencing is " + request.fencing() + ", " + fencing + " was seen");
     }
     fencing = request.fencing();
   }
 
-  /** Puts an accepted order in force, unless a newer number has been accepted since. */
+  /** Puts an accepted order in force, unless a higher fencing number was accepted since then. */
   synchronized void apply(OrderRequest request) {
-    if (habit == FencingHabit.CHECK && request.fencing() < fencing) {
+    if (fencingMode == FencingHabit.CHECK && request.fencing() < fencing) {
       throw new RefusedException(
           409, "stale_fencing", "a newer order came while this one was under way");
     }
@@ -65,7 +65,7 @@
           versions.put(order.model(), order.version() == null ? "" : order.version());
       case "unload_model" -> versions.remove(order.model());
       case "load_adapter" -> adapters.add(order.adapter());
-      default -> role = roleOf(order.role());
+      default -> role = parseRole(order.role());
     }
   }
 
@@ -73,7 +73,7 @@
     List<String> models = new ArrayList<>();
     versions.forEach(
         (model, version) -> models.add(version.isEmpty() ? model : model + "@" + version));
-    return new OrdersInForce(fencing, roleWord(), models, List.copyOf(adapters));
+    return new OrdersInForce(fencing, roleName(), models, List.copyOf(adapters));
   }
 
   synchronized List<String> models() {
@@ -84,15 +84,15 @@
     return role;
   }
 
-  synchronized String roleWord() {
+  synchronized String roleName() {
     return role.name().toLowerCase(Locale.ROOT);
   }
 
   private static void check(Order order) {
     switch (order.type()) {
-      case "load_model", "unload_model" -> present("order.model", order.model());
-      case "load_adapter" -> present("order.adapter", order.adapter());
-      case "set_role" -> roleOf(order.role());
+      case "load_model", "unload_model" -> requirePresent("order.model", order.model());
+      case "load_adapter" -> requirePresent("order.adapter", order.adapter());
+      case "set_role" -> parseRole(order.role());
       default ->
           throw RefusedException.malformed(
               "order.type is \""
@@ -101,18 +101,18 @@
     }
   }
 
-  private static void present(String field, String value) {
+  private static void requirePresent(String field, String value) {
     if (value == null) {
       throw RefusedException.malformed(field + " is missing: send a name");
     }
   }
 
-  private static EngineRole roleOf(String word) {
+  private static EngineRole parseRole(String name) {
     for (EngineRole role : EngineRole.values()) {
-      if (role.name().toLowerCase(Locale.ROOT).equals(word)) {
+      if (role.name().toLowerCase(Locale.ROOT).equals(name)) {
         return role;
       }
     }
-    throw RefusedException.malformed("order.role is \"" + word + "\": use prefill or decode");
+    throw RefusedException.malformed("order.role is \"" + name + "\": use prefill or decode");
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineRequest.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineRequest.java
@@ -12,12 +12,12 @@
 /**
  * One request at an engine.
  *
- * <p>Guarded by the monitor of its {@link EngineState}, but for the final fields.
+ * <p>All fields that are not final are guarded by the monitor of the {@link EngineState}.
  *
  * @since 0.1
  */
 final class EngineRequest {
-  /** The stages of a request. */
+  /** The stages of a request; several of them have the same name on the wire. */
   enum Stage {
     QUEUED("prefilling"),
     PREFILLING("prefilling"),
@@ -28,47 +28,47 @@
     EVICTED("finished"),
     CANCELLED("cancelled");
 
-    final String word;
+    final String wireName;
 
     Stage(String word) {
-      this.word = word;
+      this.wireName = word;
     }
 
-    boolean isOver() {
+    boolean isTerminal() {
       return this == FINISHED || this == EVICTED || this == CANCELLED;
     }
   }
 
   final String id;
-  final String block;
+  final String blockId;
   final int promptTokens;
   final int pieces;
   final int priority;
-  final long order;
+  final long sequenceNumber;
   final List<String> prefixKeys;
 
   Stage stage;
-  boolean slot;
-  boolean memory;
+  boolean holdsSlot;
+  boolean holdsMemory;
   int cachedTokens;
   boolean prefilled;
-  long evictAt = Long.MAX_VALUE;
+  long evictAtNanos = Long.MAX_VALUE;
   AnswerOracle.Answer answer;
-  int produced;
-  int end;
+  int producedTokens;
+  int answerTokens;
   String finishReason;
 
   EngineRequest(
       String id,
-      long order,
+      long sequenceNumber,
       int promptTokens,
       int pieces,
       int priority,
       List<String> prefixKeys,
       Stage stage) {
     this.id = id;
-    this.order = order;
-    this.block = "block-" + order;
+    this.sequenceNumber = sequenceNumber;
+    this.blockId = "block-" + sequenceNumber;
     this.promptTokens = promptTokens;
     this.pieces = pieces;
     this.priority = priority;
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineRoutes.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineRoutes.java
@@ -28,15 +28,15 @@
 import org.larkkeel.standin.internal.EngineMessages.UsageDetails;
 
 /**
- * The HTTP side of one incarnation of an engine.
+ * The HTTP API of one incarnation of an engine.
  *
  * <p>Safe for use by several threads.
  *
  * @since 0.1
  */
 final class EngineRoutes implements CallHandler {
-  private static final String REQUESTS = "/v1/requests/";
-  private static final int MAX_BODY = 16 << 20;
+  private static final String REQUESTS_PREFIX = "/v1/requests/";
+  private static final int MAX_BODY_BYTES = 16 << 20;
 
   private final EngineState state;
   private final KvLink link;
@@ -47,8 +47,8 @@
     this.link = new KvLink(state);
   }
 
-  /** Sets the address that importing engines are told. */
-  void serveAt(InetSocketAddress value) {
+  /** Sets the address that is announced to importing engines. */
+  void setAddress(InetSocketAddress value) {
     address = value;
   }
 
@@ -62,32 +62,32 @@
   }
 
   private void route(Call call) throws IOException, InterruptedException {
-    if (call.method().equals("DELETE") && call.path().startsWith(REQUESTS)) {
-      call.reply(200, new CancelAnswer(state.cancel(call.pathAfter(REQUESTS))));
+    if (call.method().equals("DELETE") && call.path().startsWith(REQUESTS_PREFIX)) {
+      call.reply(200, new CancelAnswer(state.cancel(call.pathAfter(REQUESTS_PREFIX))));
       return;
     }
     switch (call.method() + " " + call.path()) {
       case "POST /v1/completions" -> complete(call);
       case "POST /v1/kv/imports" -> importKv(call);
       case "POST /v1/kv/exports" -> exportKv(call);
-      case "GET /v1/requests" -> call.reply(200, state.held());
+      case "GET /v1/requests" -> call.reply(200, state.heldRequests());
       case "GET /v1/load" -> call.reply(200, state.load());
       case "GET /v1/cache/events" ->
           call.reply(200, state.eventsAfter(call.queryNumber("after", 0)));
-      case "POST /v1/orders" -> order(call);
+      case "POST /v1/orders" -> handleOrder(call);
       case "GET /v1/orders" -> call.reply(200, state.orders.inForce());
       default -> throw new RefusedException(404, "not_found", "no such method and path");
     }
   }
 
   private void complete(Call call) throws IOException, InterruptedException {
-    Completion message = call.body(Completion.class, MAX_BODY);
+    Completion message = call.readMessage(Completion.class, MAX_BODY_BYTES);
     String id = requestId(call);
     if (message.model() == null || message.prompt() == null || message.kvTransferParams() == null) {
       throw RefusedException.malformed(
           "model, prompt or kv_transfer_params is missing: send all three");
     }
-    failOnDemand();
+    failIfRequested();
     KvParams params = message.kvTransferParams();
     if (Boolean.TRUE.equals(params.doRemoteDecode())) {
       prefill(call, id, message);
@@ -103,13 +103,13 @@
       throws IOException, InterruptedException {
     EngineRequest request = state.submitPrefill(id, message);
     state.awaitPrefill(request);
-    state.faults.gate.pass();
+    state.faults.gate.awaitOpen();
     call.reply(
         200,
         new PrefillAnswer(
             id,
             new Usage(request.promptTokens, new UsageDetails(request.cachedTokens)),
-            params(request)));
+            transferParams(request)));
   }
 
   private void decode(Call call, String id, Completion message)
@@ -118,14 +118,14 @@
       throw RefusedException.malformed("max_tokens is missing or below 1: send 1 or more");
     }
     EngineRequest request = state.decode(id, message);
-    int from = Math.max(0, message.resumeFrom());
-    if (from < request.end) {
-      state.awaitToken(request, from);
+    int firstToken = Math.max(0, message.resumeFrom());
+    if (firstToken < request.answerTokens) {
+      state.awaitToken(request, firstToken);
     }
     try {
-      stream(call, request, from);
+      stream(call, request, firstToken);
     } catch (RefusedException e) {
-      call.cut();
+      call.closeConnection();
     } catch (IOException e) {
       if (state.settings.cancelOnDisconnect()) {
         state.cancel(id);
@@ -134,20 +134,20 @@
     }
   }
 
-  private void stream(Call call, EngineRequest request, int from)
+  private void stream(Call call, EngineRequest request, int firstToken)
       throws IOException, InterruptedException {
-    OutputStream out = call.stream("text/event-stream");
-    for (int i = from; i < request.end && state.awaitToken(request, i); i++) {
-      state.faults.gate.pass();
-      String reason = i == request.end - 1 ? request.finishReason : null;
+    OutputStream out = call.startStream("text/event-stream");
+    for (int i = firstToken; i < request.answerTokens && state.awaitToken(request, i); i++) {
+      state.faults.gate.awaitOpen();
+      String reason = i == request.answerTokens - 1 ? request.finishReason : null;
       Choice choice = new Choice(0, request.answer.text(i), i, reason);
-      event(out, call.json(new Chunk(request.id, List.of(choice))));
+      writeEvent(out, call.toJson(new Chunk(request.id, List.of(choice))));
     }
-    event(out, "[DONE]".getBytes(StandardCharsets.UTF_8));
+    writeEvent(out, "[DONE]".getBytes(StandardCharsets.UTF_8));
     out.close();
   }
 
-  private static void event(OutputStream out, byte[] data) throws IOException {
+  private static void writeEvent(OutputStream out, byte[] data) throws IOException {
     out.write("data: ".getBytes(StandardCharsets.UTF_8));
     out.write(data);
     out.write("\n\n".getBytes(StandardCharsets.UTF_8));
@@ -155,22 +155,22 @@
   }
 
   private void importKv(Call call) throws IOException, InterruptedException {
-    ImportRequest message = call.body(ImportRequest.class, MAX_BODY);
+    ImportRequest message = call.readMessage(ImportRequest.class, MAX_BODY_BYTES);
     KvParams source = message.kvTransferParams();
-    check(message, source);
-    failOnDemand();
-    EngineState.Taken taken = state.beginImport(message.requestId(), source.kvBytes());
-    EngineRequest request = taken.request();
-    if (taken.isNew()) {
+    checkImport(message, source);
+    failIfRequested();
+    EngineState.ImportStart start = state.beginImport(message.requestId(), source.kvBytes());
+    EngineRequest request = start.request();
+    if (start.isNew()) {
       link.pull(request, source);
     }
     state.awaitImport(request);
-    state.faults.gate.pass();
-    call.reply(200, new ImportAnswer(request.id, state.kvBytes(request), params(request)));
+    state.faults.gate.awaitOpen();
+    call.reply(200, new ImportAnswer(request.id, state.kvBytes(request), transferParams(request)));
   }
 
-  private static void check(ImportRequest message, KvParams source) {
-    boolean whole =
+  private static void checkImport(ImportRequest message, KvParams source) {
+    boolean isComplete =
         message.requestId() != null
             && source != null
             && source.remoteEngineId() != null
@@ -179,7 +179,7 @@
             && source.remoteHost() != null
             && source.remotePort() != null
             && source.kvBytes() != null;
-    if (!whole) {
+    if (!isComplete) {
       throw RefusedException.malformed(
           "request_id or a field of kv_transfer_params is missing: send those of the prefill's"
               + " answer");
@@ -187,7 +187,7 @@
   }
 
   private void exportKv(Call call) throws IOException {
-    ExportRequest message = call.body(ExportRequest.class, MAX_BODY);
+    ExportRequest message = call.readMessage(ExportRequest.class, MAX_BODY_BYTES);
     if (!state.engineId().equals(message.remoteEngineId())) {
       throw new RefusedException(410, "evicted", "this engine is " + state.engineId());
     }
@@ -200,8 +200,8 @@
     call.reply(200, answer);
   }
 
-  private void order(Call call) throws IOException, InterruptedException {
-    OrderRequest message = call.body(OrderRequest.class, MAX_BODY);
+  private void handleOrder(Call call) throws IOException, InterruptedException {
+    OrderRequest message = call.readMessage(OrderRequest.class, MAX_BODY_BYTES);
     state.orders.accept(message);
     if (message.order().type().startsWith("load_")) {
       Thread.sleep(state.settings.loadMillis());
@@ -210,12 +210,12 @@
     call.reply(200, state.orders.inForce());
   }
 
-  private KvParams params(EngineRequest request) {
+  private KvParams transferParams(EngineRequest request) {
     return state.transferParams(request, address.getHostString(), address.getPort());
   }
 
-  private void failOnDemand() {
-    if (state.faults.takeFailure()) {
+  private void failIfRequested() {
+    if (state.faults.consumeFailure()) {
       throw new RefusedException(500, "internal", "failed on demand");
     }
   }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineState.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineState.java
@@ -28,9 +28,9 @@
 /**
  * The requests, slots and memory of one incarnation of an engine.
  *
- * <p>Invariants: a request that is over holds neither slot nor memory; slots and pieces in use
- * never pass their limits. The monitor guards all; it is notified at each change. Safe for use by
- * several threads.
+ * <p>Invariants: a request in a terminal stage holds neither slot nor memory; slots and pieces in
+ * use never exceed their limits. The monitor of this object guards the state and is notified of
+ * changes. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -44,12 +44,13 @@
   private final RequestTable table;
   private final PriorityQueue<EngineRequest> queue =
       new PriorityQueue<>(
-          Comparator.<EngineRequest>comparingInt(r -> r.priority).thenComparingLong(r -> r.order));
+          Comparator.<EngineRequest>comparingInt(r -> r.priority)
+              .thenComparingLong(r -> r.sequenceNumber));
   private final Set<EngineRequest> batch = new LinkedHashSet<>();
   private final PrefixCache cache;
   private final ReportLog reports;
-  private long nextOrder;
-  private boolean dead;
+  private long nextSequenceNumber;
+  private boolean killed;
 
   EngineState(EngineSettings settings, long incarnation, EngineFaults faults, EngineLedger ledger) {
     this.settings = settings;
@@ -60,29 +61,29 @@
     table = new RequestTable(settings.memory(), ledger, incarnation);
     cache = new PrefixCache(settings.memory().prefixPieces());
     reports = new ReportLog(settings.reports());
-    reports.sample(loadNow(), System.nanoTime());
+    reports.sample(currentLoad(), System.nanoTime());
   }
 
-  synchronized boolean isDead() {
-    return dead;
+  synchronized boolean isKilled() {
+    return killed;
   }
 
-  synchronized void die() {
-    dead = true;
-    ledger.loseAll(incarnation);
+  synchronized void kill() {
+    killed = true;
+    ledger.recordLostIncarnation(incarnation);
     notifyAll();
   }
 
   // Prefill.
 
   synchronized EngineRequest submitPrefill(String id, Completion message) {
-    EngineRequest known = table.find(id);
-    if (known != null) {
-      return known;
+    EngineRequest existing = table.find(id);
+    if (existing != null) {
+      return existing;
     }
     admit(message.model(), EngineRole.PREFILL);
     int tokens = AnswerOracle.promptTokens(message.prompt());
-    int pieces = piecesFor(tokens);
+    int pieces = piecesOf(tokens);
     if (pieces > memory().kvPieces()) {
       throw RefusedException.malformed(
           "prompt has " + tokens + " tokens: it never fits, send a shorter one");
@@ -93,7 +94,7 @@
     EngineRequest request =
         new EngineRequest(
             id,
-            nextOrder++,
+            nextSequenceNumber++,
             tokens,
             pieces,
             message.priority(),
@@ -105,109 +106,114 @@
     return request;
   }
 
-  /** Takes the first of the queue as soon as its KV cache fits; null once dead. */
-  synchronized EngineRequest takePrefill() throws InterruptedException {
-    while (!dead && (queue.isEmpty() || !table.fits(queue.peek().pieces))) {
+  /**
+   * Waits until the KV cache of the first queued request fits, and starts the request; null once
+   * the engine is killed.
+   */
+  synchronized EngineRequest awaitNextPrefill() throws InterruptedException {
+    while (!killed && (queue.isEmpty() || !table.fits(queue.peek().pieces))) {
       wait();
     }
-    if (dead) {
+    if (killed) {
       return null;
     }
     EngineRequest request = queue.remove();
     request.stage = Stage.PREFILLING;
-    table.takePieces(request);
+    table.reservePieces(request);
     request.cachedTokens =
         Math.min(cache.cachedTokens(request.prefixKeys), Math.max(0, request.promptTokens - 1));
-    ledger.prefill(incarnation, request.id, request.promptTokens, 0);
+    ledger.recordPrefill(incarnation, request.id, request.promptTokens, 0);
     return request;
   }
 
-  /** Records progress of a prefill; false if it is over. */
-  synchronized boolean progressPrefill(EngineRequest request, int tokens) {
-    if (dead || request.stage != Stage.PREFILLING) {
+  /** Records the progress of a prefill; returns false if the prefill has ended. */
+  synchronized boolean recordPrefillProgress(EngineRequest request, int tokens) {
+    if (killed || request.stage != Stage.PREFILLING) {
       return false;
     }
-    ledger.prefill(incarnation, request.id, request.promptTokens, tokens);
+    ledger.recordPrefill(incarnation, request.id, request.promptTokens, tokens);
     return true;
   }
 
   synchronized void finishPrefill(EngineRequest request) {
-    if (!progressPrefill(request, request.promptTokens - request.cachedTokens)) {
+    if (!recordPrefillProgress(request, request.promptTokens - request.cachedTokens)) {
       return;
     }
     long now = System.nanoTime();
     request.stage = Stage.HELD;
     request.prefilled = true;
-    request.evictAt = now + TimeUnit.MILLISECONDS.toNanos(memory().evictMillis());
+    request.evictAtNanos = now + TimeUnit.MILLISECONDS.toNanos(memory().evictAfterMillis());
     reports.add(cache.store(request.prefixKeys), now);
     notifyAll();
   }
 
-  /** Waits until a prefill is done; it may have been evicted since. */
+  /** Waits until a prefill is finished. Its KV cache may have been evicted in the meantime. */
   synchronized void awaitPrefill(EngineRequest request) throws InterruptedException {
-    while (!dead && !request.prefilled && !request.stage.isOver()) {
+    while (!killed && !request.prefilled && !request.stage.isTerminal()) {
       wait();
     }
-    failIfDead();
+    throwIfKilled();
     if (!request.prefilled) {
-      throw over(request);
+      throw endedException(request);
     }
   }
 
   // Export and import.
 
-  synchronized ExportAnswer beginExport(String block) {
-    EngineRequest request = table.exportable(block);
+  synchronized ExportAnswer beginExport(String blockId) {
+    EngineRequest request = table.findExportable(blockId);
     if (request.prefilled) {
-      request.evictAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(memory().exportMillis());
+      request.evictAtNanos =
+          System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(memory().exportTimeoutMillis());
     }
     return new ExportAnswer(request.promptTokens, kvBytes(request));
   }
 
-  synchronized ExportAnswer finishExport(String block) {
-    EngineRequest request = table.exportable(block);
-    end(request, Stage.FINISHED, Fate.IMPORTED);
+  synchronized ExportAnswer finishExport(String blockId) {
+    EngineRequest request = table.findExportable(blockId);
+    endRequest(request, Stage.FINISHED, Fate.IMPORTED);
     return new ExportAnswer(request.promptTokens, kvBytes(request));
   }
 
-  synchronized ExportAnswer abortExport(String block) {
-    EngineRequest request = table.exportable(block);
+  synchronized ExportAnswer abortExport(String blockId) {
+    EngineRequest request = table.findExportable(blockId);
     if (request.prefilled) {
-      request.evictAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(memory().evictMillis());
+      request.evictAtNanos =
+          System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(memory().evictAfterMillis());
     }
     return new ExportAnswer(request.promptTokens, kvBytes(request));
   }
 
-  /** Takes a slot for an import; an id that is known already is not taken again. */
-  synchronized Taken beginImport(String id, long kvBytes) {
-    EngineRequest known = table.find(id);
-    if (known != null) {
-      return new Taken(known, false);
+  /** Reserves a slot and memory for an import. Returns the existing request if the id is known. */
+  synchronized ImportStart beginImport(String id, long kvBytes) {
+    EngineRequest existing = table.find(id);
+    if (existing != null) {
+      return new ImportStart(existing, false);
     }
     admit(null, EngineRole.DECODE);
     int tokens = (int) (kvBytes / memory().kvBytesPerToken());
-    int pieces = piecesFor(tokens);
-    if (!table.hasSlot() || !table.fits(pieces)) {
+    int pieces = piecesOf(tokens);
+    if (!table.hasFreeSlot() || !table.fits(pieces)) {
       throw new RefusedException(503, "no_slot", "no slot or no memory is free");
     }
     EngineRequest request =
-        new EngineRequest(id, nextOrder++, tokens, pieces, 0, List.of(), Stage.IMPORTING);
+        new EngineRequest(id, nextSequenceNumber++, tokens, pieces, 0, List.of(), Stage.IMPORTING);
     table.add(request);
-    table.takePieces(request);
-    table.takeSlot(request);
-    ledger.startImport(incarnation, id, tokens);
+    table.reservePieces(request);
+    table.reserveSlot(request);
+    ledger.recordImport(incarnation, id, tokens);
     notifyAll();
-    return new Taken(request, true);
+    return new ImportStart(request, true);
   }
 
-  /** A request, and whether this call took it. */
-  record Taken(EngineRequest request, boolean isNew) {}
+  /** A request, and whether this call created it. */
+  record ImportStart(EngineRequest request, boolean isNew) {}
 
   synchronized boolean isImporting(EngineRequest request) {
-    return !dead && request.stage == Stage.IMPORTING;
+    return !killed && request.stage == Stage.IMPORTING;
   }
 
-  synchronized int importing() {
+  synchronized int importingCount() {
     return table.count(Stage.IMPORTING);
   }
 
@@ -220,7 +226,7 @@
 
   synchronized void failImport(EngineRequest request) {
     if (isImporting(request)) {
-      end(request, Stage.EVICTED, Fate.LOST);
+      endRequest(request, Stage.EVICTED, Fate.LOST);
     }
   }
 
@@ -228,9 +234,9 @@
     while (isImporting(request)) {
       wait();
     }
-    failIfDead();
-    if (request.stage.isOver()) {
-      throw over(request);
+    throwIfKilled();
+    if (request.stage.isTerminal()) {
+      throw endedException(request);
     }
   }
 
@@ -244,21 +250,21 @@
     if (request.answer != null && request.stage != Stage.CANCELLED) {
       return request;
     }
-    if (request.stage != Stage.HELD || !request.slot) {
-      throw over(request);
+    if (request.stage != Stage.HELD || !request.holdsSlot) {
+      throw endedException(request);
     }
     if (!orders.models().contains(message.model())) {
-      throw noModel(message.model());
+      throw modelNotFound(message.model());
     }
     AnswerOracle.Answer answer = AnswerOracle.answer(message.model(), message.prompt());
     request.answer = answer;
-    request.end = answer.tokens(message.maxTokens());
+    request.answerTokens = answer.tokens(message.maxTokens());
     request.finishReason = answer.length() <= message.maxTokens() ? "stop" : "length";
-    request.produced = Math.min(Math.max(0, message.resumeFrom()), request.end);
+    request.producedTokens = Math.min(Math.max(0, message.resumeFrom()), request.answerTokens);
     request.stage = Stage.DECODING;
-    ledger.decode(id);
-    if (request.produced == request.end) {
-      end(request, Stage.FINISHED, Fate.DECODED);
+    ledger.recordDecode(id);
+    if (request.producedTokens == request.answerTokens) {
+      endRequest(request, Stage.FINISHED, Fate.DECODED);
     } else {
       batch.add(request);
     }
@@ -266,82 +272,82 @@
     return request;
   }
 
-  /** Waits for requests to decode; their number, or 0 once dead. */
-  synchronized int awaitBatch() throws InterruptedException {
-    while (!dead && batch.isEmpty()) {
+  /** Waits until the batch is not empty; returns its size, or 0 once the engine is killed. */
+  synchronized int awaitBatchSize() throws InterruptedException {
+    while (!killed && batch.isEmpty()) {
       wait();
     }
-    return dead ? 0 : batch.size();
+    return killed ? 0 : batch.size();
   }
 
   synchronized int batchSize() {
-    return dead ? 0 : batch.size();
+    return killed ? 0 : batch.size();
   }
 
-  /** Writes one token of each request of the batch. */
-  synchronized void step() {
-    if (dead) {
+  /** Decodes one token for each request of the batch. */
+  synchronized void runDecodeStep() {
+    if (killed) {
       return;
     }
-    ledger.decoded(batch.size());
+    ledger.recordDecodedTokens(batch.size());
     for (EngineRequest request : List.copyOf(batch)) {
-      request.produced++;
-      if (request.produced == request.end) {
-        end(request, Stage.FINISHED, Fate.DECODED);
+      request.producedTokens++;
+      if (request.producedTokens == request.answerTokens) {
+        endRequest(request, Stage.FINISHED, Fate.DECODED);
       }
     }
     notifyAll();
   }
 
-  /** Waits until a token is written; false after the last one. */
+  /** Waits until a token is decoded; returns false if the index is after the last token. */
   synchronized boolean awaitToken(EngineRequest request, int index) throws InterruptedException {
-    while (!dead && index >= request.produced && !request.stage.isOver()) {
+    while (!killed && index >= request.producedTokens && !request.stage.isTerminal()) {
       wait();
     }
-    failIfDead();
-    if (index < request.produced) {
+    throwIfKilled();
+    if (index < request.producedTokens) {
       return true;
     }
-    if (request.produced < request.end) {
-      throw over(request);
+    if (request.producedTokens < request.answerTokens) {
+      throw endedException(request);
     }
     return false;
   }
 
-  // Cancel, eviction, reports.
+  // Cancellation, eviction, reports.
 
   synchronized String cancel(String id) {
     EngineRequest request = table.find(id);
     if (request == null) {
       return "unknown";
     }
-    if (!request.stage.isOver()) {
-      end(request, Stage.CANCELLED, Fate.CANCELLED);
+    if (!request.stage.isTerminal()) {
+      endRequest(request, Stage.CANCELLED, Fate.CANCELLED);
     }
-    return request.stage.word;
+    return request.stage.wireName;
   }
 
   synchronized void evictAll() {
-    for (EngineRequest request : table.live()) {
+    for (EngineRequest request : table.active()) {
       if (request.stage != Stage.QUEUED) {
-        end(request, Stage.EVICTED, Fate.EVICTED);
+        endRequest(request, Stage.EVICTED, Fate.EVICTED);
       }
     }
     reports.add(cache.clear(), System.nanoTime());
   }
 
-  /** Evicts what has been held too long and samples the load. */
+  /** Evicts expired KV caches and samples the load. */
   synchronized void housekeep() {
-    if (dead) {
+    if (killed) {
       return;
     }
     long now = System.nanoTime();
-    for (EngineRequest request : table.live()) {
-      if (request.evictAt != Long.MAX_VALUE && request.evictAt - now <= 0) {
-        end(request, Stage.EVICTED, Fate.EVICTED);
+    for (EngineRequest request : table.active()) {
+      if (request.evictAtNanos != Long.MAX_VALUE && request.evictAtNanos - now <= 0) {
+        endRequest(request, Stage.EVICTED, Fate.EVICTED);
       }
     }
-    reports.sample(loadNow(), now);
+    reports.sample(currentLoad(), now);
   }
 
   synchronized Load load() {
@@ -352,34 +358,34 @@
     return new EngineMessages.CacheEvents(incarnation, reports.eventsAfter(seq, System.nanoTime()));
   }
 
-  synchronized HeldRequests held() {
-    return new HeldRequests(incarnation, table.held());
+  synchronized HeldRequests heldRequests() {
+    return new HeldRequests(incarnation, table.heldRequests());
   }
 
   long kvBytes(EngineRequest request) {
     return request.promptTokens * memory().kvBytesPerToken();
   }
 
-  /** What another engine needs to import the KV cache of a request. */
+  /** Returns the parameters with which another engine imports the KV cache of a request. */
   KvParams transferParams(EngineRequest request, String host, int port) {
     return new KvParams(
-        null, null, engineId(), List.of(request.block), host, port, kvBytes(request));
+        null, null, engineId(), List.of(request.blockId), host, port, kvBytes(request));
   }
 
   String engineId() {
     return settings.name() + "/" + incarnation;
   }
 
-  private Load loadNow() {
+  private Load currentLoad() {
     return new Load(
         incarnation,
         0,
-        orders.roleWord(),
+        orders.roleName(),
         memory().slots(),
-        table.slotsUsed() + table.count(Stage.PREFILLING),
+        table.usedSlots() + table.count(Stage.PREFILLING),
         queue.size(),
         memory().kvPieces(),
-        table.piecesFree(),
+        table.freePieces(),
         orders.models());
   }
 
@@ -388,27 +394,27 @@
       throw new RefusedException(503, "draining", "the engine takes no new requests");
     }
     if (orders.role() != role) {
-      throw new RefusedException(503, "busy", "the engine's role is " + orders.roleWord());
+      throw new RefusedException(503, "busy", "the engine's role is " + orders.roleName());
     }
     if (model != null && !orders.models().contains(model)) {
-      throw noModel(model);
+      throw modelNotFound(model);
     }
   }
 
-  private void end(EngineRequest request, Stage stage, Fate fate) {
+  private void endRequest(EngineRequest request, Stage stage, Fate fate) {
     table.end(request, stage, fate);
     queue.remove(request);
     batch.remove(request);
     notifyAll();
   }
 
-  private void failIfDead() throws InterruptedException {
-    if (dead) {
+  private void throwIfKilled() throws InterruptedException {
+    if (killed) {
       throw new InterruptedException("the engine was killed");
     }
   }
 
-  private int piecesFor(int tokens) {
+  private int piecesOf(int tokens) {
     return Math.max(1, (tokens + PrefixCache.PIECE_TOKENS - 1) / PrefixCache.PIECE_TOKENS);
   }
 
@@ -416,11 +422,11 @@
     return settings.memory();
   }
 
-  private static RefusedException noModel(String model) {
+  private static RefusedException modelNotFound(String model) {
     return new RefusedException(404, "model_not_found", "model " + model + " is not loaded");
   }
 
-  private static RefusedException over(EngineRequest request) {
+  private static RefusedException endedException(EngineRequest request) {
     if (request.stage == Stage.CANCELLED) {
       return new RefusedException(409, "cancelled", request.id + " was cancelled");
     }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineWorkers.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineWorkers.java
@@ -13,20 +13,26 @@
 /**
  * The threads of one incarnation of an engine: prefill, decode and housekeeping.
  *
+ * <p>Prefill and decode sleep for the time that the hardware would need.
+ *
  * <p>Safe for use by several threads.
  *
  * @since 0.1
  */
 final class EngineWorkers implements AutoCloseable {
-  private static final Duration HOUSEKEEPING = Duration.ofMillis(20);
+  private static final Duration HOUSEKEEPING_INTERVAL = Duration.ofMillis(20);
+
+  /**
+   * The maximum sleep between two steps of a prefill, and the maximum delay that decoding makes up.
+   */
   private static final long SLICE_NANOS = 10_000_000;
 
   private final EngineState state;
   private final List<Thread> threads = new ArrayList<>();
 
-  private interface Work {
-    /** Does one round; false to end. */
-    boolean round() throws InterruptedException;
+  private interface Worker {
+    /** Runs one round; returns false if the thread must end. */
+    boolean runRound() throws InterruptedException;
   }
 
   EngineWorkers(EngineState state) {
@@ -41,16 +47,17 @@
     threads.forEach(Thread::interrupt);
   }
 
-  private void start(String name, Work work) {
-    threads.add(Thread.ofVirtual().name(state.settings.name() + "-" + name).start(() -> run(work)));
+  private void start(String name, Worker worker) {
+    threads.add(
+        Thread.ofVirtual().name(state.settings.name() + "-" + name).start(() -> run(worker)));
   }
 
-  private void run(Work work) {
+  private void run(Worker worker) {
     try {
-      boolean more = true;
-      while (more) {
-        state.faults.gate.pass();
-        more = work.round();
+      boolean hasMore = true;
+      while (hasMore) {
+        state.faults.gate.awaitOpen();
+        hasMore = worker.runRound();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -58,19 +65,20 @@
   }
 
   private boolean prefill() throws InterruptedException {
-    EngineRequest request = state.takePrefill();
+    EngineRequest request = state.awaitNextPrefill();
     if (request == null) {
       return false;
     }
     int tokens = request.promptTokens - request.cachedTokens;
-    long total = state.settings.speeds().prefillNanos(tokens);
-    long done = 0;
-    while (done < total) {
-      state.faults.gate.pass();
-      long before = System.nanoTime();
-      Thread.sleep(Duration.ofNanos(Math.min(SLICE_NANOS, total - done)));
-      done = Math.min(total, done + System.nanoTime() - before);
-      if (!state.progressPrefill(request, (int) (tokens * (done / (double) total)))) {
+    long totalNanos = state.settings.speeds().prefillNanos(tokens);
+    long doneNanos = 0;
+    while (doneNanos < totalNanos) {
+      state.faults.gate.awaitOpen();
+      long sleepStartNanos = System.nanoTime();
+      Thread.sleep(Duration.ofNanos(Math.min(SLICE_NANOS, totalNanos - doneNanos)));
+      doneNanos = Math.min(totalNanos, doneNanos + System.nanoTime() - sleepStartNanos);
+      if (!state.recordPrefillProgress(
+          request, (int) (tokens * (doneNanos / (double) totalNanos)))) {
         return true;
       }
     }
@@ -79,26 +87,26 @@
   }
 
   private boolean decode() throws InterruptedException {
-    int batch = state.awaitBatch();
-    if (batch == 0) {
+    int batchSize = state.awaitBatchSize();
+    if (batchSize == 0) {
       return false;
     }
-    long next = System.nanoTime() + state.settings.speeds().stepNanos(batch);
-    while (batch > 0) {
-      Thread.sleep(Duration.ofNanos(Math.max(0, next - System.nanoTime())));
-      state.faults.gate.pass();
-      state.step();
-      batch = state.batchSize();
-      next =
-          Math.max(next, System.nanoTime() - SLICE_NANOS)
-              + state.settings.speeds().stepNanos(batch);
+    long nextStepNanos = System.nanoTime() + state.settings.speeds().stepNanos(batchSize);
+    while (batchSize > 0) {
+      Thread.sleep(Duration.ofNanos(Math.max(0, nextStepNanos - System.nanoTime())));
+      state.faults.gate.awaitOpen();
+      state.runDecodeStep();
+      batchSize = state.batchSize();
+      nextStepNanos =
+          Math.max(nextStepNanos, System.nanoTime() - SLICE_NANOS)
+              + state.settings.speeds().stepNanos(batchSize);
     }
     return true;
   }
 
   private boolean housekeep() throws InterruptedException {
     state.housekeep();
-    Thread.sleep(HOUSEKEEPING);
-    return !state.isDead();
+    Thread.sleep(HOUSEKEEPING_INTERVAL);
+    return !state.isKilled();
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/Gate.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/Gate.java
@@ -7,22 +7,22 @@
 package org.larkkeel.standin.internal;
 
 /**
- * Lets threads pass while open and holds them while shut.
+ * Blocks threads while it is closed.
  *
  * <p>Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Gate {
-  private boolean shut;
+  private boolean closed;
 
   /**
-   * Opens or shuts the gate.
+   * Closes or opens the gate.
    *
-   * @param value true to hold threads
+   * @param value true to block threads, false to release them
    */
-  public synchronized void shut(boolean value) {
-    shut = value;
+  public synchronized void setClosed(boolean value) {
+    closed = value;
     notifyAll();
   }
 
@@ -31,8 +31,8 @@
    *
    * @throws InterruptedException if the thread is interrupted
    */
-  public synchronized void pass() throws InterruptedException {
-    while (shut) {
+  public synchronized void awaitOpen() throws InterruptedException {
+    while (closed) {
       wait();
     }
   }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/KvLink.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/KvLink.java
@@ -18,14 +18,15 @@
 import org.larkkeel.standin.internal.EngineMessages.KvParams;
 
 /**
- * The link over which an engine pulls KV caches; all imports share its rate.
+ * The link over which an engine imports KV caches; all imports of the engine share its rate.
  *
- * <p>No KV bytes are moved: the time they need is spent. Safe for use by several threads.
+ * <p>Transfers no data, only waits for the time that the transfer would need. Safe for use by
+ * several threads.
  *
  * @since 0.1
  */
 final class KvLink {
-  private static final Duration SLICE = Duration.ofMillis(5);
+  private static final Duration PROGRESS_INTERVAL = Duration.ofMillis(5);
   private static final Duration PEER_TIMEOUT = Duration.ofSeconds(2);
   private static final double NANOS_PER_SECOND = 1e9;
   private static final HttpClient CLIENT =
@@ -40,15 +41,15 @@
     this.state = state;
   }
 
-  /** Pulls a KV cache for a request that is importing; returns when it is there or has failed. */
+  /** Imports a KV cache for a request; returns when the import has finished or failed. */
   void pull(EngineRequest request, KvParams source) throws InterruptedException {
     try {
-      ExportAnswer export = ask(source, ExportStep.BEGIN);
+      ExportAnswer export = sendStep(source, ExportStep.BEGIN);
       if (transfer(request, export.kvBytes())) {
-        ask(source, ExportStep.DONE);
+        sendStep(source, ExportStep.DONE);
         state.finishImport(request);
       } else {
-        ask(source, ExportStep.ABORT);
+        sendStep(source, ExportStep.ABORT);
       }
     } catch (IOException | RefusedException e) {
       state.failImport(request);
@@ -56,47 +57,48 @@
   }
 
   private boolean transfer(EngineRequest request, long bytes) throws InterruptedException {
-    double left = bytes;
+    double bytesLeft = bytes;
     long last = System.nanoTime();
-    while (left > 0) {
-      Thread.sleep(SLICE);
-      state.faults.gate.pass();
-      if (state.isDead()) {
+    while (bytesLeft > 0) {
+      Thread.sleep(PROGRESS_INTERVAL);
+      state.faults.gate.awaitOpen();
+      if (state.isKilled()) {
         throw new InterruptedException("the engine was killed");
       }
       if (!state.isImporting(request)) {
         return false;
       }
       long now = System.nanoTime();
-      if (!state.faults.stalled) {
-        double share = state.settings.memory().linkBytesPerSecond() / (double) state.importing();
-        left -= share * (now - last) / NANOS_PER_SECOND;
+      if (!state.faults.transfersStalled) {
+        double bytesPerSecond =
+            state.settings.memory().linkBytesPerSecond() / (double) state.importingCount();
+        bytesLeft -= bytesPerSecond * (now - last) / NANOS_PER_SECOND;
       }
       last = now;
     }
     return true;
   }
 
-  private static ExportAnswer ask(KvParams source, ExportStep step)
+  private static ExportAnswer sendStep(KvParams source, ExportStep step)
       throws IOException, InterruptedException {
     ExportRequest message =
         new ExportRequest(step, source.remoteEngineId(), source.remoteBlockIds().getFirst());
-    HttpRequest call =
+    HttpRequest request =
         HttpRequest.newBuilder()
-            .uri(exports(source))
+            .uri(exportsUri(source))
             .timeout(PEER_TIMEOUT)
             .POST(
                 HttpRequest.BodyPublishers.ofByteArray(
                     EngineMessages.MAPPER.writeValueAsBytes(message)))
             .build();
-    HttpResponse<byte[]> answer = CLIENT.send(call, HttpResponse.BodyHandlers.ofByteArray());
+    HttpResponse<byte[]> answer = CLIENT.send(request, HttpResponse.BodyHandlers.ofByteArray());
     if (answer.statusCode() != 200) {
       throw new RefusedException(410, "evicted", "the source answered " + answer.statusCode());
     }
     return EngineMessages.MAPPER.readValue(answer.body(), ExportAnswer.class);
   }
 
-  private static URI exports(KvParams source) {
+  private static URI exportsUri(KvParams source) {
     return URI.create(
         "http://" + source.remoteHost() + ":" + source.remotePort() + "/v1/kv/exports");
   }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/ObjectStore.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/ObjectStore.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The objects of the platform, in memory.
+ * The objects of the platform, kept in memory.
  *
- * <p>Invariants: the resource version grows with each write over the whole store; a stored object
- * is never changed, only replaced. Safe for use by several threads.
+ * <p>Invariants: each write increases the resource version, which is common to all collections; a
+ * stored object is never modified, only replaced. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -35,10 +35,10 @@
   private final Map<String, NavigableMap<String, ObjectNode>> collections = new HashMap<>();
   private final Deque<Event> history = new ArrayDeque<>();
   private long version;
-  private long forgotten;
-  private long wakes;
+  private long lastDroppedVersion;
+  private long wakeCount;
 
-  /** The kinds of change. */
+  /** The types of watch events. */
   enum EventType {
     ADDED,
     MODIFIED,
@@ -49,16 +49,19 @@
   /** One change of an object. */
   record Event(long version, String collection, EventType type, ObjectNode object) {}
 
-  /** Part of a collection, ordered by name; {@code next} is empty at the end. */
+  /**
+   * A page of a collection, ordered by name. The next page starts after the name {@code next},
+   * which is empty on the last page.
+   */
   record Page(long version, List<ObjectNode> items, String next) {}
 
-  /** Changes after a version, all that there were up to {@code version}. */
+  /** All changes of a collection after a requested version, up to and including {@code version}. */
   record Changes(long version, List<Event> events) {}
 
   /**
    * Creates an empty store.
    *
-   * @param historyLimit the changes kept for watches
+   * @param historyLimit the maximum number of changes kept for watches
    */
   public ObjectStore(int historyLimit) {
     this.historyLimit = historyLimit;
@@ -74,20 +77,20 @@
 
   synchronized Page list(String collection, String prefix, String after, int limit) {
     List<ObjectNode> items = new ArrayList<>();
-    NavigableMap<String, ObjectNode> rest = collection(collection).tailMap(prefix, true);
+    NavigableMap<String, ObjectNode> remaining = collection(collection).tailMap(prefix, true);
     if (after.compareTo(prefix) >= 0) {
-      rest = collection(collection).tailMap(after, false);
+      remaining = collection(collection).tailMap(after, false);
     }
-    String last = "";
-    for (Map.Entry<String, ObjectNode> entry : rest.entrySet()) {
+    String lastName = "";
+    for (Map.Entry<String, ObjectNode> entry : remaining.entrySet()) {
       if (!entry.getKey().startsWith(prefix)) {
         break;
       }
       if (items.size() == limit) {
-        return new Page(version, items, last);
+        return new Page(version, items, lastName);
       }
       items.add(entry.getValue());
-      last = entry.getKey();
+      lastName = entry.getKey();
     }
     return new Page(version, items, "");
   }
@@ -113,65 +116,67 @@
     return put(collection, name, object, EventType.MODIFIED);
   }
 
-  /** Deletes an object; an empty version deletes any. */
+  /** Deletes an object if it has the expected version; an empty version matches any. */
   synchronized ObjectNode delete(String collection, String name, String expected) {
-    ObjectNode present = get(collection, name);
+    ObjectNode current = get(collection, name);
     if (!expected.isEmpty()) {
-      checkVersion(collection, name, present, expected);
+      checkVersion(collection, name, current, expected);
     }
     collection(collection).remove(name);
-    return record(collection, present.deepCopy(), EventType.DELETED);
+    return recordChange(collection, current.deepCopy(), EventType.DELETED);
   }
 
   /**
-   * Creates or replaces an object, whatever its version.
+   * Creates or replaces an object, regardless of its version.
    *
    * @param collection the collection
    * @param object the object, which is copied
    */
-  public synchronized void set(String collection, ObjectNode object) {
+  public synchronized void upsert(String collection, ObjectNode object) {
     String name = nameOf(object);
-    boolean known = collection(collection).containsKey(name);
-    put(collection, name, object, known ? EventType.MODIFIED : EventType.ADDED);
+    boolean exists = collection(collection).containsKey(name);
+    put(collection, name, object, exists ? EventType.MODIFIED : EventType.ADDED);
   }
 
   /**
-   * Deletes an object if it is there.
+   * Deletes an object if it exists.
    *
    * @param collection the collection
    * @param name the object's name
    */
-  public synchronized void remove(String collection, String name) {
+  public synchronized void deleteIfPresent(String collection, String name) {
     if (collection(collection).containsKey(name)) {
       delete(collection, name, "");
     }
   }
 
-  /** Waits for changes of a collection; returns none after the time has passed or on a wake. */
+  /**
+   * Waits for changes of a collection; returns none after the timeout or when watches are woken.
+   */
   synchronized Changes awaitChanges(String collection, long after, long millis)
       throws InterruptedException {
     Changes changes = changes(collection, after);
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    long left = millis;
-    long woken = wakes;
-    while (changes.events.isEmpty() && left > 0 && woken == wakes) {
-      wait(left);
+    long leftMillis = millis;
+    long wakeCountAtStart = wakeCount;
+    while (changes.events.isEmpty() && leftMillis > 0 && wakeCountAtStart == wakeCount) {
+      wait(leftMillis);
       changes = changes(collection, after);
-      left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+      leftMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
     }
     return changes;
   }
 
-  /** Wakes all waiting watches. */
-  public synchronized void wake() {
-    wakes++;
+  /** Wakes all waiting watches, also without a change. */
+  public synchronized void wakeWatches() {
+    wakeCount++;
     notifyAll();
   }
 
   private Changes changes(String collection, long after) {
-    if (after < forgotten) {
+    if (after < lastDroppedVersion) {
       throw new RefusedException(
-          410, "Expired", "changes up to " + forgotten + " are forgotten: list again");
+          410, "Expired", "changes up to " + lastDroppedVersion + " are forgotten: list again");
     }
     List<Event> found = new ArrayList<>();
     var newestFirst = history.descendingIterator();
@@ -189,17 +194,17 @@
 
   private ObjectNode put(String collection, String name, ObjectNode object, EventType type) {
     ObjectNode copy = object.deepCopy();
-    record(collection, copy, type);
+    recordChange(collection, copy, type);
     collection(collection).put(name, copy);
     return copy;
   }
 
-  private ObjectNode record(String collection, ObjectNode object, EventType type) {
+  private ObjectNode recordChange(String collection, ObjectNode object, EventType type) {
     version++;
     ((ObjectNode) object.get(METADATA)).put(RESOURCE_VERSION, Long.toString(version));
     history.addLast(new Event(version, collection, type, object));
     if (history.size() > historyLimit) {
-      forgotten = history.removeFirst().version;
+      lastDroppedVersion = history.removeFirst().version;
     }
     notifyAll();
     return object;
@@ -210,8 +215,8 @@
   }
 
   private static void checkVersion(
-      String collection, String name, ObjectNode present, String expected) {
-    String actual = present.get(METADATA).get(RESOURCE_VERSION).asText();
+      String collection, String name, ObjectNode current, String expected) {
+    String actual = current.get(METADATA).get(RESOURCE_VERSION).asText();
     if (!actual.equals(expected)) {
       throw new RefusedException(
           409, "Conflict", collection + "/" + name + " is at " + actual + ", not at " + expected);
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/PlatformFaults.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/PlatformFaults.java
@@ -15,7 +15,7 @@
 import org.larkkeel.standin.PlatformVerb;
 
 /**
- * The faults and call counts of the platform.
+ * The injected faults and the call counts of the platform.
  *
  * <p>Safe for use by several threads.
  *
@@ -25,19 +25,19 @@
   /** True while all calls are refused with 503. */
   public volatile boolean outage;
 
-  /** The wait before each call, in milliseconds. */
+  /** The delay before each call is processed, in milliseconds. */
   public volatile long latencyMillis;
 
-  /** How many of the next writes take effect and lose their answer. */
+  /** The number of following writes that take effect but lose their answer. */
   public final AtomicInteger answersToLose = new AtomicInteger();
 
-  /** How many of the next writes lose their connection before they take effect. */
+  /** The number of following writes whose connection is closed before they take effect. */
   public final AtomicInteger writesToLose = new AtomicInteger();
 
   private final Map<PlatformVerb, LongAdder> counts = new EnumMap<>(PlatformVerb.class);
   private volatile RateLimiter limiter;
 
-  /** Creates counts of zero and no faults. */
+  /** Creates an instance with all counts zero and no faults. */
   public PlatformFaults() {
     for (PlatformVerb verb : PlatformVerb.values()) {
       counts.put(verb, new LongAdder());
@@ -54,17 +54,17 @@
   }
 
   /**
-   * The calls so far, refused ones too.
+   * Returns the number of calls received, including refused ones.
    *
-   * @return calls by verb
+   * @return the number of calls by verb
    */
   public ImmutableMap<PlatformVerb, Long> calls() {
-    ImmutableMap.Builder<PlatformVerb, Long> all = ImmutableMap.builder();
-    counts.forEach((verb, count) -> all.put(verb, count.sum()));
-    return all.buildOrThrow();
+    ImmutableMap.Builder<PlatformVerb, Long> callsByVerb = ImmutableMap.builder();
+    counts.forEach((verb, count) -> callsByVerb.put(verb, count.sum()));
+    return callsByVerb.buildOrThrow();
   }
 
-  /** Counts a call and refuses it in an outage or above the rate. */
+  /** Counts a call, delays it, and refuses it during an outage or above the rate limit. */
   void admit(PlatformVerb verb) throws InterruptedException {
     counts.get(verb).increment();
     Thread.sleep(latencyMillis);
@@ -77,7 +77,7 @@
     }
   }
 
-  static boolean take(AtomicInteger left) {
-    return left.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
+  static boolean decrementIfPositive(AtomicInteger counter) {
+    return counter.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/PlatformRoutes.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/PlatformRoutes.java
@@ -19,25 +19,25 @@
 import org.larkkeel.standin.internal.ObjectStore.Page;
 
 /**
- * The HTTP side of the platform.
+ * The HTTP API of the platform.
  *
  * <p>Safe for use by several threads.
  *
  * @since 0.1
  */
 public final class PlatformRoutes implements CallHandler {
-  /** The collection that only the platform writes. */
+  /** The collection of hosts, which is read-only for callers. */
   public static final String HOSTS = "hosts";
 
-  /** Reads and writes objects. */
+  /** Serializes objects and messages. */
   public static final ObjectMapper MAPPER = new ObjectMapper();
 
-  private static final String OBJECTS = "/apis/larkkeel.org/v1/";
-  private static final String WEIGHTS = "/weights/v1/";
-  private static final int MAX_BODY = 1 << 20;
-  private static final int DEFAULT_LIMIT = 500;
+  private static final String OBJECTS_PREFIX = "/apis/larkkeel.org/v1/";
+  private static final String WEIGHTS_PREFIX = "/weights/v1/";
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final int DEFAULT_PAGE_SIZE = 500;
   private static final long DEFAULT_WATCH_SECONDS = 30;
-  private static final long BOOKMARK_MILLIS = 5_000;
+  private static final long MAX_WAIT_MILLIS = 5_000;
 
   private final ObjectStore store;
   private final WeightStore weights;
@@ -51,9 +51,9 @@
   /**
    * Creates the routes.
    *
-   * @param store the objects
-   * @param weights the weights
-   * @param faults faults and counts
+   * @param store the object store
+   * @param weights the weight store
+   * @param faults the injected faults and the call counts
    * @param controls the control endpoint
    */
   public PlatformRoutes(
@@ -73,7 +73,7 @@
       route(call);
     } catch (RefusedException e) {
       if (e.status() == 429 || e.status() == 503) {
-        call.answerHeader("Retry-After", "1");
+        call.setAnswerHeader("Retry-After", "1");
       }
       call.reply(
           e.status(), new Failure("Status", "Failure", e.code(), e.getMessage(), e.status()));
@@ -81,10 +81,10 @@
   }
 
   private void route(Call call) throws IOException, InterruptedException {
-    if (call.path().startsWith(WEIGHTS)) {
+    if (call.path().startsWith(WEIGHTS_PREFIX)) {
       faults.admit(PlatformVerb.WEIGHTS);
       weights(call);
-    } else if (call.path().startsWith(OBJECTS)) {
+    } else if (call.path().startsWith(OBJECTS_PREFIX)) {
       Target target = target(call);
       PlatformVerb verb = verb(call, target);
       faults.admit(verb);
@@ -108,7 +108,7 @@
   }
 
   private void list(Call call, String collection) throws IOException {
-    int limit = (int) call.queryNumber("limit", DEFAULT_LIMIT);
+    int limit = (int) call.queryNumber("limit", DEFAULT_PAGE_SIZE);
     if (limit < 1) {
       throw new RefusedException(400, "BadRequest", "limit is " + limit + ": send 1 or more");
     }
@@ -129,9 +129,10 @@
     if (target.collection.equals(HOSTS)) {
       throw new RefusedException(403, "Forbidden", "only the platform writes the list of hosts");
     }
-    ObjectNode body = verb == PlatformVerb.DELETE ? null : call.body(ObjectNode.class, MAX_BODY);
-    if (PlatformFaults.take(faults.writesToLose)) {
-      call.cut();
+    ObjectNode body =
+        verb == PlatformVerb.DELETE ? null : call.readMessage(ObjectNode.class, MAX_BODY_BYTES);
+    if (PlatformFaults.decrementIfPositive(faults.writesToLose)) {
+      call.closeConnection();
       return;
     }
     ObjectNode answer =
@@ -142,8 +143,8 @@
               store.delete(
                   target.collection, target.name, call.query("resourceVersion").orElse(""));
         };
-    if (PlatformFaults.take(faults.answersToLose)) {
-      call.cut();
+    if (PlatformFaults.decrementIfPositive(faults.answersToLose)) {
+      call.closeConnection();
       return;
     }
     call.reply(verb == PlatformVerb.CREATE ? 201 : 200, answer);
@@ -155,62 +156,63 @@
     long version = call.queryNumber("resourceVersion", 0);
     Changes changes = store.awaitChanges(collection, version, 0);
     try {
-      follow(call, collection, changes, deadline);
+      streamChanges(call, collection, changes, deadline);
     } catch (RefusedException e) {
-      call.cut();
+      call.closeConnection();
     }
   }
 
-  private void follow(Call call, String collection, Changes first, long deadline)
+  private void streamChanges(Call call, String collection, Changes initialChanges, long deadline)
       throws IOException, InterruptedException {
-    OutputStream out = call.stream("application/json");
+    OutputStream out = call.startStream("application/json");
     out.flush();
-    Changes changes = first;
+    Changes changes = initialChanges;
     while (!faults.outage) {
       for (Event event : changes.events()) {
-        line(call, out, event.type(), event.object());
+        writeEvent(call, out, event.type(), event.object());
       }
       long version = changes.version();
-      long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
-      if (left <= 0) {
-        bookmark(call, out, version);
+      long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+      if (leftMillis <= 0) {
+        writeBookmark(call, out, version);
         out.close();
         return;
       }
-      changes = store.awaitChanges(collection, version, Math.min(left + 1, BOOKMARK_MILLIS));
+      changes = store.awaitChanges(collection, version, Math.min(leftMillis + 1, MAX_WAIT_MILLIS));
     }
-    call.cut();
+    call.closeConnection();
   }
 
-  private static void bookmark(Call call, OutputStream out, long version) throws IOException {
+  private static void writeBookmark(Call call, OutputStream out, long version) throws IOException {
     ObjectNode object = MAPPER.createObjectNode();
     object.putObject("metadata").put("resourceVersion", Long.toString(version));
-    line(call, out, EventType.BOOKMARK, object);
+    writeEvent(call, out, EventType.BOOKMARK, object);
   }
 
-  private static void line(Call call, OutputStream out, EventType type, ObjectNode object)
+  private static void writeEvent(Call call, OutputStream out, EventType type, ObjectNode object)
       throws IOException {
     ObjectNode event = MAPPER.createObjectNode();
     event.put("type", type.name());
     event.set("object", object);
-    out.write(call.json(event));
+    out.write(call.toJson(event));
     out.write('\n');
     out.flush();
   }
 
   private void weights(Call call) throws IOException {
-    String[] parts = call.pathAfter(WEIGHTS).split("/", -1);
+    String[] parts = call.pathAfter(WEIGHTS_PREFIX).split("/", -1);
     if (parts.length == 2 && call.method().equals("GET")) {
       call.reply(200, weights.weights(parts[0], parts[1]));
     } else if (parts.length == 3 && parts[2].equals("pulls") && call.method().equals("POST")) {
-      call.reply(202, weights.pull(call.body(WeightStore.PullRequest.class, MAX_BODY)));
+      call.reply(
+          202, weights.pull(call.readMessage(WeightStore.PullRequest.class, MAX_BODY_BYTES)));
     } else {
       throw new RefusedException(404, "NotFound", "no such method and path");
     }
   }
 
   private static Target target(Call call) {
-    String rest = call.pathAfter(OBJECTS);
+    String rest = call.pathAfter(OBJECTS_PREFIX);
     int slash = rest.indexOf('/');
     return slash < 0
         ? new Target(rest, "")
@@ -218,10 +220,11 @@
   }
 
   private static PlatformVerb verb(Call call, Target target) {
-    boolean whole = target.name.isEmpty();
-    boolean watch = call.query("watch").filter("true"::equals).isPresent();
+    boolean isCollection = target.name.isEmpty();
+    boolean isWatch = call.query("watch").filter("true"::equals).isPresent();
     return switch (call.method()) {
-      case "GET" -> whole ? (watch ? PlatformVerb.WATCH : PlatformVerb.LIST) : PlatformVerb.GET;
+      case "GET" ->
+          isCollection ? (isWatch ? PlatformVerb.WATCH : PlatformVerb.LIST) : PlatformVerb.GET;
       case "POST" -> PlatformVerb.CREATE;
       case "PUT" -> PlatformVerb.UPDATE;
       case "DELETE" -> PlatformVerb.DELETE;
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/PrefixCache.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/PrefixCache.java
@@ -16,14 +16,14 @@
 import java.util.List;
 
 /**
- * The prefix cache: keys of prompt prefixes, the least recently used dropped first.
+ * The prefix cache of an engine: the keys of cached prompt prefixes, evicted in LRU order.
  *
- * <p>Invariant: holds at most its capacity. Not safe for use by several threads.
+ * <p>Invariant: the number of keys never exceeds the capacity. Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class PrefixCache {
-  /** The size of a piece, in bytes of prompt. */
+  /** The size of a piece, in bytes of the prompt in UTF-8. */
   static final int PIECE_BYTES = 8_000;
 
   /** The size of a piece, in tokens. */
@@ -35,29 +35,29 @@
   private final int capacity;
   private final LinkedHashMap<String, Boolean> keys = new LinkedHashMap<>(16, LOAD_FACTOR, true);
 
-  /** What storing a prompt changed. */
+  /** The keys that an operation added to the cache and removed from it. */
   record Change(List<String> stored, List<String> removed) {}
 
   PrefixCache(int capacity) {
     this.capacity = capacity;
   }
 
-  /** The keys of the full pieces of a prompt, shortest prefix first. */
+  /** Returns the keys of all prefixes of a prompt that end with a full piece, shortest first. */
   static List<String> keysOf(String prompt) {
     byte[] bytes = prompt.getBytes(StandardCharsets.UTF_8);
     MessageDigest digest = sha256();
-    List<String> all = new ArrayList<>();
+    List<String> prefixKeys = new ArrayList<>();
     for (int end = PIECE_BYTES; end <= bytes.length; end += PIECE_BYTES) {
       digest.update(bytes, end - PIECE_BYTES, PIECE_BYTES);
-      all.add(keyOf(digest));
+      prefixKeys.add(keyOf(digest));
     }
-    return all;
+    return prefixKeys;
   }
 
-  /** The tokens of the longest cached prefix; marks it as used. */
-  int cachedTokens(List<String> prompt) {
+  /** Returns the number of tokens of the longest cached prefix and marks its keys as used. */
+  int cachedTokens(List<String> promptKeys) {
     int tokens = 0;
-    for (String key : prompt) {
+    for (String key : promptKeys) {
       if (keys.get(key) == null) {
         break;
       }
@@ -66,21 +66,21 @@
     return tokens;
   }
 
-  Change store(List<String> prompt) {
+  Change store(List<String> promptKeys) {
     List<String> stored = new ArrayList<>();
-    for (String key : prompt) {
+    for (String key : promptKeys) {
       if (keys.put(key, true) == null) {
         stored.add(key);
       }
     }
-    return new Change(stored, shrink(capacity));
+    return new Change(stored, evictDownTo(capacity));
   }
 
   Change clear() {
-    return new Change(List.of(), shrink(0));
+    return new Change(List.of(), evictDownTo(0));
   }
 
-  private List<String> shrink(int size) {
+  private List<String> evictDownTo(int size) {
     List<String> removed = new ArrayList<>();
     Iterator<String> eldest = keys.keySet().iterator();
     while (keys.size() > size) {
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/RefusedException.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/RefusedException.java
@@ -7,9 +7,9 @@
 package org.larkkeel.standin.internal;
 
 /**
- * A call that is answered with an error.
+ * A refusal of a call, which is answered with an HTTP error.
  *
- * <p>Immutable but for the stack trace, safe for use by several threads.
+ * <p>Immutable, without stack trace and suppressed exceptions; safe for use by several threads.
  *
  * @since 0.1
  */
@@ -23,8 +23,8 @@
    * Creates a refusal.
    *
    * @param status the HTTP status
-   * @param code the code or reason in the body
-   * @param message what is wrong
+   * @param code the code or reason in the body of the answer
+   * @param message the error message
    */
   public RefusedException(int status, String code, String message) {
     super(message, null, false, false);
@@ -33,9 +33,9 @@
   }
 
   /**
-   * A refusal of what can not be read.
+   * Returns a refusal of a malformed request, with status 400.
    *
-   * @param message what is wrong, with the remedy
+   * @param message the error message, which names the fault and the remedy
    * @return the refusal
    */
   public static RefusedException malformed(String message) {
@@ -43,7 +43,7 @@
   }
 
   /**
-   * The HTTP status.
+   * Returns the HTTP status.
    *
    * @return the status
    */
@@ -52,7 +52,7 @@
   }
 
   /**
-   * The code or reason.
+   * Returns the code or reason in the body of the answer.
    *
    * @return the code
    */
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/ReportLog.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/ReportLog.java
@@ -17,15 +17,16 @@
 import org.larkkeel.standin.internal.EngineMessages.Load;
 
 /**
- * What an engine reports of itself: load with a lag, cache events late and with gaps.
+ * The load samples and cache events that an engine reports, delayed and with losses.
  *
- * <p>Invariant: nothing is reported before its lag has passed. Not safe for use by several threads.
+ * <p>Invariants: a cache event is not reported before its delay has passed; a load is not reported
+ * before its delay has passed, unless it is the oldest sample. Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class ReportLog {
   private static final int MAX_EVENTS = 10_000;
-  private static final int MAX_EVENTS_AN_ANSWER = 500;
+  private static final int MAX_EVENTS_PER_ANSWER = 500;
   private static final int MAX_LOADS = 1_000;
 
   private final EngineReports settings;
@@ -34,7 +35,7 @@
   private final Deque<Timed<Load>> loads = new ArrayDeque<>();
   private long seq;
 
-  private record Timed<T>(long at, T value) {}
+  private record Timed<T>(long atNanos, T value) {}
 
   ReportLog(EngineReports settings) {
     this.settings = settings;
@@ -56,17 +57,17 @@
   }
 
   List<CacheEvent> eventsAfter(long after, long now) {
-    long latest = now - TimeUnit.MILLISECONDS.toNanos(settings.eventLagMillis());
-    List<CacheEvent> shown = new ArrayList<>();
+    long newestVisibleNanos = now - TimeUnit.MILLISECONDS.toNanos(settings.eventLagMillis());
+    List<CacheEvent> visible = new ArrayList<>();
     for (Timed<CacheEvent> event : events) {
-      if (event.at - latest > 0 || shown.size() == MAX_EVENTS_AN_ANSWER) {
+      if (event.atNanos - newestVisibleNanos > 0 || visible.size() == MAX_EVENTS_PER_ANSWER) {
         break;
       }
       if (event.value.seq() > after) {
-        shown.add(event.value);
+        visible.add(event.value);
       }
     }
-    return shown;
+    return visible;
   }
 
   void sample(Load load, long now) {
@@ -76,18 +77,18 @@
     }
   }
 
-  /** The newest load that is old enough; drops older ones. */
+  /** Returns the newest load whose delay has passed, and drops older ones. */
   Load load(long now) {
-    long latest = now - TimeUnit.MILLISECONDS.toNanos(settings.loadLagMillis());
-    Timed<Load> shown = loads.removeFirst();
-    while (!loads.isEmpty() && loads.peekFirst().at - latest <= 0) {
-      shown = loads.removeFirst();
+    long newestVisibleNanos = now - TimeUnit.MILLISECONDS.toNanos(settings.loadLagMillis());
+    Timed<Load> newestVisible = loads.removeFirst();
+    while (!loads.isEmpty() && loads.peekFirst().atNanos - newestVisibleNanos <= 0) {
+      newestVisible = loads.removeFirst();
     }
-    loads.addFirst(shown);
-    Load load = shown.value;
+    loads.addFirst(newestVisible);
+    Load load = newestVisible.value;
     return new Load(
         load.incarnation(),
-        TimeUnit.NANOSECONDS.toMillis(now - shown.at),
+        TimeUnit.NANOSECONDS.toMillis(now - newestVisible.atNanos),
         load.role(),
         load.slots(),
         load.running(),
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/RequestTable.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/RequestTable.java
@@ -20,31 +20,31 @@
 /**
  * The requests of one incarnation of an engine, with their slots and memory.
  *
- * <p>Invariants: a request that is over holds neither slot nor memory; slots and pieces in use
- * never pass their limits as long as callers ask first. Not safe for use by several threads; the
- * monitor of {@link EngineState} guards it.
+ * <p>Invariants: a request in a terminal stage holds neither slot nor memory; slots and pieces in
+ * use never exceed their limits, provided that callers check for free capacity before they reserve.
+ * Not safe for use by several threads; guarded by the monitor of {@link EngineState}.
  *
  * @since 0.1
  */
 final class RequestTable {
-  private static final int REMEMBERED = 10_000;
+  private static final int MAX_REMEMBERED_REQUESTS = 10_000;
 
   private final EngineMemory memory;
   private final EngineLedger ledger;
   private final long incarnation;
-  private final Map<String, EngineRequest> known =
+  private final Map<String, EngineRequest> requestsById =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, EngineRequest> eldest) {
-          return size() > REMEMBERED && eldest.getValue().stage.isOver();
+          return size() > MAX_REMEMBERED_REQUESTS && eldest.getValue().stage.isTerminal();
         }
       };
 
-  private final Set<EngineRequest> live = new LinkedHashSet<>();
-  private int slotsUsed;
-  private int piecesUsed;
+  private final Set<EngineRequest> active = new LinkedHashSet<>();
+  private int usedSlots;
+  private int usedPieces;
 
   RequestTable(EngineMemory memory, EngineLedger ledger, long incarnation) {
     this.memory = memory;
@@ -52,80 +52,82 @@
     this.incarnation = incarnation;
   }
 
-  /** The request with an id, also if it is over; null if it is not known. */
+  /** Returns the request with an id, also in a terminal stage; null if the id is unknown. */
   EngineRequest find(String id) {
-    return known.get(id);
+    return requestsById.get(id);
   }
 
   void add(EngineRequest request) {
-    known.put(request.id, request);
-    live.add(request);
+    requestsById.put(request.id, request);
+    active.add(request);
   }
 
-  void takePieces(EngineRequest request) {
-    request.memory = true;
-    piecesUsed += request.pieces;
+  void reservePieces(EngineRequest request) {
+    request.holdsMemory = true;
+    usedPieces += request.pieces;
   }
 
-  void takeSlot(EngineRequest request) {
-    request.slot = true;
-    slotsUsed++;
-    ledger.slot(request.id, true);
+  void reserveSlot(EngineRequest request) {
+    request.holdsSlot = true;
+    usedSlots++;
+    ledger.recordSlot(request.id, true);
   }
 
-  /** Ends a request and frees what it holds. */
+  /** Ends a request and releases its slot and memory. */
   void end(EngineRequest request, Stage stage, Fate fate) {
     request.stage = stage;
-    live.remove(request);
-    if (request.memory) {
-      request.memory = false;
-      piecesUsed -= request.pieces;
+    active.remove(request);
+    if (request.holdsMemory) {
+      request.holdsMemory = false;
+      usedPieces -= request.pieces;
     }
-    if (request.slot) {
-      request.slot = false;
-      slotsUsed--;
-      ledger.slot(request.id, false);
+    if (request.holdsSlot) {
+      request.holdsSlot = false;
+      usedSlots--;
+      ledger.recordSlot(request.id, false);
     }
-    ledger.end(incarnation, request.id, fate);
+    ledger.recordEnd(incarnation, request.id, fate);
   }
 
   boolean fits(int pieces) {
-    return pieces <= piecesFree();
+    return pieces <= freePieces();
   }
 
-  boolean hasSlot() {
-    return slotsUsed < memory.slots();
+  boolean hasFreeSlot() {
+    return usedSlots < memory.slots();
   }
 
-  int piecesFree() {
-    return memory.kvPieces() - piecesUsed;
+  int freePieces() {
+    return memory.kvPieces() - usedPieces;
   }
 
-  int slotsUsed() {
-    return slotsUsed;
+  int usedSlots() {
+    return usedSlots;
   }
 
   int count(Stage stage) {
-    return (int) live.stream().filter(r -> r.stage == stage).count();
+    return (int) active.stream().filter(r -> r.stage == stage).count();
   }
 
-  /** A copy of the requests that are not over. */
-  List<EngineRequest> live() {
-    return List.copyOf(live);
+  /** Returns a copy of the requests that are not in a terminal stage. */
+  List<EngineRequest> active() {
+    return List.copyOf(active);
   }
 
-  List<HeldRequest> held() {
-    return live.stream().map(r -> new HeldRequest(r.id, r.stage.word, r.slot)).toList();
+  List<HeldRequest> heldRequests() {
+    return active.stream().map(r -> new HeldRequest(r.id, r.stage.wireName, r.holdsSlot)).toList();
   }
 
-  /** The request whose KV cache a block belongs to, if it can be exported. */
-  EngineRequest exportable(String block) {
-    for (EngineRequest request : live) {
-      boolean holds = request.stage == Stage.HELD || request.stage == Stage.DECODING;
-      if (holds && request.block.equals(block)) {
+  /**
+   * Returns the request whose KV cache has a block id; refuses with 410 if it is not exportable.
+   */
+  EngineRequest findExportable(String blockId) {
+    for (EngineRequest request : active) {
+      boolean isExportable = request.stage == Stage.HELD || request.stage == Stage.DECODING;
+      if (isExportable && request.blockId.equals(blockId)) {
         return request;
       }
     }
-    throw new RefusedException(410, "evicted", "the KV cache " + block + " is not held");
+    throw new RefusedException(410, "evicted", "the KV cache " + blockId + " is not held");
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/StandinServer.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/StandinServer.java
@@ -28,10 +28,10 @@
 import org.xnio.XnioWorker;
 
 /**
- * The HTTP server of a stand-in, which can close its connections abruptly.
+ * The HTTP server of a stand-in; closing it closes all connections abruptly.
  *
- * <p>Invariant: after {@link #close} no call is handled any more. All servers of a process share a
- * few I/O threads; each call runs on a virtual thread. Safe for use by several threads.
+ * <p>Invariant: after {@link #close} no new call is handled. All servers of a process share a few
+ * I/O threads; each call is handled on its own virtual thread. Safe for use by several threads.
  *
  * @since 0.1
  */
@@ -39,8 +39,9 @@
   private static final Logger log = LoggerFactory.getLogger(StandinServer.class);
   private static final int IO_THREADS = 4;
   private static final int BUFFER_BYTES = 16 * 1024;
-  private static final long MAX_BODY = 64L << 20;
-  private static final ExecutorService THREADS = Executors.newVirtualThreadPerTaskExecutor();
+  private static final long MAX_BODY_BYTES = 64L << 20;
+  private static final ExecutorService HANDLER_THREADS =
+      Executors.newVirtualThreadPerTaskExecutor();
 
   private final InetSocketAddress address;
   private final ObjectMapper mapper;
@@ -49,8 +50,8 @@
   private final Set<ServerConnection> connections = ConcurrentHashMap.newKeySet();
   private volatile boolean closed;
 
-  /** Holds the I/O threads, made at first use. */
-  private static final class Shared {
+  /** Holds the shared I/O threads, which are created on first use. */
+  private static final class SharedWorker {
     static final XnioWorker WORKER = worker();
 
     private static XnioWorker worker() {
@@ -74,17 +75,17 @@
    * Starts a server.
    *
    * @param bind the address to listen on; port 0 takes a free one
-   * @param mapper reads and writes messages
-   * @param handler answers the calls
+   * @param mapper the mapper for JSON messages
+   * @param handler handles the calls
    */
   public StandinServer(InetSocketAddress bind, ObjectMapper mapper, CallHandler handler) {
     this.mapper = mapper;
     this.handler = handler;
     undertow =
         Undertow.builder()
-            .setWorker(Shared.WORKER)
+            .setWorker(SharedWorker.WORKER)
             .setByteBufferPool(new DefaultByteBufferPool(true, BUFFER_BYTES, -1, 0))
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY)
+            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
             .addHttpListener(bind.getPort(), bind.getHostString())
             .setHandler(this::dispatch)
             .build();
@@ -93,15 +94,15 @@
   }
 
   /**
-   * The address that the server listens on.
+   * Returns the address that the server listens on.
    *
-   * @return the address with the real port
+   * @return the address with the actual port
    */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Closes the listener and, abruptly, all connections. */
+  /** Closes the listener and all connections abruptly. */
   @Override
   public void close() {
     closed = true;
@@ -119,7 +120,7 @@
       IoUtils.safeClose(connection);
       return;
     }
-    exchange.dispatch(THREADS, this::run);
+    exchange.dispatch(HANDLER_THREADS, this::run);
   }
 
   private void run(HttpServerExchange exchange) {
@@ -128,12 +129,12 @@
     try {
       handler.handle(call);
     } catch (IOException e) {
-      call.cut();
+      call.closeConnection();
     } catch (InterruptedException e) {
-      call.cut();
+      call.closeConnection();
     } catch (RuntimeException e) {
       log.error("event=standin-failed method={} path={}", call.method(), call.path(), e);
-      call.cut();
+      call.closeConnection();
     }
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/WeightStore.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/WeightStore.java
@@ -11,9 +11,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The weight store: pulls of model weights, limited in number and rate.
+ * The weight store, which limits the number and the rate of pulls of model weights.
  *
- * <p>Invariant: pulls that run at the same time never pass the limit. Safe for use by several
+ * <p>Transfers no data; a pull only counts as running for the time that its bytes would need.
+ * Invariant: the number of concurrent pulls never exceeds the limit. Safe for use by several
  * threads.
  *
  * @since 0.1
@@ -21,11 +22,11 @@
 public final class WeightStore {
   private final long bytes;
   private final long bytesPerSecond;
-  private final int limit;
-  private final Deque<Long> ends = new ArrayDeque<>();
-  private long pulls;
+  private final int maxConcurrentPulls;
+  private final Deque<Long> pullEndNanos = new ArrayDeque<>();
+  private long startedPulls;
 
-  /** What is known of a version of a model. */
+  /** The weights of one version of a model. */
   record Weights(String model, String version, long bytes) {}
 
   /** A pull that was started. */
@@ -38,13 +39,13 @@
    * Creates a store.
    *
    * @param bytes the size of each version, in bytes
-   * @param bytesPerSecond the rate of one pull
-   * @param limit the pulls that run at the same time
+   * @param bytesPerSecond the rate of one pull, in bytes per second
+   * @param maxConcurrentPulls the maximum number of concurrent pulls
    */
-  public WeightStore(long bytes, long bytesPerSecond, int limit) {
+  public WeightStore(long bytes, long bytesPerSecond, int maxConcurrentPulls) {
     this.bytes = bytes;
     this.bytesPerSecond = bytesPerSecond;
-    this.limit = limit;
+    this.maxConcurrentPulls = maxConcurrentPulls;
   }
 
   Weights weights(String model, String version) {
@@ -56,15 +57,16 @@
       throw new RefusedException(400, "BadRequest", "upstream is missing: send a name");
     }
     long now = System.nanoTime();
-    while (!ends.isEmpty() && ends.peekFirst() - now <= 0) {
-      ends.removeFirst();
+    while (!pullEndNanos.isEmpty() && pullEndNanos.peekFirst() - now <= 0) {
+      pullEndNanos.removeFirst();
     }
-    if (ends.size() >= limit) {
+    if (pullEndNanos.size() >= maxConcurrentPulls) {
       throw new RefusedException(
-          429, "TooManyRequests", limit + " pulls are running: repeat later");
+          429, "TooManyRequests", maxConcurrentPulls + " pulls are running: repeat later");
     }
-    ends.addLast(now + (long) (bytes / (double) bytesPerSecond * TimeUnit.SECONDS.toNanos(1)));
-    pulls++;
-    return new Pull("pull-" + pulls, bytes, bytesPerSecond);
+    pullEndNanos.addLast(
+        now + (long) (bytes / (double) bytesPerSecond * TimeUnit.SECONDS.toNanos(1)));
+    startedPulls++;
+    return new Pull("pull-" + startedPulls, bytes, bytesPerSecond);
   }
 }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/package-info.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The workings of the stand-ins.
+ * The implementation of the stand-ins.
  *
  * @since 0.1
  */
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/package-info.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Small stand-ins of model engines, plain services and the platform.
+ * Test doubles of model engines, plain services and the platform, called stand-ins.
  *
- * <p>Each speaks the protocols that larkkeel uses towards the outside, keeps a ledger of what it
- * saw, and can be made to fail on purpose.
+ * <p>Each implements the server side of the protocols that larkkeel speaks to its dependencies,
+ * records the calls it executed, and supports fault injection.
  *
  * @since 0.1
  */
