--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/proof/MatrixTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/proof/MatrixTest.java
@@ -17,42 +17,43 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.larkkeel.bench.proof.Matrix.Result;
-import org.larkkeel.bench.proof.world.Place;
+import org.larkkeel.bench.proof.world.InjectionPoint;
 import org.testng.annotations.Test;
 
-/** The proof under failure, as it runs in CI. */
+/** Tests of the router under injected faults, by {@link Matrix}. */
 public class MatrixTest {
   private static final int THREADS = 2;
   private static final int PAIRS = 500;
 
   private static List<Result> failed(List<Result> results) {
-    return results.stream().filter(r -> !r.held()).toList();
+    return results.stream().filter(r -> !r.passed()).toList();
   }
 
-  /** The table of faults follows the sealed types. */
+  /** Checks that {@link FaultTable} covers all types of events and effects. */
   public static class Table {
-    /** A new event or effect without faults fails here. */
+    /** Fails if a new event or effect has no faults assigned in the table. */
     @Test
     public void everyStepHasFaults() {
-      assertEquals(FaultTable.assigned(), ImmutableSet.copyOf(Steps.all()));
+      assertEquals(FaultTable.coveredSteps(), ImmutableSet.copyOf(Steps.all()));
     }
 
-    /** A step that no scenario reaches would be proven by nothing. */
+    /** Fails if no scenario reaches a step, because no fault would ever be injected there. */
     @Test
     public void everyMomentIsReached() {
       Matrix matrix = new Matrix(Matrix.SEED);
-      Set<Place> reached =
+      Set<InjectionPoint> reached =
           Arrays.stream(Scenario.values())
-              .flatMap(s -> matrix.places(s).stream())
+              .flatMap(s -> matrix.points(s).stream())
               .collect(Collectors.toSet());
       for (Class<?> step : Steps.all()) {
         FaultTable.moments(step)
-            .forEach(m -> assertTrue(reached.contains(new Place(step, m)), step + " " + m));
+            .forEach(
+                m -> assertTrue(reached.contains(new InjectionPoint(step, m)), step + " " + m));
       }
     }
   }
 
-  /** Every fault at every step. */
+  /** Checks that the promises hold under one and two faults. */
   public static class Cells {
     private final Matrix matrix = new Matrix(Matrix.SEED);
 
@@ -66,7 +67,9 @@
       assertEquals(failed(new MatrixRunner(matrix, THREADS).run(matrix.pairs(PAIRS))), List.of());
     }
 
-    /** The same seed gives the same run, or a failure could not be looked into. */
+    /**
+     * Checks that the same seed gives the same result; otherwise a failure could not be reproduced.
+     */
     @Test
     public void sameVerdictEveryTime() {
       ImmutableList<Cell> cells = matrix.pairs(20);
--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/proof/defect/DefectRunnerTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/proof/defect/DefectRunnerTest.java
@@ -13,14 +13,14 @@
 import java.nio.file.Path;
 import org.testng.annotations.Test;
 
-/** Planted defects; the command runs all of them. */
+/** Tests of {@link DefectRunner}. The command {@code ./faults --defects} runs all defects. */
 public class DefectRunnerTest {
   private static final Path ROOT = Path.of("..");
 
-  /** A share of the defects. */
-  public static class Share {
+  /** Checks that the fault matrix detects a sample of the defects. */
+  public static class DefectSample {
     @Test
-    public void isCaught() throws Exception {
+    public void isDetected() throws Exception {
       ImmutableSet<String> titles =
           ImmutableSet.of("cancel not repeated", "claimed run repeated after it may have run");
       var outcomes = new DefectRunner(ROOT).run(titles);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Cell.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Cell.java
@@ -12,10 +12,10 @@
 import org.larkkeel.bench.proof.world.Injection;
 
 /**
- * One place of the matrix: a scenario and the faults at its steps.
+ * One entry of the fault matrix: a scenario and the faults that are injected at its steps.
  *
  * @param scenario the scenario
- * @param injections one fault, or two
+ * @param injections the faults, one or two; empty for a run without faults
  * @since 0.1
  */
 public record Cell(Scenario scenario, ImmutableList<Injection> injections) {
@@ -27,11 +27,11 @@
   }
 
   private static String describe(Injection injection) {
-    String moment = injection.place().moment().name().toLowerCase(Locale.ROOT).replace('_', ' ');
+    String moment = injection.point().moment().name().toLowerCase(Locale.ROOT).replace('_', ' ');
     return injection.fault().title()
         + " "
         + moment
         + " of "
-        + Steps.title(injection.place().step());
+        + Steps.title(injection.point().step());
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Checker.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Checker.java
@@ -22,9 +22,9 @@
 import org.larkkeel.bench.proof.world.Observations;
 import org.larkkeel.bench.proof.world.Observations.Accepted;
 import org.larkkeel.bench.proof.world.Observations.Execution;
-import org.larkkeel.bench.proof.world.Observations.Held;
+import org.larkkeel.bench.proof.world.Observations.HeldMemory;
 import org.larkkeel.bench.proof.world.Observations.InForce;
-import org.larkkeel.bench.proof.world.Observations.Start;
+import org.larkkeel.bench.proof.world.Observations.NodeIncarnation;
 import org.larkkeel.bench.proof.world.Observations.Work;
 import org.larkkeel.bench.proof.world.VirtualTime;
 import org.larkkeel.config.Role;
@@ -33,42 +33,48 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Checks the promises by what callers, engines, services, operators and the platform saw.
+ * Checks each {@link Promise} against the observations of callers, engines, services, operators and
+ * the platform. The internal state of the nodes is not consulted.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class Checker {
-  /** Engine memory of a request that is over, while nothing else fails. */
-  private static final long MEMORY_BOUND = 900 * VirtualTime.MILLI;
+  /**
+   * The maximum time that an engine may hold memory for an ended request in a run without faults.
+   */
+  private static final long MEMORY_BOUND_NANOS = 900 * VirtualTime.MILLI;
 
-  /** Engine memory of a request that is over, from the end of the last fault on. */
-  private static final long MEMORY_BOUND_AFTER_FAULT = 15 * VirtualTime.SECOND;
+  /** The maximum time that an engine may hold memory for an ended request after the last fault. */
+  private static final long MEMORY_BOUND_AFTER_FAULT_NANOS = 15 * VirtualTime.SECOND;
 
-  private static final long LEAVING_BOUND = 5 * VirtualTime.SECOND;
-  private static final long IN_FORCE_BOUND = 11 * VirtualTime.SECOND;
+  /** The maximum time until a leaving upstream gets no new work. */
+  private static final long LEAVING_BOUND_NANOS = 5 * VirtualTime.SECOND;
 
-  private final Observations seen;
+  /** The maximum time until a node applies an accepted configuration. */
+  private static final long IN_FORCE_BOUND_NANOS = 11 * VirtualTime.SECOND;
+
+  private final Observations observations;
   private final long end;
-  private final long healedAt;
+  private final long faultsEndedAt;
   private final ImmutableList.Builder<Violation> violations = ImmutableList.builder();
 
-  Checker(Observations seen, long end, long healedAt) {
-    this.seen = seen;
+  Checker(Observations observations, long end, long faultsEndedAt) {
+    this.observations = observations;
     this.end = end;
-    this.healedAt = healedAt;
+    this.faultsEndedAt = faultsEndedAt;
   }
 
   ImmutableList<Violation> check() {
-    seen.callers().forEach(this::checkCaller);
+    observations.callers().forEach(this::checkCaller);
     checkProbes();
     checkMemory();
     checkNotRun();
     checkAtMostOnce();
-    seen.accepted().forEach(this::checkLeaving);
-    seen.starts().forEach(this::checkInForce);
-    seen.starts().stream()
+    observations.accepted().forEach(this::checkLeaving);
+    observations.incarnations().forEach(this::checkInForce);
+    observations.incarnations().stream()
         .filter(start -> start.stopAt() < end && start.isRunning())
         .forEach(
             start -> add(Promise.STOP_CUTS_NOTHING, "node " + start.number() + " never ended"));
@@ -87,7 +93,7 @@
       add(Promise.ANSWERED_ONCE, caller + " got no ending");
     }
     checkPieces(caller);
-    if (caller.isCutByStop()) {
+    if (caller.isRefusedByStop()) {
       add(Promise.STOP_CUTS_NOTHING, caller + " got " + caller.ends());
     }
   }
@@ -113,37 +119,42 @@
 
   private void checkProbes() {
     Set<String> answered = new HashSet<>();
-    seen.callers().stream().filter(Checker::isAnswered).forEach(c -> answered.add(c.identity()));
-    ImmutableSet<Role> served = Configurations.rolesWithout(leaving());
-    seen.callers().stream()
+    observations.callers().stream()
+        .filter(Checker::isAnswered)
+        .forEach(c -> answered.add(c.identity()));
+    ImmutableSet<Role> servedRoles = Configurations.rolesWithout(leaving());
+    observations.callers().stream()
         .filter(c -> c.isProbe() && !answered.contains(c.identity()))
-        .filter(c -> served.containsAll(c.needs()) || !isToldOfNoUpstream(c))
+        .filter(c -> servedRoles.containsAll(c.requiredRoles()) || !isRefusedWithNoUpstream(c))
         .forEach(c -> add(Promise.SERVES_AGAIN, c + " got " + c.ends()));
   }
 
   private Set<UpstreamName> leaving() {
-    return seen.accepted().stream()
+    return observations.accepted().stream()
         .flatMap(accepted -> accepted.leaving().stream())
         .collect(Collectors.toSet());
   }
 
-  /** The one right answer once operators have taken the last upstream of a role out of use. */
-  private static boolean isToldOfNoUpstream(CallerRecord caller) {
+  /**
+   * Returns whether every end was {@link ErrorKind#NO_UPSTREAM}, the only correct answer when
+   * operators have marked the last upstream of a role as leaving.
+   */
+  private static boolean isRefusedWithNoUpstream(CallerRecord caller) {
     return !caller.ends().isEmpty()
         && caller.ends().stream().allMatch(e -> e.kind() == ErrorKind.NO_UPSTREAM);
   }
 
   private void checkMemory() {
-    Map<RequestId, Long> over = new HashMap<>();
-    seen.callers().forEach(caller -> over.put(caller.request(), caller.overAt()));
-    for (Held held : seen.holdings()) {
-      long overAt = over.getOrDefault(held.request(), 0L);
-      long since = Math.max(overAt, held.from());
+    Map<RequestId, Long> endTimes = new HashMap<>();
+    observations.callers().forEach(caller -> endTimes.put(caller.request(), caller.endedAt()));
+    for (HeldMemory held : observations.heldMemory()) {
+      long endedAt = endTimes.getOrDefault(held.request(), 0L);
+      long since = Math.max(endedAt, held.from());
       long bound =
-          healedAt == 0
-              ? since + MEMORY_BOUND
-              : Math.max(since, healedAt) + MEMORY_BOUND_AFTER_FAULT;
-      if (overAt < Long.MAX_VALUE && Math.min(held.until(), end) > bound) {
+          faultsEndedAt == 0
+              ? since + MEMORY_BOUND_NANOS
+              : Math.max(since, faultsEndedAt) + MEMORY_BOUND_AFTER_FAULT_NANOS;
+      if (endedAt < Long.MAX_VALUE && Math.min(held.until(), end) > bound) {
         add(
             Promise.MEMORY_FREED,
             held.upstream() + " held memory for request " + held.request() + " too long");
@@ -153,23 +164,23 @@
 
   private void checkNotRun() {
     Set<RequestId> ran = new HashSet<>();
-    seen.work().forEach(work -> ran.add(work.request()));
-    for (CallerRecord caller : seen.callers()) {
+    observations.work().forEach(work -> ran.add(work.request()));
+    for (CallerRecord caller : observations.callers()) {
       for (CallerRecord.End e : caller.ends()) {
-        if (saysNotRun(e.kind()) && ran.contains(caller.request())) {
+        if (claimsNotRun(e.kind()) && ran.contains(caller.request())) {
           add(Promise.NOT_RUN_TRUE, caller + " got " + e.kind() + " and ran");
         }
       }
     }
   }
 
-  private static boolean saysNotRun(ErrorKind kind) {
+  private static boolean claimsNotRun(ErrorKind kind) {
     return kind != null && kind.execution() == NOT_RUN;
   }
 
   private void checkAtMostOnce() {
     Map<String, Integer> runs = new HashMap<>();
-    for (Execution execution : seen.executions()) {
+    for (Execution execution : observations.executions()) {
       if (!execution.repeatable() && runs.merge(execution.identity(), 1, Integer::sum) == 2) {
         add(Promise.AT_MOST_ONCE, execution.identity() + " ran again");
       }
@@ -180,40 +191,42 @@
     if (accepted.leaving().isEmpty()) {
       return;
     }
-    for (Work work : seen.work()) {
+    for (Work work : observations.work()) {
       if (work.upstream().equals(accepted.leaving().get())
-          && work.at() > Math.max(accepted.at(), healedAt) + LEAVING_BOUND) {
+          && work.at() > Math.max(accepted.at(), faultsEndedAt) + LEAVING_BOUND_NANOS) {
         add(Promise.LEAVING_LEFT_ALONE, work + " after " + accepted);
         return;
       }
     }
   }
 
-  private void checkInForce(Start start) {
+  private void checkInForce(NodeIncarnation incarnation) {
     long revision = 0;
-    for (InForce entry : seen.inForce()) {
-      if (entry.node() != start.number()) {
+    for (InForce entry : observations.inForce()) {
+      if (entry.node() != incarnation.number()) {
         continue;
       }
       if (entry.revision().value() < revision) {
-        add(Promise.IN_FORCE, "node " + start.number() + " went back to " + entry.revision());
+        add(Promise.IN_FORCE, "node " + incarnation.number() + " went back to " + entry.revision());
       }
       revision = entry.revision().value();
     }
-    for (Accepted accepted : seen.accepted()) {
-      long from = Math.max(Math.max(accepted.at(), start.at()), healedAt);
-      boolean late = from + IN_FORCE_BOUND < end && start.isRunning();
-      if (late && !isInForce(start, accepted, from + IN_FORCE_BOUND)) {
-        add(Promise.IN_FORCE, "node " + start.number() + " lacked revision " + accepted.revision());
+    for (Accepted accepted : observations.accepted()) {
+      long from = Math.max(Math.max(accepted.at(), incarnation.startedAt()), faultsEndedAt);
+      boolean late = from + IN_FORCE_BOUND_NANOS < end && incarnation.isRunning();
+      if (late && !isInForce(incarnation, accepted, from + IN_FORCE_BOUND_NANOS)) {
+        add(
+            Promise.IN_FORCE,
+            "node " + incarnation.number() + " lacked revision " + accepted.revision());
       }
     }
   }
 
-  private boolean isInForce(Start start, Accepted accepted, long by) {
-    return seen.inForce().stream()
+  private boolean isInForce(NodeIncarnation incarnation, Accepted accepted, long by) {
+    return observations.inForce().stream()
         .anyMatch(
             e ->
-                e.node() == start.number()
+                e.node() == incarnation.number()
                     && e.at() <= by
                     && e.revision().compareTo(accepted.revision()) >= 0);
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/FaultTable.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/FaultTable.java
@@ -21,8 +21,10 @@
 import org.larkkeel.event.Event;
 
 /**
- * Which moments every step has, and which faults mean something in a scenario. A step without an
- * entry fails the proof.
+ * The moments at which faults are injected at each step, and the faults that don't apply to a
+ * scenario. The tests fail if a type of event or effect has no entry.
+ *
+ * <p>Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
@@ -33,7 +35,7 @@
       Sets.immutableEnumSet(BEFORE, AFTER_ANSWER);
   private static final ImmutableSet<Moment> AROUND_EVENT =
       Sets.immutableEnumSet(BEFORE, AFTER_EFFECT);
-  private static final ImmutableSet<Moment> AT_ONCE = Sets.immutableEnumSet(BEFORE);
+  private static final ImmutableSet<Moment> ONLY_BEFORE = Sets.immutableEnumSet(BEFORE);
 
   private static final ImmutableMap<Class<?>, ImmutableSet<Moment>> MOMENTS =
       ImmutableMap.<Class<?>, ImmutableSet<Moment>>builder()
@@ -44,14 +46,14 @@
           .put(Effect.Cancel.class, AROUND_CALL)
           .put(Effect.ClaimRun.class, AROUND_CLAIM)
           .put(Effect.RecordRun.class, AROUND_CLAIM)
-          .put(Effect.Complete.class, AT_ONCE)
-          .put(Effect.Replay.class, AT_ONCE)
-          .put(Effect.Refuse.class, AT_ONCE)
-          .put(Effect.Forget.class, AT_ONCE)
-          .put(Effect.WantSlots.class, AT_ONCE)
-          .put(Effect.WantLimit.class, AT_ONCE)
-          .put(Effect.Wake.class, AT_ONCE)
-          .put(Effect.Report.class, AT_ONCE)
+          .put(Effect.Complete.class, ONLY_BEFORE)
+          .put(Effect.Replay.class, ONLY_BEFORE)
+          .put(Effect.Refuse.class, ONLY_BEFORE)
+          .put(Effect.Forget.class, ONLY_BEFORE)
+          .put(Effect.WantSlots.class, ONLY_BEFORE)
+          .put(Effect.WantLimit.class, ONLY_BEFORE)
+          .put(Effect.Wake.class, ONLY_BEFORE)
+          .put(Effect.Report.class, ONLY_BEFORE)
           .put(Event.RequestArrived.class, AROUND_EVENT)
           .put(Event.CallerGone.class, AROUND_EVENT)
           .put(Event.PrefillDone.class, AROUND_EVENT)
@@ -74,16 +76,16 @@
           .put(Event.Ticked.class, AROUND_EVENT)
           .build();
 
-  private static final Set<Scenario> WITHOUT_TRANSFER =
+  private static final Set<Scenario> SCENARIOS_WITHOUT_TRANSFER =
       EnumSet.of(
           Scenario.PLAIN_IDEMPOTENT,
           Scenario.PLAIN_KEYED,
           Scenario.PLAIN_KEYED_REPEATED,
           Scenario.PLAIN_UNKEYED,
           Scenario.REFUSED);
-  private static final Set<Fault> OF_TRANSFER =
+  private static final Set<Fault> TRANSFER_FAULTS =
       EnumSet.of(Fault.TRANSFER_STALL, Fault.KV_EVICTED, Fault.STALE_CACHE);
-  private static final Set<Fault> OF_UPSTREAM =
+  private static final Set<Fault> UPSTREAM_FAULTS =
       EnumSet.of(
           Fault.UPSTREAM_DEATH,
           Fault.UPSTREAM_RESTART,
@@ -95,16 +97,16 @@
   private FaultTable() {}
 
   /**
-   * The steps that have an entry.
+   * Returns the steps that have an entry.
    *
-   * @return types of events and effects
+   * @return the types of events and effects
    */
-  public static ImmutableSet<Class<?>> assigned() {
+  public static ImmutableSet<Class<?>> coveredSteps() {
     return MOMENTS.keySet();
   }
 
   /**
-   * The moments of a step.
+   * Returns the moments at which faults are injected at a step.
    *
    * @param step the type of the event or effect
    * @return at least one
@@ -114,23 +116,23 @@
     ImmutableSet<Moment> moments = MOMENTS.get(step);
     if (moments == null) {
       throw new IllegalStateException(
-          "step " + step.getSimpleName() + " has no faults: add it to " + FaultTable.class);
+          "step " + step.getSimpleName() + " has no entry: add its moments to " + FaultTable.class);
     }
     return moments;
   }
 
   /**
-   * Why a fault means nothing in a scenario.
+   * Returns the reason why a fault does not apply to a scenario.
    *
    * @param scenario the scenario
    * @param fault the fault
-   * @return the reason, empty if the fault means something
+   * @return the reason, empty if the fault applies
    */
   public static String exemption(Scenario scenario, Fault fault) {
-    if (WITHOUT_TRANSFER.contains(scenario) && OF_TRANSFER.contains(fault)) {
+    if (SCENARIOS_WITHOUT_TRANSFER.contains(scenario) && TRANSFER_FAULTS.contains(fault)) {
       return "no KV cache in this scenario";
     }
-    if (scenario == Scenario.REFUSED && OF_UPSTREAM.contains(fault)) {
+    if (scenario == Scenario.REFUSED && UPSTREAM_FAULTS.contains(fault)) {
       return "no upstream in this scenario";
     }
     return "";
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/FaultsCommand.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/FaultsCommand.java
@@ -18,7 +18,8 @@
 import org.larkkeel.bench.proof.defect.DefectRunner;
 
 /**
- * The command {@code ./faults}: runs the matrix of faults and writes the page of results.
+ * The command {@code ./faults}: runs the fault matrix, or with {@code --defects} the planted
+ * defects, and writes the results page.
  *
  * <p>Not safe for use by several threads.
  *
@@ -52,7 +53,7 @@
    * Runs the command.
    *
    * @param args the arguments, see {@code --help}
-   * @throws IOException if the page can't be written
+   * @throws IOException if the page can't be written or a source can't be read
    */
   public static void main(String[] args) throws IOException {
     System.exit(new FaultsCommand().run(args, System.out, System.err));
@@ -105,7 +106,7 @@
 
   private static long report(PrintStream out, String kind, List<Result> results) {
     ImmutableList<Result> failed =
-        results.stream().filter(r -> !r.held()).collect(ImmutableList.toImmutableList());
+        results.stream().filter(r -> !r.passed()).collect(ImmutableList.toImmutableList());
     failed.forEach(r -> out.println("failed=\"" + r.cell() + "\" because=" + r.violations()));
     out.println("kind=" + kind + " cells=" + results.size() + " failed=" + failed.size());
     return failed.size();
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/FaultsPage.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/FaultsPage.java
@@ -17,17 +17,18 @@
 import org.larkkeel.bench.proof.Matrix.Result;
 import org.larkkeel.bench.proof.defect.DefectRunner;
 import org.larkkeel.bench.proof.world.Fault;
-import org.larkkeel.bench.proof.world.Place;
+import org.larkkeel.bench.proof.world.InjectionPoint;
 
 /**
- * The page of results. Each part stands between two marks and is replaced on its own.
+ * The results page. Each section stands between two marker comments and is replaced independently
+ * of the others.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class FaultsPage {
-  private static final int MOST_FAILURES = 50;
+  private static final int MAX_FAILURES = 50;
 
   private final Path file;
 
@@ -35,7 +36,7 @@
     this.file = file;
   }
 
-  /** Writes the part about the matrix. */
+  /** Writes the section about the fault matrix. */
   void writeMatrix(Matrix matrix, List<Result> singles, List<Result> pairs) throws IOException {
     StringBuilder text = new StringBuilder();
     text.append("## Every fault at every step\n\n");
@@ -51,32 +52,32 @@
     write("matrix", text.toString());
   }
 
-  /** Writes the part about planted defects. */
+  /** Writes the section about planted defects. */
   void writeDefects(List<DefectRunner.Outcome> outcomes) throws IOException {
     StringBuilder text = new StringBuilder("## Planted defects\n\n");
     text.append("Each is planted alone into a copy of the sources, which the matrix then runs. ");
     text.append("Cells that fail without any defect are left out.\n\n");
-    long found = outcomes.stream().filter(o -> o.caughtBy().isPresent()).count();
-    text.append(found).append(" of ").append(outcomes.size()).append(" are caught.\n\n");
+    long detected = outcomes.stream().filter(o -> o.caughtBy().isPresent()).count();
+    text.append(detected).append(" of ").append(outcomes.size()).append(" are caught.\n\n");
     text.append("| defect | caught by |\n|---|---|\n");
     for (DefectRunner.Outcome o : outcomes) {
-      String caught = o.caughtBy().orElse("**survived**").replace('|', '/');
-      text.append("| ").append(o.title()).append(" | ").append(caught).append(" |\n");
+      String detectedBy = o.caughtBy().orElse("**survived**").replace('|', '/');
+      text.append("| ").append(o.title()).append(" | ").append(detectedBy).append(" |\n");
     }
     write("defects", text.toString());
   }
 
-  private void write(String part, String text) throws IOException {
-    String begin = "<!-- " + part + " -->\n";
-    String end = "<!-- end of " + part + " -->\n";
+  private void write(String name, String text) throws IOException {
+    String startMarker = "<!-- " + name + " -->\n";
+    String endMarker = "<!-- end of " + name + " -->\n";
     String page = Files.exists(file) ? Files.readString(file) : HEAD;
-    int from = page.indexOf(begin);
-    String whole = begin + text + end;
+    int from = page.indexOf(startMarker);
+    String section = startMarker + text + endMarker;
     if (from < 0) {
-      page = page + "\n" + whole;
+      page = page + "\n" + section;
     } else {
-      int to = page.indexOf(end) + end.length();
-      page = page.substring(0, from) + whole + page.substring(to);
+      int to = page.indexOf(endMarker) + endMarker.length();
+      page = page.substring(0, from) + section + page.substring(to);
     }
     Files.createDirectories(file.toAbsolutePath().getParent());
     Files.writeString(file, page);
@@ -100,8 +101,8 @@
       """;
 
   private static String summary(List<Result> results) {
-    long held = results.stream().filter(Result::held).count();
-    return held + " of " + results.size() + " cells held";
+    long passed = results.stream().filter(Result::passed).count();
+    return passed + " of " + results.size() + " cells held";
   }
 
   private static void matrixTable(StringBuilder text, List<Result> singles) {
@@ -146,7 +147,7 @@
     }
     for (Result result : singles) {
       Fault fault = result.cell().injections().getFirst().fault();
-      counts.get(fault).get(result.cell().scenario())[result.held() ? 0 : 1]++;
+      counts.get(fault).get(result.cell().scenario())[result.passed() ? 0 : 1]++;
     }
     return counts;
   }
@@ -156,7 +157,7 @@
     for (Class<?> step : Steps.all()) {
       StringBuilder where = new StringBuilder();
       for (Scenario scenario : Scenario.values()) {
-        if (matrix.places(scenario).stream().map(Place::step).anyMatch(step::equals)) {
+        if (matrix.points(scenario).stream().map(InjectionPoint::step).anyMatch(step::equals)) {
           where.append(where.isEmpty() ? "" : ", ").append(scenario.title());
         }
       }
@@ -168,8 +169,8 @@
   private static void failures(StringBuilder text, List<Result> singles, List<Result> pairs) {
     List<Result> failed =
         Stream.concat(singles.stream(), pairs.stream())
-            .filter(r -> !r.held())
-            .limit(MOST_FAILURES)
+            .filter(r -> !r.passed())
+            .limit(MAX_FAILURES)
             .toList();
     if (failed.isEmpty()) {
       return;
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Matrix.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Matrix.java
@@ -15,42 +15,42 @@
 import java.util.SplittableRandom;
 import org.larkkeel.bench.proof.world.Fault;
 import org.larkkeel.bench.proof.world.Injection;
-import org.larkkeel.bench.proof.world.Place;
+import org.larkkeel.bench.proof.world.InjectionPoint;
 
 /**
- * Every fault at every step of every scenario, and pairs of them.
+ * The fault matrix: every fault at every step of every scenario, and a sample of pairs of faults.
  *
- * <p>The steps of a scenario are those that it reaches without faults. Immutable once created; runs
- * are independent and may be spread over threads.
+ * <p>The steps of a scenario are those that it reaches without faults. Immutable once created and
+ * safe for use by several threads; each run has its own simulated cluster.
  *
  * @since 0.1
  */
 public final class Matrix {
-  /** The seed of the runs in CI and on the page. */
+  /** The seed of the runs in CI and on the results page. */
   public static final long SEED = 20_261_202;
 
   private final long seed;
-  private final Map<Scenario, ImmutableSet<Place>> places = new EnumMap<>(Scenario.class);
+  private final Map<Scenario, ImmutableSet<InjectionPoint>> points = new EnumMap<>(Scenario.class);
 
   /**
-   * What came of a cell.
+   * The result of a cell.
    *
    * @param cell the cell
-   * @param violations promises broken; empty if all held
+   * @param violations the broken promises; empty if all held
    */
   public record Result(Cell cell, ImmutableList<Violation> violations) {
     /**
-     * Tells whether all promises held.
+     * Returns whether all promises held.
      *
      * @return true if so
      */
-    public boolean held() {
+    public boolean passed() {
       return violations.isEmpty();
     }
   }
 
   /**
-   * Finds the steps of all scenarios.
+   * Creates a matrix by running every scenario once without faults.
    *
    * @param seed the seed of all runs
    * @throws IllegalStateException if a scenario breaks a promise without any fault
@@ -58,27 +58,27 @@
   public Matrix(long seed) {
     this.seed = seed;
     for (Scenario scenario : Scenario.values()) {
-      Run run = Run.of(scenario, ImmutableList.of(), seed);
+      Run run = Run.execute(scenario, ImmutableList.of(), seed);
       if (!run.violations().isEmpty()) {
         throw new IllegalStateException(scenario.title() + " without a fault: " + run.violations());
       }
-      run.places().forEach(place -> FaultTable.moments(place.step()));
-      places.put(scenario, run.places());
+      run.reachedPoints().forEach(point -> FaultTable.moments(point.step()));
+      points.put(scenario, run.reachedPoints());
     }
   }
 
   /**
-   * The places of a scenario.
+   * Returns the injection points of a scenario.
    *
    * @param scenario the scenario
-   * @return the places that it reaches without faults
+   * @return the points that the scenario reaches without faults
    */
-  public ImmutableSet<Place> places(Scenario scenario) {
-    return places.get(scenario);
+  public ImmutableSet<InjectionPoint> points(Scenario scenario) {
+    return points.get(scenario);
   }
 
   /**
-   * All cells with one fault.
+   * Returns all cells with one fault.
    *
    * @return the cells, in a fixed order
    */
@@ -93,9 +93,9 @@
   }
 
   /**
-   * Cells with two faults, chosen by the seed.
+   * Returns cells with two faults, chosen at random by the seed.
    *
-   * @param count how many
+   * @param count the number of cells
    * @return the cells
    */
   public ImmutableList<Cell> pairs(int count) {
@@ -116,13 +116,14 @@
    * Runs a cell.
    *
    * @param cell the cell
-   * @return what came of it
+   * @return the result
+   * @throws IllegalStateException if the cell has one fault and its step was not reached
    */
   public Result run(Cell cell) {
-    Run run = Run.of(cell.scenario(), cell.injections(), seed);
+    Run run = Run.execute(cell.scenario(), cell.injections(), seed);
     ImmutableList.Builder<Violation> violations = ImmutableList.builder();
     violations.addAll(run.violations());
-    if (!run.injected() && cell.injections().size() == 1) {
+    if (!run.allInjected() && cell.injections().size() == 1) {
       throw new IllegalStateException("the step was not reached: " + cell);
     }
     return new Result(cell, violations.build());
@@ -130,11 +131,11 @@
 
   private List<Injection> injections(Scenario scenario) {
     List<Injection> all = new ArrayList<>();
-    for (Place place : places.get(scenario)) {
+    for (InjectionPoint point : points.get(scenario)) {
       for (Fault fault : Fault.values()) {
-        boolean counts = FaultTable.moments(place.step()).contains(place.moment());
-        if (counts && FaultTable.exemption(scenario, fault).isEmpty()) {
-          all.add(new Injection(place, fault));
+        boolean hasMoment = FaultTable.moments(point.step()).contains(point.moment());
+        if (hasMoment && FaultTable.exemption(scenario, fault).isEmpty()) {
+          all.add(new Injection(point, fault));
         }
       }
     }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/MatrixRunner.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/MatrixRunner.java
@@ -12,7 +12,9 @@
 import org.larkkeel.bench.proof.Matrix.Result;
 
 /**
- * Runs cells on several threads. The verdict does not depend on their number.
+ * Runs the cells of a matrix on several threads. The results don't depend on the number of threads.
+ *
+ * <p>Immutable and safe for use by several threads.
  *
  * @since 0.1
  */
@@ -24,7 +26,7 @@
    * Creates a runner.
    *
    * @param matrix the matrix
-   * @param threads how many cells run at once
+   * @param threads the number of cells that run at once
    */
   public MatrixRunner(Matrix matrix, int threads) {
     this.matrix = matrix;
@@ -35,7 +37,7 @@
    * Runs cells.
    *
    * @param cells the cells
-   * @return their results, in the same order
+   * @return the results, in the order of the cells
    */
   public ImmutableList<Result> run(List<Cell> cells) {
     try (ForkJoinPool pool = new ForkJoinPool(threads)) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Promise.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Promise.java
@@ -7,32 +7,36 @@
 package org.larkkeel.bench.proof;
 
 /**
- * What must hold in every run.
+ * A guarantee of larkkeel that must hold in every run, whatever faults are injected.
  *
  * @since 0.1
  */
 public enum Promise {
   /**
-   * No engine memory is held, after a bound, for a request that is over or whose caller is gone.
+   * Engines free the memory of a request within a bound after the request ended or its caller
+   * disconnected.
    */
   MEMORY_FREED("memory freed"),
-  /** Every caller gets one ending, and nothing after it. */
+  /** Every caller gets exactly one end of its answer, and no data after it. */
   ANSWERED_ONCE("answered once"),
-  /** An answer is the whole answer to the caller's own request. */
+  /** An answer is complete and belongs to the caller's own request. */
   WHOLE_OWN_ANSWER("whole own answer"),
-  /** A request of which "not run" is said did not run. */
+  /** A request that was refused as "not run" did not run. */
   NOT_RUN_TRUE("\"not run\" is true"),
   /** A request that is not idempotent runs at most once. */
   AT_MOST_ONCE("at most once"),
-  /** A leaving upstream gets no new work after a bound. */
+  /** An upstream gets no new work later than a bound after it was marked as leaving. */
   LEAVING_LEFT_ALONE("leaving upstream left alone"),
-  /** A planned stop cuts nothing, and comes to its end. */
+  /** A planned stop interrupts no request in progress, and it finishes. */
   STOP_CUTS_NOTHING("planned stop cuts nothing"),
-  /** An accepted configuration is in force everywhere within a bound and never reverts. */
+  /**
+   * Every running node applies an accepted configuration within a bound and never returns to an
+   * older one.
+   */
   IN_FORCE("configuration in force"),
   /**
-   * Once the faults are over, requests are answered again; one whose last upstream is out of use is
-   * told just that.
+   * After the faults have ended, requests are answered again. A request for which every upstream is
+   * leaving is refused with {@code NO_UPSTREAM}.
    */
   SERVES_AGAIN("serves again");
 
@@ -43,7 +47,7 @@
   }
 
   /**
-   * The name of the promise for people.
+   * Returns the name of the promise as shown on the results page.
    *
    * @return a short phrase
    */
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Scenario.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Scenario.java
@@ -7,7 +7,7 @@
 package org.larkkeel.bench.proof;
 
 import java.util.Optional;
-import org.larkkeel.bench.proof.world.Callers.Part;
+import org.larkkeel.bench.proof.world.Callers.Purpose;
 import org.larkkeel.bench.proof.world.Configurations;
 import org.larkkeel.bench.proof.world.VirtualTime;
 import org.larkkeel.bench.proof.world.World;
@@ -16,8 +16,8 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * What happens in a run besides the faults. The steps of a scenario are those that a run without
- * faults reaches.
+ * The requests and operations of a run, apart from the injected faults. The steps of a scenario are
+ * the events and effects that a run without faults reaches.
  *
  * @since 0.1
  */
@@ -25,100 +25,100 @@
   /** A completion is prefilled, transferred, decoded and answered. */
   GENERATED("generated request") {
     @Override
-    void begin(World world) {
-      complete(world, Part.SUBJECT);
+    void start(World world) {
+      sendCompletion(world, Purpose.SUBJECT);
     }
   },
-  /** The caller of a completion leaves while it is decoded. */
-  GENERATED_LEFT("generated request, caller leaves") {
+  /** The caller of a completion disconnects during decode. */
+  GENERATED_CALLER_LEAVES("generated request, caller leaves") {
     @Override
-    void begin(World world) {
-      RequestId request = complete(world, Part.SUBJECT);
-      world.run(MID_DECODE);
-      world.callers().leave(request);
+    void start(World world) {
+      RequestId request = sendCompletion(world, Purpose.SUBJECT);
+      world.run(MID_DECODE_NANOS);
+      world.callers().disconnect(request);
     }
   },
   /** The decode engine of a completion dies in the middle of its answer. */
   GENERATED_RESUMED("generated request, decode resumed") {
     @Override
-    void begin(World world) {
-      complete(world, Part.SUBJECT);
-      world.run(MID_DECODE);
-      world.killLastUpstream(DOWNTIME);
+    void start(World world) {
+      sendCompletion(world, Purpose.SUBJECT);
+      world.run(MID_DECODE_NANOS);
+      world.killLastUpstream(DOWNTIME_NANOS);
     }
   },
-  /** A plain call that may be repeated. */
+  /** A plain call that may run more than once. */
   PLAIN_IDEMPOTENT("plain idempotent call") {
     @Override
-    void begin(World world) {
-      world.callers().call(Part.SUBJECT, 0, Configurations.READ);
+    void start(World world) {
+      world.callers().sendPlain(Purpose.SUBJECT, 0, Configurations.READ);
     }
   },
-  /** A plain call that must not run twice, with a key. */
+  /** Plain calls that must not run twice, each with an idempotency key. */
   PLAIN_KEYED("non-idempotent call with key") {
     @Override
-    void begin(World world) {
-      world.callers().callOnce(Part.SUBJECT, 0, "order-1");
-      world.callers().callOnce(Part.SUBJECT, 0, "order-2");
-      world.callers().callOnce(Part.SUBJECT, 0, "order-3");
+    void start(World world) {
+      world.callers().sendKeyed(Purpose.SUBJECT, 0, "order-1");
+      world.callers().sendKeyed(Purpose.SUBJECT, 0, "order-2");
+      world.callers().sendKeyed(Purpose.SUBJECT, 0, "order-3");
     }
   },
-  /** A plain call with a key is sent again after it was answered. */
+  /** A plain call with an idempotency key is sent again after it was answered. */
   PLAIN_KEYED_REPEATED("non-idempotent call with key, repeated") {
     @Override
-    void begin(World world) {
-      world.callers().callOnce(Part.SUBJECT, 0, "order-1");
+    void start(World world) {
+      world.callers().sendKeyed(Purpose.SUBJECT, 0, "order-1");
       world.run(VirtualTime.SECOND);
-      world.callers().callOnce(Part.SUBJECT, 1, "order-1");
+      world.callers().sendKeyed(Purpose.SUBJECT, 1, "order-1");
     }
   },
-  /** A plain call that must not run twice, without a key. */
+  /** A plain call that must not run twice, without an idempotency key. */
   PLAIN_UNKEYED("non-idempotent call without key") {
     @Override
-    void begin(World world) {
-      world.callers().call(Part.SUBJECT, 0, Configurations.ORDER);
+    void start(World world) {
+      world.callers().sendPlain(Purpose.SUBJECT, 0, Configurations.ORDER);
     }
   },
   /** A request that no rule matches. */
   REFUSED("refused request") {
     @Override
-    void begin(World world) {
-      world.callers().complete(Part.SUBJECT, 0, new ModelName("unknown"));
+    void start(World world) {
+      world.callers().sendCompletion(Purpose.SUBJECT, 0, new ModelName("unknown"));
     }
   },
-  /** An operator takes an upstream out of use while requests arrive. */
+  /** An operator marks an upstream as leaving while requests arrive. */
   CONFIGURATION("configuration change") {
     @Override
-    void begin(World world) {
-      world.operate(0, Optional.of(new UpstreamName("decode-b")));
-      stream(world, Part.SUBJECT);
+    void start(World world) {
+      world.changeConfiguration(0, Optional.of(new UpstreamName("decode-b")));
+      sendRounds(world, Purpose.SUBJECT);
     }
   },
   /** A node dies and is replaced while requests arrive. */
   MEMBERSHIP("membership change") {
     @Override
-    void begin(World world) {
+    void start(World world) {
       world.killNode(World.NODES - 1);
-      stream(world, Part.SUBJECT);
+      sendRounds(world, Purpose.SUBJECT);
     }
   },
   /** A node is stopped as planned while it has requests in progress. */
   PLANNED_STOP("planned stop") {
     @Override
-    void begin(World world) {
-      complete(world, Part.SUBJECT);
-      world.callers().call(Part.SUBJECT, 0, Configurations.READ);
-      world.callers().callOnce(Part.SUBJECT, 0, "order-1");
-      world.run(SOON);
+    void start(World world) {
+      sendCompletion(world, Purpose.SUBJECT);
+      world.callers().sendPlain(Purpose.SUBJECT, 0, Configurations.READ);
+      world.callers().sendKeyed(Purpose.SUBJECT, 0, "order-1");
+      world.run(STOP_DELAY_NANOS);
       world.stopNode(0);
     }
   };
 
-  private static final long MID_DECODE = 170 * VirtualTime.MILLI;
-  private static final long DOWNTIME = 2 * VirtualTime.SECOND;
-  private static final long SOON = 30 * VirtualTime.MILLI;
-  private static final long STREAM_EVERY = 400 * VirtualTime.MILLI;
-  private static final int STREAM_LENGTH = 20;
+  private static final long MID_DECODE_NANOS = 170 * VirtualTime.MILLI;
+  private static final long DOWNTIME_NANOS = 2 * VirtualTime.SECOND;
+  private static final long STOP_DELAY_NANOS = 30 * VirtualTime.MILLI;
+  private static final long ROUND_INTERVAL_NANOS = 400 * VirtualTime.MILLI;
+  private static final int ROUNDS = 20;
 
   private final String title;
 
@@ -127,7 +127,7 @@
   }
 
   /**
-   * The name of the scenario for people.
+   * Returns the name of the scenario as shown on the results page.
    *
    * @return a short phrase
    */
@@ -135,18 +135,18 @@
     return title;
   }
 
-  /** Begins, and lets as much time pass as it needs to. */
-  abstract void begin(World world);
+  /** Starts the scenario and advances the virtual time as far as its operations need. */
+  abstract void start(World world);
 
-  private static RequestId complete(World world, Part part) {
-    return world.callers().complete(part, 0, Configurations.MODEL);
+  private static RequestId sendCompletion(World world, Purpose purpose) {
+    return world.callers().sendCompletion(purpose, 0, Configurations.MODEL);
   }
 
-  private static void stream(World world, Part part) {
-    for (int i = 0; i < STREAM_LENGTH; i++) {
-      world.callers().complete(part, i, Configurations.MODEL);
-      world.callers().call(part, i, Configurations.READ);
-      world.run(STREAM_EVERY);
+  private static void sendRounds(World world, Purpose purpose) {
+    for (int i = 0; i < ROUNDS; i++) {
+      world.callers().sendCompletion(purpose, i, Configurations.MODEL);
+      world.callers().sendPlain(purpose, i, Configurations.READ);
+      world.run(ROUND_INTERVAL_NANOS);
     }
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Steps.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Steps.java
@@ -12,7 +12,10 @@
 import org.larkkeel.event.Event;
 
 /**
- * The types of events and effects, taken from the sealed types themselves.
+ * Lists the types of the router's events and effects, derived from the sealed hierarchies {@link
+ * Event} and {@link Effect}.
+ *
+ * <p>Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
@@ -20,9 +23,9 @@
   private Steps() {}
 
   /**
-   * All types of events and effects.
+   * Returns all types of events and effects.
    *
-   * @return the records that the sealed types permit, however deep
+   * @return the records that the sealed types permit, directly or through nested sealed types
    */
   public static ImmutableList<Class<?>> all() {
     ImmutableList.Builder<Class<?>> leaves = ImmutableList.builder();
@@ -32,7 +35,7 @@
   }
 
   /**
-   * The name of a step for people.
+   * Returns the name of a step as shown on the results page.
    *
    * @param step the type
    * @return its simple name
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Violation.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/Violation.java
@@ -7,10 +7,10 @@
 package org.larkkeel.bench.proof;
 
 /**
- * A promise that a run broke.
+ * A promise that was broken in a run.
  *
  * @param promise the promise
- * @param detail what was seen
+ * @param detail the observation that breaks it
  * @since 0.1
  */
 public record Violation(Promise promise, String detail) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/DefectRunner.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/DefectRunner.java
@@ -21,7 +21,7 @@
 import org.larkkeel.bench.proof.defect.Defect.Patch;
 
 /**
- * Plants each defect in a copy of the sources and lets the matrix look for it.
+ * Plants each defect into a copy of the sources and runs the fault matrix on it.
  *
  * <p>Not safe for use by several threads.
  *
@@ -31,9 +31,9 @@
   private final Path root;
 
   /**
-   * What became of a defect.
+   * The outcome of a defect.
    *
-   * @param title what is wrong
+   * @param title a short description of the defect
    * @param caughtBy the first cell that failed; empty if the defect survived
    */
   public record Outcome(String title, Optional<String> caughtBy) {}
@@ -41,32 +41,32 @@
   /**
    * Creates a runner.
    *
-   * @param root the folder of the sources of all modules
+   * @param root the directory with the sources of all modules
    */
   public DefectRunner(Path root) {
     this.root = root;
   }
 
   /**
-   * Plants all defects, one after the other.
+   * Plants all defects, one after the other. Cells that fail without any defect are excluded.
    *
-   * @param progress told of each outcome as it comes
-   * @return what became of them, in a fixed order
+   * @param progress receives each outcome as soon as it is known
+   * @return the outcomes, in a fixed order
    * @throws IOException if a source can't be read
-   * @throws IllegalStateException if a patch does not apply any more
+   * @throws IllegalStateException if a patch does not match its source file exactly once
    */
   public ImmutableList<Outcome> run(Consumer<Outcome> progress) throws IOException {
     return run(Defects.all(), DefectSearch.failures(), progress);
   }
 
   /**
-   * Plants the defects with these titles only; no cell is left out.
+   * Plants the defects with the given titles only; no cell is excluded.
    *
    * @param titles the titles
-   * @return what became of them, in the order of all defects
+   * @return the outcomes, in the order of all defects
    * @throws IOException if a source can't be read
    * @throws IllegalArgumentException if a title is unknown
-   * @throws IllegalStateException if a patch does not apply any more
+   * @throws IllegalStateException if a patch does not match its source file exactly once
    */
   public ImmutableList<Outcome> run(Set<String> titles) throws IOException {
     ImmutableList<Defect> chosen =
@@ -74,23 +74,26 @@
             .filter(defect -> titles.contains(defect.title()))
             .collect(ImmutableList.toImmutableList());
     if (chosen.size() != titles.size()) {
-      throw new IllegalArgumentException("not all of these defects are listed: " + titles);
+      throw new IllegalArgumentException(
+          "at least one of these titles is not a listed defect: " + titles);
     }
     return run(chosen, ImmutableSet.of(), outcome -> {});
   }
 
   private ImmutableList<Outcome> run(
-      List<Defect> defects, Set<String> leftOut, Consumer<Outcome> progress) throws IOException {
+      List<Defect> defects, Set<String> excludedCells, Consumer<Outcome> progress)
+      throws IOException {
     ImmutableList.Builder<Outcome> outcomes = ImmutableList.builder();
     for (Defect defect : defects) {
-      Outcome outcome = new Outcome(defect.title(), look(defect, leftOut));
+      Outcome outcome = new Outcome(defect.title(), findFailure(defect, excludedCells));
       progress.accept(outcome);
       outcomes.add(outcome);
     }
     return outcomes.build();
   }
 
-  private Optional<String> look(Defect defect, Set<String> leftOut) throws IOException {
+  private Optional<String> findFailure(Defect defect, Set<String> excludedCells)
+      throws IOException {
     Map<String, String> sources = new HashMap<>();
     for (Patch patch : defect.patches()) {
       String text = sources.get(patch.file());
@@ -100,14 +103,14 @@
     try {
       Class<?> search = new PatchedLoader(sources).loadClass(DefectSearch.class.getName());
       return Optional.ofNullable(
-          (String) search.getMethod("firstFailure", Set.class).invoke(null, leftOut));
+          (String) search.getMethod("firstFailure", Set.class).invoke(null, excludedCells));
     } catch (InvocationTargetException e) {
       if (e.getCause() instanceof LinkageError broken) {
         throw broken;
       }
       return Optional.of("the run ended with " + e.getCause());
     } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("the patched classes do not load", e);
+      throw new IllegalStateException("can't load the patched classes", e);
     }
   }
 
@@ -117,7 +120,7 @@
       throw new IllegalStateException(
           "defect \""
               + defect.title()
-              + "\" does not apply to "
+              + "\" does not match exactly once in "
               + patch.file()
               + ": adapt its patch to the source");
     }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/DefectSearch.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/DefectSearch.java
@@ -18,39 +18,42 @@
 import org.larkkeel.bench.proof.MatrixRunner;
 
 /**
- * Looks for a failure among the cells, in an order that meets every kind of cell early. Runs inside
- * the classes with the defect.
+ * Searches the cells for a failure, in shuffled order so that every kind of cell is tried early.
+ * {@link DefectRunner} loads this class by reflection together with the patched classes, so its
+ * public methods keep their names.
+ *
+ * <p>Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
 public final class DefectSearch {
   private static final int PAIRS = 1_000;
   private static final int THREADS = 4;
-  private static final int AT_ONCE = 64;
+  private static final int BATCH_SIZE = 64;
 
   private DefectSearch() {}
 
   /**
-   * Finds all cells that fail; meant for the sources as they are.
+   * Returns the cells that fail with the unpatched sources.
    *
-   * @return the cells
+   * @return the descriptions of the cells
    */
   public static Set<String> failures() {
     Matrix matrix = new Matrix(Matrix.SEED);
     return new MatrixRunner(matrix, THREADS)
         .run(cells(matrix)).stream()
-            .filter(result -> !result.held())
+            .filter(result -> !result.passed())
             .map(result -> result.cell().toString())
             .collect(ImmutableSet.toImmutableSet());
   }
 
   /**
-   * Finds a failure.
+   * Returns the first failure.
    *
-   * @param leftOut cells that say nothing, since they fail without the defect too
-   * @return the cell and what it broke; null if all held
+   * @param excludedCells the descriptions of cells that fail without the defect too
+   * @return the failed cell and its first violation; null if all cells passed
    */
-  public static String firstFailure(Set<String> leftOut) {
+  public static String firstFailure(Set<String> excludedCells) {
     Matrix matrix;
     try {
       matrix = new Matrix(Matrix.SEED);
@@ -58,11 +61,11 @@
       return e.getMessage();
     }
     List<Cell> cells =
-        cells(matrix).stream().filter(cell -> !leftOut.contains(cell.toString())).toList();
+        cells(matrix).stream().filter(cell -> !excludedCells.contains(cell.toString())).toList();
     MatrixRunner runner = new MatrixRunner(matrix, THREADS);
-    return Lists.partition(cells, AT_ONCE).stream()
-        .flatMap(some -> runner.run(some).stream())
-        .filter(result -> !result.held())
+    return Lists.partition(cells, BATCH_SIZE).stream()
+        .flatMap(batch -> runner.run(batch).stream())
+        .filter(result -> !result.passed())
         .map(result -> result.cell() + " broke " + result.violations().getFirst())
         .findFirst()
         .orElse(null);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/Defects.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/Defects.java
@@ -10,7 +10,10 @@
 import org.larkkeel.bench.proof.defect.Defect.Patch;
 
 /**
- * The defects that the proof has to catch.
+ * The defects that the fault matrix must detect.
+ *
+ * <p>Each patch names a source file and a piece of its text that must occur there exactly once, so
+ * a change of that text must change the patch too.
  *
  * @since 0.1
  */
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/PatchedLoader.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/PatchedLoader.java
@@ -23,16 +23,17 @@
 import javax.tools.ToolProvider;
 
 /**
- * Loads the project's classes anew, some of them compiled in memory from patched sources.
+ * A class loader that defines the project's classes separately from its parent; those with patched
+ * sources are compiled in memory.
  *
  * <p>Safe for use by several threads once created.
  *
  * @since 0.1
  */
 final class PatchedLoader extends ClassLoader {
-  private static final String OWN = "org.larkkeel.";
+  private static final String PROJECT_PREFIX = "org.larkkeel.";
 
-  private final Map<String, ByteArrayOutputStream> patched = new HashMap<>();
+  private final Map<String, ByteArrayOutputStream> patchedClasses = new HashMap<>();
 
   PatchedLoader(Map<String, String> sources) {
     super(PatchedLoader.class.getClassLoader());
@@ -41,7 +42,7 @@
 
   @Override
   protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-    if (!name.startsWith(OWN)) {
+    if (!name.startsWith(PROJECT_PREFIX)) {
       return super.loadClass(name, resolve);
     }
     synchronized (getClassLoadingLock(name)) {
@@ -51,8 +52,8 @@
   }
 
   private Class<?> define(String name) throws ClassNotFoundException {
-    ByteArrayOutputStream own = patched.get(name);
-    byte[] bytes = own != null ? own.toByteArray() : read(name);
+    ByteArrayOutputStream patchedBytes = patchedClasses.get(name);
+    byte[] bytes = patchedBytes != null ? patchedBytes.toByteArray() : read(name);
     return defineClass(name, bytes, 0, bytes.length);
   }
 
@@ -73,7 +74,7 @@
     List<Source> units =
         sources.entrySet().stream().map(e -> new Source(e.getKey(), e.getValue())).toList();
     JavaFileManager files =
-        new MemoryFiles(compiler.getStandardFileManager(null, null, null), patched);
+        new MemoryFiles(compiler.getStandardFileManager(null, null, null), patchedClasses);
     List<String> options = List.of("-proc:none", "-nowarn");
     if (!compiler.getTask(null, files, null, options, null, units).call()) {
       throw new IllegalStateException("a patched source does not compile: " + sources.keySet());
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/package-info.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/package-info.java
@@ -1,2 +1,2 @@
-/** Defects planted into copies of the sources, to show that the proof can fail. */
+/** Defects planted into copies of the sources, to show that the fault matrix detects them. */
 package org.larkkeel.bench.proof.defect;
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/package-info.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/package-info.java
@@ -1,2 +1,5 @@
-/** The proof under failure: every fault at every step, planted defects, and malformed input. */
+/**
+ * Fault-injection tests of the router in virtual time: every fault at every step of every scenario,
+ * and planted defects that these tests must detect.
+ */
 package org.larkkeel.bench.proof;
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/CallerRecord.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/CallerRecord.java
@@ -14,14 +14,16 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * What one caller saw of one request. Not safe for use by several threads.
+ * The observations of one caller about one request.
+ *
+ * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class CallerRecord {
-  /** How a request ended for its caller. */
+  /** The way in which a request ended for its caller. */
   public enum Ending {
-    /** The answer was ended as whole. */
+    /** The answer was ended as complete. */
     COMPLETE,
     /** The answer of an earlier run was sent. */
     REPLAYED,
@@ -34,17 +36,17 @@
   /**
    * A piece of an answer.
    *
-   * @param owner the identity that it was made for
-   * @param index its place
+   * @param owner the identity of the request that the piece answers
+   * @param index the position in the answer, from 0
    */
   public record Piece(String owner, int index) {}
 
   /**
    * An end of an answer.
    *
-   * @param ending how
-   * @param kind the error; null if it is none
-   * @param at when
+   * @param ending the way in which it ended
+   * @param kind the error; null if the end is not an error
+   * @param at the time in nanoseconds
    */
   public record End(Ending ending, ErrorKind kind, long at) {}
 
@@ -53,7 +55,7 @@
   final List<End> ends = new ArrayList<>();
   int expectedPieces;
   String identity = "";
-  ImmutableSet<Role> needs = ImmutableSet.of();
+  ImmutableSet<Role> requiredRoles = ImmutableSet.of();
   long sentAt;
   long goneAt = Long.MAX_VALUE;
   boolean nodeStopped;
@@ -69,29 +71,29 @@
     return ends.isEmpty() && goneAt == Long.MAX_VALUE;
   }
 
-  void piece(Piece piece) {
+  void addPiece(Piece piece) {
     if (!ends.isEmpty()) {
       piecesAfterEnd++;
     }
     pieces.add(piece);
   }
 
-  void end(Ending ending, ErrorKind kind, long now) {
+  void addEnd(Ending ending, ErrorKind kind, long now) {
     ends.add(new End(ending, kind, now));
     onEnd.run();
   }
 
   /**
-   * The request.
+   * Returns the request.
    *
-   * @return its id
+   * @return the id of the request
    */
   public RequestId request() {
     return request;
   }
 
   /**
-   * What the caller got, but for the end.
+   * Returns the pieces that the caller received.
    *
    * @return the pieces, in order
    */
@@ -100,7 +102,7 @@
   }
 
   /**
-   * The ends of the answer; there ought to be one.
+   * Returns the ends of the answer. More than one breaks a promise.
    *
    * @return the ends, in order
    */
@@ -109,7 +111,7 @@
   }
 
   /**
-   * Pieces of the whole answer.
+   * Returns the number of pieces of the complete answer.
    *
    * @return a number above 0
    */
@@ -118,7 +120,8 @@
   }
 
   /**
-   * Whose answer is wanted: the key, or the request if it has none.
+   * Returns the identity of the expected answer: the idempotency key, or the request if it has
+   * none.
    *
    * @return the identity
    */
@@ -127,16 +130,16 @@
   }
 
   /**
-   * Pieces that came after the end.
+   * Returns the number of pieces received after the end.
    *
-   * @return a number that ought to be 0
+   * @return a number; more than 0 breaks a promise
    */
   public int piecesAfterEnd() {
     return piecesAfterEnd;
   }
 
   /**
-   * Tells whether the caller left.
+   * Returns whether the caller disconnected.
    *
    * @return true if it closed its connection itself
    */
@@ -145,7 +148,7 @@
   }
 
   /**
-   * Tells whether the request shows that nodes serve again.
+   * Returns whether the request checks that the nodes serve again after the faults.
    *
    * @return true if so
    */
@@ -154,31 +157,31 @@
   }
 
   /**
-   * Tells whether the request was in progress at a planned stop and refused for it.
+   * Returns whether the request was in progress at a planned stop and was refused because of it.
    *
    * @return true if so
    */
-  public boolean isCutByStop() {
+  public boolean isRefusedByStop() {
     return nodeStopped && ends.stream().anyMatch(e -> e.kind() == ErrorKind.NOT_READY);
   }
 
   /**
-   * When nobody waited for the answer any more.
+   * Returns the time from which the caller did not wait for the answer any more.
    *
-   * @return nanoseconds, the largest number if that never came
+   * @return nanoseconds, {@link Long#MAX_VALUE} if the caller still waits
    */
-  public long overAt() {
+  public long endedAt() {
     long ended = ends.isEmpty() ? Long.MAX_VALUE : ends.getFirst().at();
     return Math.min(goneAt, ended);
   }
 
   /**
-   * The roles of the upstreams that serve the request.
+   * Returns the roles of the upstreams that the request needs.
    *
    * @return the roles
    */
-  public ImmutableSet<Role> needs() {
-    return needs;
+  public ImmutableSet<Role> requiredRoles() {
+    return requiredRoles;
   }
 
   @Override
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Callers.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Callers.java
@@ -21,49 +21,49 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * Sends requests as callers do, and repeats those that carry a key until they are answered.
+ * Sends requests as callers do, and retries those with an idempotency key until they are answered.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Callers {
-  /** The prefix that all prompts share. */
-  static final PrefixKeys PREFIXES = new PrefixKeys(ImmutableLongArray.of(1, 2));
+  /** The prefix keys that all prompts share. */
+  static final PrefixKeys SHARED_PREFIX = new PrefixKeys(ImmutableLongArray.of(1, 2));
 
-  private static final long ONE_WAY = 2 * VirtualTime.MILLI;
-  private static final long REPEAT = 2 * VirtualTime.SECOND;
-  private static final int REPEATS = 4;
-  private static final int PROMPT = 4_000;
-  private static final long DIGEST = 7;
+  private static final long ONE_WAY_NANOS = 2 * VirtualTime.MILLI;
+  private static final long RETRY_DELAY_NANOS = 2 * VirtualTime.SECOND;
+  private static final int MAX_RETRIES = 4;
+  private static final int PROMPT_TOKENS = 4_000;
+  private static final long BODY_DIGEST = 7;
 
   private final World world;
-  private final Map<RequestId, Node> entries = new HashMap<>();
+  private final Map<RequestId, Node> nodes = new HashMap<>();
   private long requests;
 
   Callers(World world) {
     this.world = world;
   }
 
-  /** Whether a request is the subject of the run. */
-  public enum Part {
-    /** Faults are relative to its steps. */
+  /** The purpose of a request in a run. */
+  public enum Purpose {
+    /** Faults are injected at the steps of this request. */
     SUBJECT,
-    /** It only runs beside. */
+    /** The request runs at the same time as the subject; no fault is injected at its steps. */
     BYSTANDER,
-    /** It shows that the nodes serve again after the faults. */
+    /** The request checks that the nodes serve again after the faults. */
     PROBE
   }
 
   /**
    * Sends a completion.
    *
-   * @param part its part in the run
-   * @param index the node that the balancer prefers
-   * @param model the model asked for
-   * @return its id
+   * @param purpose the purpose of the request in the run
+   * @param index the index of the node that the load balancer prefers
+   * @param model the requested model
+   * @return the id of the request
    */
-  public RequestId complete(Part part, int index, ModelName model) {
+  public RequestId sendCompletion(Purpose purpose, int index, ModelName model) {
     RequestId id = nextId();
     Call call =
         new Call.Completion(
@@ -71,62 +71,65 @@
             Configurations.WORKSPACE,
             Optional.empty(),
             model,
-            PROMPT,
+            PROMPT_TOKENS,
             World.ANSWER_TOKENS,
-            PREFIXES,
+            SHARED_PREFIX,
             0);
-    send(part, index, call, "completion-" + id.value(), World.ANSWER_TOKENS);
+    send(purpose, index, call, "completion-" + id.value(), World.ANSWER_TOKENS);
     return id;
   }
 
   /**
    * Sends a plain call.
    *
-   * @param part its part in the run
-   * @param index the node that the balancer prefers
+   * @param purpose the purpose of the request in the run
+   * @param index the index of the node that the load balancer prefers
    * @param path the path
-   * @return its id
+   * @return the id of the request
    */
-  public RequestId call(Part part, int index, String path) {
+  public RequestId sendPlain(Purpose purpose, int index, String path) {
     RequestId id = nextId();
-    send(part, index, plain(id, path, Optional.empty()), "call-" + id.value(), 1);
+    send(purpose, index, plain(id, path, Optional.empty()), "call-" + id.value(), 1);
     return id;
   }
 
   /**
-   * Sends a plain call that must not run twice under a key, again and again until it is answered.
+   * Sends a plain call that must not run twice, with an idempotency key, and retries it until it is
+   * answered or the retries are used up.
    *
-   * @param part its part in the run
-   * @param index the node that the balancer prefers
-   * @param key the key
+   * @param purpose the purpose of the request in the run
+   * @param index the index of the node that the load balancer prefers
+   * @param key the idempotency key
    */
-  public void callOnce(Part part, int index, String key) {
-    callOnce(part, index, key, REPEATS);
+  public void sendKeyed(Purpose purpose, int index, String key) {
+    sendKeyed(purpose, index, key, MAX_RETRIES);
   }
 
-  private void callOnce(Part part, int index, String key, int repeats) {
+  private void sendKeyed(Purpose purpose, int index, String key, int retries) {
     RequestId id = nextId();
-    RunKey runKey = new RunKey(new IdempotencyKey(key), DIGEST);
-    CallerRecord caller = world.seen().caller(id);
+    RunKey runKey = new RunKey(new IdempotencyKey(key), BODY_DIGEST);
+    CallerRecord caller = world.observations().caller(id);
     caller.onEnd =
         () -> {
           Ending ending = caller.ends.getFirst().ending();
           boolean answered = ending == Ending.COMPLETE || ending == Ending.REPLAYED;
-          if (!answered && repeats > 0 && caller.ends.size() == 1) {
-            world.platform().after(REPEAT, () -> callOnce(part, index + 1, key, repeats - 1));
+          if (!answered && retries > 0 && caller.ends.size() == 1) {
+            world
+                .platform()
+                .after(RETRY_DELAY_NANOS, () -> sendKeyed(purpose, index + 1, key, retries - 1));
           }
         };
-    send(part, index, plain(id, Configurations.ORDER, Optional.of(runKey)), key, 1);
+    send(purpose, index, plain(id, Configurations.ORDER, Optional.of(runKey)), key, 1);
   }
 
   /**
-   * A caller closes its connection.
+   * Closes the connection of a caller.
    *
-   * @param request its request
+   * @param request the request of the caller
    */
-  public void leave(RequestId request) {
-    CallerRecord caller = world.seen().caller(request);
-    Node node = entries.get(request);
+  public void disconnect(RequestId request) {
+    CallerRecord caller = world.observations().caller(request);
+    Node node = nodes.get(request);
     if (node == null || !caller.isOpen()) {
       return;
     }
@@ -143,34 +146,34 @@
     return new RequestId(requests);
   }
 
-  private void send(Part part, int index, Call call, String identity, int pieces) {
-    CallerRecord caller = world.seen().caller(call.id());
+  private void send(Purpose purpose, int index, Call call, String identity, int pieces) {
+    CallerRecord caller = world.observations().caller(call.id());
     caller.identity = identity;
-    caller.needs =
+    caller.requiredRoles =
         switch (call) {
           case Call.Completion completion -> ImmutableSet.of(Role.PREFILL, Role.DECODE);
           case Call.Plain plain -> ImmutableSet.of(Role.SERVICE);
         };
     caller.expectedPieces = pieces;
     caller.sentAt = world.time().now();
-    caller.probe = part == Part.PROBE;
-    if (part == Part.SUBJECT) {
+    caller.probe = purpose == Purpose.PROBE;
+    if (purpose == Purpose.SUBJECT) {
       world.addSubject(call.id());
     }
-    Node node = pick(index);
-    entries.put(call.id(), node);
-    node.process.after(ONE_WAY, () -> node.arrive(call, caller));
-    world.platform().after(ONE_WAY, () -> refused(node, caller));
+    Node node = chooseNode(index);
+    nodes.put(call.id(), node);
+    node.process.after(ONE_WAY_NANOS, () -> node.receive(call, caller));
+    world.platform().after(ONE_WAY_NANOS, () -> failIfNodeDead(node, caller));
   }
 
-  /** No connection can be made to a node that died meanwhile. */
-  private void refused(Node node, CallerRecord caller) {
+  /** Fails a request whose node died before the request arrived. */
+  private void failIfNodeDead(Node node, CallerRecord caller) {
     if (node.process.isDead() && caller.isOpen()) {
-      caller.end(Ending.BROKEN, null, world.time().now());
+      caller.addEnd(Ending.BROKEN, null, world.time().now());
     }
   }
 
-  private Node pick(int index) {
+  private Node chooseNode(int index) {
     for (int i = 0; i < World.NODES; i++) {
       Node node = world.node((index + i) % World.NODES);
       if (node.isReady()) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Configurations.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Configurations.java
@@ -37,7 +37,10 @@
 import org.larkkeel.selector.Selector;
 
 /**
- * The configuration of the small cluster: two prefill engines, three decode engines, two services.
+ * The configurations of the simulated cluster: two prefill engines, three decode engines and two
+ * services.
+ *
+ * <p>Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
@@ -48,10 +51,10 @@
   /** The workspace of every caller. */
   public static final WorkspaceName WORKSPACE = new WorkspaceName("weavers");
 
-  /** Path of calls that may be repeated. */
+  /** The path of calls that may run more than once. */
   public static final String READ = "/read";
 
-  /** Path of calls that must not run twice. */
+  /** The path of calls that must not run twice. */
   public static final String ORDER = "/order";
 
   static final int SLOTS = 4;
@@ -64,9 +67,9 @@
   private Configurations() {}
 
   /**
-   * The upstreams and what each does.
+   * Returns the upstreams and their roles.
    *
-   * @return names and roles, in order of name
+   * @return the roles by upstream name, in the order of the names
    */
   static ImmutableSortedMap<UpstreamName, Role> upstreams() {
     return ImmutableSortedMap.<UpstreamName, Role>naturalOrder()
@@ -81,10 +84,10 @@
   }
 
   /**
-   * The roles that are served while some upstreams take no new work.
+   * Returns the roles that are served while some upstreams are leaving.
    *
-   * @param leaving those upstreams
-   * @return the roles of the others
+   * @param leaving the leaving upstreams
+   * @return the roles of the remaining upstreams
    */
   public static ImmutableSet<Role> rolesWithout(Collection<UpstreamName> leaving) {
     return upstreams().entrySet().stream()
@@ -93,7 +96,7 @@
         .collect(Sets.toImmutableEnumSet());
   }
 
-  /** The configuration in which some upstreams take no new work. */
+  /** Returns the configuration in which the given upstreams are leaving. */
   static Configuration withLeaving(Collection<UpstreamName> leaving) {
     ImmutableSortedMap.Builder<UpstreamName, Upstream> upstreams =
         ImmutableSortedMap.naturalOrder();
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Connection.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Connection.java
@@ -15,8 +15,9 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * The connection of a caller to a node. Pieces of a completion are passed on once, by their index;
- * the answer to a plain call is kept by its attempt until it is known to count.
+ * The connection of a caller to a node. Each piece of a completion is delivered to the caller once,
+ * identified by its index. The answer to a plain call is buffered by attempt until that attempt
+ * completes the request.
  *
  * <p>Not safe for use by several threads.
  *
@@ -25,10 +26,10 @@
 final class Connection {
   private final Call call;
   private final CallerRecord caller;
-  private final Map<AttemptId, Piece> answers = new HashMap<>();
+  private final Map<AttemptId, Piece> plainAnswers = new HashMap<>();
   private AttemptId current;
-  private int passed;
-  private String recorded;
+  private int deliveredPieces;
+  private String recordedAnswer;
 
   Connection(Call call, CallerRecord caller) {
     this.call = call;
@@ -47,57 +48,57 @@
     return !(call instanceof Call.Plain plain) || plain.path().equals(Configurations.READ);
   }
 
-  int passed() {
-    return passed;
+  int deliveredPieces() {
+    return deliveredPieces;
   }
 
-  void setRecorded(String answer) {
-    recorded = answer;
+  void setRecordedAnswer(String answer) {
+    recordedAnswer = answer;
   }
 
-  /** Makes an attempt the one whose tokens are passed on. */
-  void begin(AttemptId attempt) {
+  /** Sets the attempt whose tokens are delivered to the caller. */
+  void setCurrent(AttemptId attempt) {
     current = attempt;
   }
 
-  void drop(AttemptId attempt) {
+  void clearCurrent(AttemptId attempt) {
     if (attempt.equals(current)) {
       current = null;
     }
   }
 
-  /** Takes a piece; tells whether it was passed on. */
-  boolean take(AttemptId attempt, Piece piece) {
+  /** Accepts a piece from an attempt. Returns whether the piece was delivered to the caller. */
+  boolean accept(AttemptId attempt, Piece piece) {
     if (call instanceof Call.Plain) {
-      answers.put(attempt, piece);
+      plainAnswers.put(attempt, piece);
       return false;
     }
-    if (!attempt.equals(current) || piece.index() < passed) {
+    if (!attempt.equals(current) || piece.index() < deliveredPieces) {
       return false;
     }
-    passed = piece.index() + 1;
-    caller.piece(piece);
+    deliveredPieces = piece.index() + 1;
+    caller.addPiece(piece);
     return true;
   }
 
   void complete(AttemptId attempt, long now) {
-    Piece whole = answers.get(attempt);
-    if (whole != null) {
-      caller.piece(whole);
+    Piece answer = plainAnswers.get(attempt);
+    if (answer != null) {
+      caller.addPiece(answer);
     }
-    caller.end(Ending.COMPLETE, null, now);
+    caller.addEnd(Ending.COMPLETE, null, now);
   }
 
   void replay(long now) {
-    if (recorded == null) {
+    if (recordedAnswer == null) {
       refuse(ErrorKind.UNKNOWN_OUTCOME, now);
       return;
     }
-    caller.piece(new Piece(recorded, 0));
-    caller.end(Ending.REPLAYED, null, now);
+    caller.addPiece(new Piece(recordedAnswer, 0));
+    caller.addEnd(Ending.REPLAYED, null, now);
   }
 
   void refuse(ErrorKind kind, long now) {
-    caller.end(Ending.REFUSED, kind, now);
+    caller.addEnd(Ending.REFUSED, kind, now);
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Engine.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Engine.java
@@ -22,19 +22,20 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * A prefill or decode engine, or a plain service, as the protocol page describes them.
+ * A fake of a prefill engine, a decode engine or a plain service that follows the upstream
+ * protocol.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class Engine {
-  private static final long PREFILL = 60 * VirtualTime.MILLI;
-  private static final long TRANSFER = 20 * VirtualTime.MILLI;
-  private static final long TOKEN = 50 * VirtualTime.MILLI;
-  private static final long SERVICE_TIME = 40 * VirtualTime.MILLI;
-  private static final long KV_HOLD = 800 * VirtualTime.MILLI;
-  private static final long STALL_POLL = 20 * VirtualTime.MILLI;
+  private static final long PREFILL_NANOS = 60 * VirtualTime.MILLI;
+  private static final long TRANSFER_NANOS = 20 * VirtualTime.MILLI;
+  private static final long TOKEN_NANOS = 50 * VirtualTime.MILLI;
+  private static final long SERVICE_NANOS = 40 * VirtualTime.MILLI;
+  private static final long KV_LIFETIME_NANOS = 800 * VirtualTime.MILLI;
+  private static final long STALL_POLL_NANOS = 20 * VirtualTime.MILLI;
   private static final long KV_BYTES = 4_000_000;
   private static final int KV_PIECES = 256;
 
@@ -49,29 +50,30 @@
   private long highestFence;
   private long cacheSequence;
 
-  /** Memory, and for decodes a slot, held for an attempt. */
+  /** Memory, and for decodes a slot, that the engine holds for an attempt. */
   private static final class Holding {
     private final Job job;
-    private final Observations.Held record;
-    private boolean held;
-    private boolean over;
+    private final Observations.HeldMemory record;
+    private boolean awaitingNextStep;
+    private boolean released;
 
-    Holding(Job job, Observations.Held record) {
+    Holding(Job job, Observations.HeldMemory record) {
       this.job = job;
       this.record = record;
     }
   }
 
   /**
-   * What a node asks for.
+   * A request of a node to the engine.
    *
-   * @param origin names the attempt
+   * @param origin the identity of the attempt, with the node incarnation that sent it
    * @param request the request
-   * @param identity whose answer it is
-   * @param length pieces of the whole answer
-   * @param reply the way back
+   * @param identity the identity of the answer: the idempotency key, or the request if it has none
+   * @param pieceCount the number of pieces of the complete answer
+   * @param reply the channel for the answer
    */
-  record Job(EngineRequestId origin, RequestId request, String identity, int length, Reply reply) {}
+  record Job(
+      EngineRequestId origin, RequestId request, String identity, int pieceCount, Reply reply) {}
 
   Engine(World world, UpstreamName name, Role role, int slots) {
     this.world = world;
@@ -80,7 +82,7 @@
     this.slots = slots;
   }
 
-  boolean answers() {
+  boolean isAvailable() {
     return alive && reachable;
   }
 
@@ -96,7 +98,7 @@
     List<Holding> lost = List.copyOf(holdings.values());
     lost.forEach(this::release);
     lost.stream()
-        .filter(h -> !h.held)
+        .filter(h -> !h.awaitingNextStep)
         .forEach(h -> h.job.reply().fail(FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN));
   }
 
@@ -109,53 +111,54 @@
     }
   }
 
-  /** Cuts the connections with the nodes, or lets new ones be made; the engine itself goes on. */
-  void setReachable(boolean reaches) {
-    reachable = reaches;
-    if (!reaches) {
+  /** Closes the connections to the nodes, or allows new ones. The engine itself keeps running. */
+  void setReachable(boolean isReachable) {
+    reachable = isReachable;
+    if (!isReachable) {
       holdings.values().stream()
-          .filter(h -> !h.held)
+          .filter(h -> !h.awaitingNextStep)
           .forEach(h -> h.job.reply().fail(FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN));
     }
   }
 
-  /** Drops every KV cache that waits for its transfer. */
-  void evictHeld() {
-    List.copyOf(holdings.values()).stream().filter(h -> h.held).forEach(this::release);
+  /** Drops every KV cache that waits for its transfer or decode. */
+  void evictCaches() {
+    List.copyOf(holdings.values()).stream().filter(h -> h.awaitingNextStep).forEach(this::release);
   }
 
   void prefill(Job job) {
-    if (refuses(job)) {
+    if (failIfUnavailable(job)) {
       return;
     }
-    Holding h = hold(job);
-    later(
-        PREFILL,
+    Holding h = allocate(job);
+    schedule(
+        PREFILL_NANOS,
         h,
         () -> {
-          h.held = true;
+          h.awaitingNextStep = true;
           cacheSequence++;
           world.publishCache(this, cacheSequence);
-          job.reply().end(at -> new Event.PrefillDone(at, job.origin().attempt(), KV_BYTES, 0));
-          later(KV_HOLD, h, () -> release(h));
+          job.reply()
+              .complete(at -> new Event.PrefillDone(at, job.origin().attempt(), KV_BYTES, 0));
+          schedule(KV_LIFETIME_NANOS, h, () -> release(h));
         });
   }
 
   void transfer(Job job, EngineRequestId prefill, Engine source) {
-    if (refuses(job)) {
+    if (failIfUnavailable(job)) {
       return;
     }
     if (holdings.size() >= slots) {
       job.reply().fail(FailureCause.NO_SLOT, Exposure.REFUSED);
       return;
     }
-    Holding h = hold(job);
-    later(TRANSFER, h, () -> arrive(h, prefill, source));
+    Holding h = allocate(job);
+    schedule(TRANSFER_NANOS, h, () -> finishTransfer(h, prefill, source));
   }
 
-  private void arrive(Holding h, EngineRequestId prefill, Engine source) {
+  private void finishTransfer(Holding h, EngineRequestId prefill, Engine source) {
     if (world.isLinkStalled()) {
-      later(STALL_POLL, h, () -> arrive(h, prefill, source));
+      schedule(STALL_POLL_NANOS, h, () -> finishTransfer(h, prefill, source));
       return;
     }
     Holding from = source.holdings.get(prefill);
@@ -165,59 +168,61 @@
       return;
     }
     source.release(from);
-    h.held = true;
-    h.job.reply().end(at -> new Event.TransferDone(at, h.job.origin().attempt()));
+    h.awaitingNextStep = true;
+    h.job.reply().complete(at -> new Event.TransferDone(at, h.job.origin().attempt()));
   }
 
   void decode(Job job, int resumeFrom) {
-    if (refuses(job)) {
+    if (failIfUnavailable(job)) {
       return;
     }
     Holding imported = holdings.remove(job.origin());
-    if (imported == null || !imported.held) {
+    if (imported == null || !imported.awaitingNextStep) {
       job.reply().fail(FailureCause.KV_EVICTED, Exposure.REFUSED);
       return;
     }
     Holding h = new Holding(job, imported.record);
     holdings.put(job.origin(), h);
-    job.reply().taken();
-    token(h, resumeFrom);
+    job.reply().accepted();
+    scheduleToken(h, resumeFrom);
   }
 
-  private void token(Holding h, int index) {
-    later(
-        TOKEN,
+  private void scheduleToken(Holding h, int index) {
+    schedule(
+        TOKEN_NANOS,
         h,
         () -> {
-          h.job.reply().piece(new CallerRecord.Piece(h.job.identity(), index));
-          if (index + 1 < h.job.length()) {
-            token(h, index + 1);
+          h.job.reply().sendPiece(new CallerRecord.Piece(h.job.identity(), index));
+          if (index + 1 < h.job.pieceCount()) {
+            scheduleToken(h, index + 1);
             return;
           }
           release(h);
           int tokens = index + 1;
-          h.job.reply().end(at -> new Event.DecodeDone(at, h.job.origin().attempt(), tokens));
+          h.job.reply().complete(at -> new Event.DecodeDone(at, h.job.origin().attempt(), tokens));
         });
   }
 
-  /** Serves a plain call; what it did stays done when the connection breaks. */
+  /** Serves a plain call. The call has run even if its connection breaks afterwards. */
   void serve(Job job, boolean repeatable) {
-    if (refuses(job)) {
+    if (failIfUnavailable(job)) {
       return;
     }
-    Holding h = hold(job);
-    world.seen().executed(new Observations.Execution(job.identity(), job.request(), repeatable));
-    later(
-        SERVICE_TIME,
+    Holding h = allocate(job);
+    world
+        .observations()
+        .addExecution(new Observations.Execution(job.identity(), job.request(), repeatable));
+    schedule(
+        SERVICE_NANOS,
         h,
         () -> {
           release(h);
-          job.reply().piece(new CallerRecord.Piece(job.identity(), 0));
-          job.reply().end(at -> new Event.PlainDone(at, job.origin().attempt()));
+          job.reply().sendPiece(new CallerRecord.Piece(job.identity(), 0));
+          job.reply().complete(at -> new Event.PlainDone(at, job.origin().attempt()));
         });
   }
 
-  /** Frees whatever is held for an attempt. */
+  /** Frees the memory that is held for an attempt, if any. */
   void cancel(EngineRequestId origin) {
     Holding h = holdings.get(origin);
     if (h != null) {
@@ -225,17 +230,17 @@
     }
   }
 
-  List<EngineRequestId> held() {
+  List<EngineRequestId> heldAttempts() {
     return List.copyOf(holdings.keySet());
   }
 
-  /** Carries out an order unless a higher fencing number came before. */
-  boolean order(long fence) {
-    if (!answers() || fence < highestFence) {
+  /** Executes an order unless the engine is unavailable or has seen a higher fencing number. */
+  boolean acceptOrder(long fence) {
+    if (!isAvailable() || fence < highestFence) {
       return false;
     }
     highestFence = fence;
-    world.seen().ordered(new Observations.OrderTaken(name, fence, world.time().now()));
+    world.observations().addOrder(new Observations.OrderTaken(name, fence, world.time().now()));
     return true;
   }
 
@@ -252,37 +257,37 @@
         ImmutableSet.<ModelName>of());
   }
 
-  private boolean refuses(Job job) {
-    if (answers()) {
+  private boolean failIfUnavailable(Job job) {
+    if (isAvailable()) {
       return false;
     }
     job.reply().fail(FailureCause.CONNECT_FAILED, Exposure.NOT_SENT);
     return true;
   }
 
-  private Holding hold(Job job) {
+  private Holding allocate(Job job) {
     long now = world.time().now();
-    world.seen().took(name, job.request(), now);
-    Holding h = new Holding(job, world.seen().hold(name, job.request(), now));
+    world.observations().addWork(name, job.request(), now);
+    Holding h = new Holding(job, world.observations().addHeldMemory(name, job.request(), now));
     holdings.put(job.origin(), h);
-    job.reply().taken();
+    job.reply().accepted();
     return h;
   }
 
   private void release(Holding h) {
     if (holdings.remove(h.job.origin(), h)) {
-      h.over = true;
+      h.released = true;
       h.record.until = world.time().now();
     }
   }
 
-  private void later(long nanos, Holding h, Runnable step) {
+  private void schedule(long nanos, Holding h, Runnable step) {
     world
         .platform()
         .after(
             nanos,
             () -> {
-              if (!h.over) {
+              if (!h.released) {
                 step.run();
               }
             });
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Fault.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Fault.java
@@ -7,50 +7,54 @@
 package org.larkkeel.bench.proof.world;
 
 /**
- * What may fail.
+ * A fault that can be injected into a run.
  *
  * @since 0.1
  */
 public enum Fault {
-  /** The process of the node dies; its host starts another one later. */
+  /** The process of the node dies; its host starts a new one later. */
   NODE_DEATH("process death"),
-  /** The upstream dies and comes back empty. */
+  /** The upstream dies and restarts later without its memory contents. */
   UPSTREAM_DEATH("engine death"),
-  /** The upstream starts again under its name before anybody finds it away, and is empty. */
+  /**
+   * The upstream restarts under its name before any node finds it unavailable; its memory is empty.
+   */
   UPSTREAM_RESTART("engine starts again"),
-  /** The connections between nodes and the upstream break, while it goes on. */
+  /** The connections between nodes and the upstream break; the upstream itself keeps running. */
   UPSTREAM_UNREACHABLE("engine unreachable"),
-  /** Transfers between engines stand still. */
+  /** Transfers between engines make no progress. */
   TRANSFER_STALL("transfer stall"),
-  /** Engines drop the KV caches that wait for their transfer. */
+  /** Engines drop the KV caches that wait for their transfer or decode. */
   KV_EVICTED("KV evicted"),
   /** The caller closes its connection. */
   CALLER_CANCEL("caller cancel"),
   /** The platform's store refuses every call. */
   STORE_DOWN("store down"),
-  /** The store answers late; some calls take effect after their caller gave up. */
+  /** The store answers late; some calls take effect after their caller timed out. */
   STORE_SLOW("store slow"),
-  /** Writes take effect and their answers are lost. */
+  /** Writes to the store take effect but their answers are lost. */
   ANSWER_LOST("write answer lost"),
-  /** The node is paused until the others have taken over from it, and goes on. */
+  /** The node is paused until other nodes have taken over from it, and then resumes. */
   LEASE_LAPSED("lease lapsed while paused"),
-  /** Two operators change the configuration at once through two nodes. */
+  /** Two operators change the configuration at the same time through two nodes. */
   OPERATORS_RACING("operators racing"),
   /** Messages between nodes are lost. */
   PEER_LOST("peer messages lost"),
-  /** Messages between nodes come late. */
+  /** Messages between nodes arrive late. */
   PEER_DELAYED("peer messages delayed"),
-  /** Messages between nodes come twice. */
+  /** Messages between nodes arrive twice. */
   PEER_DOUBLED("peer messages doubled"),
   /** Messages between nodes overtake each other. */
   PEER_CROSSED("peer messages crossed"),
-  /** The upstream is to take no new work. */
+  /** An operator marks the upstream as leaving. */
   UPSTREAM_LEAVING("upstream leaving"),
-  /** Answers of upstreams come after the node gave up on them. */
+  /** Answers of upstreams arrive after the node's timeout. */
   ANSWERS_LATE("upstream answers late"),
-  /** Load reports are old. */
+  /** Load reports arrive with outdated contents. */
   STALE_LOAD("stale load report"),
-  /** Cache reports are old, with gaps and of an earlier start. */
+  /**
+   * Cache reports are outdated, have gaps in their sequence, or come from an earlier incarnation.
+   */
   STALE_CACHE("stale or gappy cache report");
 
   private final String title;
@@ -60,7 +64,7 @@
   }
 
   /**
-   * The name of the fault for people.
+   * Returns the name of the fault as shown on the results page.
    *
    * @return a short phrase
    */
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Injection.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Injection.java
@@ -7,10 +7,10 @@
 package org.larkkeel.bench.proof.world;
 
 /**
- * A fault at a place.
+ * A fault to inject at a point of a run.
  *
- * @param place where
- * @param fault what
+ * @param point the injection point
+ * @param fault the fault
  * @since 0.1
  */
-public record Injection(Place place, Fault fault) {}
+public record Injection(InjectionPoint point, Fault fault) {}
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Place.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/InjectionPoint.java
@@ -7,10 +7,10 @@
 package org.larkkeel.bench.proof.world;
 
 /**
- * Where a fault may come about.
+ * A point of a run at which a fault may be injected.
  *
  * @param step the type of the event or effect
- * @param moment when
+ * @param moment the moment, relative to the step
  * @since 0.1
  */
-public record Place(Class<?> step, Moment moment) {}
+public record InjectionPoint(Class<?> step, Moment moment) {}
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Injector.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Injector.java
@@ -18,65 +18,73 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Brings the faults of a run about, each when its step is reached first.
+ * Injects the faults of a run, each when its injection point is first reached.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class Injector {
-  private static final long RESTART = 3 * VirtualTime.SECOND;
-  private static final long WINDOW = 5 * VirtualTime.SECOND;
-  private static final long STALL = 4 * VirtualTime.SECOND;
-  private static final long PAUSE = 10 * VirtualTime.SECOND;
-  private static final long OUTAGE = 2 * VirtualTime.SECOND;
-  private static final long LOSS = 300 * VirtualTime.MILLI;
+  private static final long RESTART_DELAY_NANOS = 3 * VirtualTime.SECOND;
+  private static final long FAULT_NANOS = 5 * VirtualTime.SECOND;
+  private static final long STALL_NANOS = 4 * VirtualTime.SECOND;
+  private static final long PAUSE_NANOS = 10 * VirtualTime.SECOND;
+  private static final long OUTAGE_NANOS = 2 * VirtualTime.SECOND;
+  private static final long ANSWER_LOSS_NANOS = 300 * VirtualTime.MILLI;
   private static final long STALE_SEQUENCE = 1_000;
 
   private final World world;
-  private final Set<Injection> waiting;
-  private final Set<Place> places = new LinkedHashSet<>();
-  private long healedAt;
+  private final Set<Injection> pending;
+  private final Set<InjectionPoint> reachedPoints = new LinkedHashSet<>();
+  private long faultsEndedAt;
   private boolean armed;
 
   Injector(World world, List<Injection> injections) {
     this.world = world;
-    this.waiting = new LinkedHashSet<>(injections);
+    this.pending = new LinkedHashSet<>(injections);
   }
 
-  /** From now on steps count. */
+  /** Enables the injection of faults. */
   void arm() {
     armed = true;
   }
 
-  /** From now on steps count no more. */
+  /** Disables the injection of faults. */
   void disarm() {
     armed = false;
   }
 
-  /** The places that were reached. */
-  Set<Place> places() {
-    return places;
+  /**
+   * Returns the points that were reached while armed, in the order in which they were first
+   * reached.
+   */
+  Set<InjectionPoint> reachedPoints() {
+    return reachedPoints;
   }
 
   boolean hasInjectedAll() {
-    return waiting.isEmpty();
+    return pending.isEmpty();
   }
 
-  /** When the last fault ended. */
-  long healedAt() {
-    return healedAt;
+  /**
+   * Returns the time at which the last fault ends; 0 if no fault with a recovery time was injected.
+   */
+  long faultsEndedAt() {
+    return faultsEndedAt;
   }
 
-  /** A place is reached. */
-  void reached(Place place, Node node, RequestId request, UpstreamName upstream) {
+  /**
+   * Records that a point was reached, and injects the faults that are pending there. Points of
+   * requests other than the subjects are ignored.
+   */
+  void reach(InjectionPoint point, Node node, RequestId request, UpstreamName upstream) {
     if (!armed || (request != null && !world.isSubject(request))) {
       return;
     }
-    places.add(place);
-    for (Injection injection : List.copyOf(waiting)) {
-      if (injection.place().equals(place)) {
-        waiting.remove(injection);
+    reachedPoints.add(point);
+    for (Injection injection : List.copyOf(pending)) {
+      if (injection.point().equals(point)) {
+        pending.remove(injection);
         inject(injection.fault(), node, upstream);
       }
     }
@@ -86,56 +94,56 @@
     switch (fault) {
       case NODE_DEATH -> {
         node.kill();
-        heals(RESTART);
+        extendFaults(RESTART_DELAY_NANOS);
       }
       case UPSTREAM_DEATH -> killUpstream(world.engine(upstream));
       case UPSTREAM_RESTART -> restartUpstream(world.engine(upstream));
       case UPSTREAM_UNREACHABLE ->
-          window(OUTAGE, begins -> world.engine(upstream).setReachable(!begins));
-      case TRANSFER_STALL -> window(STALL, world::setLinkStalled);
-      case KV_EVICTED -> world.engines().forEach(Engine::evictHeld);
-      case CALLER_CANCEL -> world.platform().execute(world::subjectLeaves);
+          injectFor(OUTAGE_NANOS, active -> world.engine(upstream).setReachable(!active));
+      case TRANSFER_STALL -> injectFor(STALL_NANOS, world::setLinkStalled);
+      case KV_EVICTED -> world.engines().forEach(Engine::evictCaches);
+      case CALLER_CANCEL -> world.platform().execute(world::disconnectSubjects);
       case STORE_DOWN -> storeDown();
-      case STORE_SLOW -> window(WINDOW, world.storeFaults()::setSlow);
-      case ANSWER_LOST -> window(LOSS, world.storeFaults()::setLosing);
+      case STORE_SLOW -> injectFor(FAULT_NANOS, world.storeFaults()::setSlow);
+      case ANSWER_LOST -> injectFor(ANSWER_LOSS_NANOS, world.storeFaults()::setLosingAnswers);
       case LEASE_LAPSED -> pause(node);
       case OPERATORS_RACING -> {
-        world.operate(0, Optional.of(new UpstreamName("decode-c")));
-        world.operate(1, Optional.empty());
+        world.changeConfiguration(0, Optional.of(new UpstreamName("decode-c")));
+        world.changeConfiguration(1, Optional.empty());
       }
-      case PEER_LOST -> window(WINDOW, world.peerFaults()::setLost);
-      case PEER_DELAYED -> window(WINDOW, world.peerFaults()::setDelayed);
-      case PEER_DOUBLED -> window(WINDOW, world.peerFaults()::setDoubled);
-      case PEER_CROSSED -> window(WINDOW, world.peerFaults()::setCrossed);
-      case UPSTREAM_LEAVING -> world.operate(0, Optional.of(upstream));
-      case ANSWERS_LATE -> window(WINDOW, world::setAnswersLate);
-      case STALE_LOAD -> window(WINDOW, world::setLoadStale);
+      case PEER_LOST -> injectFor(FAULT_NANOS, world.peerFaults()::setLost);
+      case PEER_DELAYED -> injectFor(FAULT_NANOS, world.peerFaults()::setDelayed);
+      case PEER_DOUBLED -> injectFor(FAULT_NANOS, world.peerFaults()::setDuplicated);
+      case PEER_CROSSED -> injectFor(FAULT_NANOS, world.peerFaults()::setReordered);
+      case UPSTREAM_LEAVING -> world.changeConfiguration(0, Optional.of(upstream));
+      case ANSWERS_LATE -> injectFor(FAULT_NANOS, world::setAnswersLate);
+      case STALE_LOAD -> injectFor(FAULT_NANOS, world::setLoadStale);
       case STALE_CACHE -> world.platform().execute(() -> staleCache(node, upstream));
-      default -> throw new IllegalStateException("no such fault: " + fault);
+      default -> throw new IllegalStateException("unknown fault: " + fault);
     }
   }
 
   private void killUpstream(Engine engine) {
     engine.kill();
-    world.platform().after(RESTART, engine::restart);
-    heals(RESTART);
+    world.platform().after(RESTART_DELAY_NANOS, engine::restart);
+    extendFaults(RESTART_DELAY_NANOS);
   }
 
   private void restartUpstream(Engine engine) {
     engine.kill();
     engine.restart();
-    heals(0);
+    extendFaults(0);
   }
 
   private void storeDown() {
-    window(WINDOW, world.storeFaults()::setDown);
-    world.store().wakeWatches();
+    injectFor(FAULT_NANOS, world.storeFaults()::setDown);
+    world.store().notifyWatches();
   }
 
   private void pause(Node node) {
     node.process.pause();
-    world.platform().after(PAUSE, node.process::resume);
-    heals(PAUSE);
+    world.platform().after(PAUSE_NANOS, node.process::resume);
+    extendFaults(PAUSE_NANOS);
   }
 
   private void staleCache(Node node, UpstreamName upstream) {
@@ -149,13 +157,13 @@
     node.apply(new Event.CacheChanged(now, upstream, present, 1, none, keys));
   }
 
-  private void window(long nanos, Consumer<Boolean> switched) {
-    switched.accept(true);
-    world.platform().after(nanos, () -> switched.accept(false));
-    heals(nanos);
+  private void injectFor(long nanos, Consumer<Boolean> setActive) {
+    setActive.accept(true);
+    world.platform().after(nanos, () -> setActive.accept(false));
+    extendFaults(nanos);
   }
 
-  private void heals(long nanos) {
-    healedAt = Math.max(healedAt, world.time().now() + nanos);
+  private void extendFaults(long nanos) {
+    faultsEndedAt = Math.max(faultsEndedAt, world.time().now() + nanos);
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Moment.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Moment.java
@@ -7,15 +7,15 @@
 package org.larkkeel.bench.proof.world;
 
 /**
- * When a fault comes, relative to a step.
+ * The moment at which a fault is injected, relative to a step.
  *
  * @since 0.1
  */
 public enum Moment {
   /** Before the step has any effect. */
   BEFORE,
-  /** After it took effect at the far side, or in the node, and before anything is answered. */
+  /** After the step took effect at the receiver, or in the node, and before it is answered. */
   AFTER_EFFECT,
-  /** After the node has taken the answer. */
+  /** After the node has processed the answer. */
   AFTER_ANSWER
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Node.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Node.java
@@ -24,18 +24,18 @@
 import org.larkkeel.router.RouterSettings;
 
 /**
- * One start of one node: the real router, run log, configuration log and membership, with adapters
- * towards the fakes.
+ * One incarnation of a node: the real router, run log, configuration log and membership, with
+ * adapters to the fakes.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class Node {
-  private static final long SWEEP_EVERY = VirtualTime.SECOND;
-  private static final long GRANT_TIME = 2 * VirtualTime.SECOND;
-  private static final long DRAIN_CHECK = 20 * VirtualTime.MILLI;
-  private static final long FAREWELL = 50 * VirtualTime.MILLI;
+  private static final long SWEEP_INTERVAL_NANOS = VirtualTime.SECOND;
+  private static final long GRANT_NANOS = 2 * VirtualTime.SECOND;
+  private static final long DRAIN_CHECK_INTERVAL_NANOS = 20 * VirtualTime.MILLI;
+  private static final long EXIT_DELAY_NANOS = 50 * VirtualTime.MILLI;
   private static final double SHARE = 3_000;
   private static final int CONCURRENCY = 14;
 
@@ -86,17 +86,17 @@
     return runs;
   }
 
-  /** Whether the balancer sends callers here. */
+  /** Returns whether the load balancer sends requests to this node. */
   boolean isReady() {
-    return !process.isDead() && !stopping && config.last() > 0;
+    return !process.isDead() && !stopping && config.lastEntryNumber() > 0;
   }
 
   Connection connection(RequestId request) {
     return connections.get(request);
   }
 
-  /** A caller's request arrives. */
-  void arrive(Call call, CallerRecord caller) {
+  /** Receives a request of a caller. */
+  void receive(Call call, CallerRecord caller) {
     connections.put(call.id(), new Connection(call, caller));
     apply(new Event.RequestArrived(world.time().now(), call));
   }
@@ -107,28 +107,28 @@
     }
   }
 
-  /** Begins a planned stop. */
+  /** Starts a planned stop: the node refuses new requests, finishes those in progress and exits. */
   void stop() {
     if (stopping || process.isDead()) {
       return;
     }
     stopping = true;
-    world.seen().start(number).stopAt = world.time().now();
+    world.observations().incarnation(number).stopAt = world.time().now();
     connections.values().forEach(c -> c.caller().nodeStopped = true);
     peers.leave();
     apply(new Event.StopRequested(world.time().now()));
     drain();
   }
 
-  /** The process dies: its connections break. */
+  /** Kills the process and breaks the connections of its callers. */
   void kill() {
     if (process.isDead()) {
       return;
     }
     process.kill();
-    connections.values().forEach(c -> world.platform().execute(() -> broken(c)));
+    connections.values().forEach(c -> world.platform().execute(() -> failConnection(c)));
     connections.clear();
-    world.nodeDied(this);
+    world.onNodeDeath(this);
   }
 
   void apply(Event event) {
@@ -136,33 +136,33 @@
       return;
     }
     RequestId request = requestOf(event);
-    world.hook(event, Moment.BEFORE, this, request);
+    world.reachStep(event, Moment.BEFORE, this, request);
     if (process.isDead()) {
       return;
     }
     router.apply(event, this::perform);
-    world.hook(event, Moment.AFTER_EFFECT, this, request);
+    world.reachStep(event, Moment.AFTER_EFFECT, this, request);
   }
 
   private void drain() {
     if (connections.isEmpty() && attempts.isIdle()) {
       peers.stop();
-      process.after(FAREWELL, this::kill);
+      process.after(EXIT_DELAY_NANOS, this::kill);
     } else {
-      process.after(DRAIN_CHECK, this::drain);
+      process.after(DRAIN_CHECK_INTERVAL_NANOS, this::drain);
     }
   }
 
-  private void broken(Connection connection) {
+  private void failConnection(Connection connection) {
     CallerRecord caller = connection.caller();
     if (caller.isOpen()) {
-      caller.end(CallerRecord.Ending.BROKEN, null, world.time().now());
+      caller.addEnd(CallerRecord.Ending.BROKEN, null, world.time().now());
     }
   }
 
   private void perform(Effect effect) {
     RequestId request = requestOf(effect);
-    world.hook(effect, Moment.BEFORE, this, request);
+    world.reachStep(effect, Moment.BEFORE, this, request);
     if (process.isDead()) {
       return;
     }
@@ -192,22 +192,22 @@
         claim -> {
           Connection connection = connections.get(effect.request());
           if (connection != null) {
-            connection.setRecorded(claim.answer().orElse(null));
+            connection.setRecordedAnswer(claim.answer().orElse(null));
           }
           apply(
               claim
                   .outcome()
-                  .<Event>map(outcome -> claimed(effect.attempt(), outcome))
-                  .orElseGet(() -> unanswered(effect.attempt())));
-          world.hook(effect, Moment.AFTER_ANSWER, this, effect.request());
+                  .<Event>map(outcome -> claimSettled(effect.attempt(), outcome))
+                  .orElseGet(() -> claimTimedOut(effect.attempt())));
+          world.reachStep(effect, Moment.AFTER_ANSWER, this, effect.request());
         });
   }
 
-  private Event claimed(AttemptId attempt, ClaimOutcome outcome) {
+  private Event claimSettled(AttemptId attempt, ClaimOutcome outcome) {
     return new Event.ClaimSettled(world.time().now(), attempt, outcome);
   }
 
-  private Event unanswered(AttemptId attempt) {
+  private Event claimTimedOut(AttemptId attempt) {
     return new Event.AttemptFailed(
         world.time().now(), attempt, FailureCause.TIMED_OUT, Exposure.MAY_HAVE_RUN, 0);
   }
@@ -219,7 +219,7 @@
         answer,
         outcome -> {
           apply(new Event.RecordSettled(world.time().now(), effect.attempt(), outcome));
-          world.hook(effect, Moment.AFTER_ANSWER, this, effect.request());
+          world.reachStep(effect, Moment.AFTER_ANSWER, this, effect.request());
         });
   }
 
@@ -252,7 +252,7 @@
             process,
             () -> {
               long now = world.time().now();
-              apply(new Event.SlotsGranted(now, want.upstream(), slots, now + GRANT_TIME));
+              apply(new Event.SlotsGranted(now, want.upstream(), slots, now + GRANT_NANOS));
             });
   }
 
@@ -264,30 +264,30 @@
             process,
             () -> {
               long now = world.time().now();
-              apply(new Event.LimitGranted(now, want.workspace(), share, now + GRANT_TIME));
+              apply(new Event.LimitGranted(now, want.workspace(), share, now + GRANT_NANOS));
             });
   }
 
   private void report(Fact fact) {
     if (fact instanceof Fact.InForce inForce) {
       world
-          .seen()
+          .observations()
           .addInForce(
               new Observations.InForce(number, host, inForce.revision(), world.time().now()));
     }
   }
 
-  /** Cancels what engines hold for starts of nodes that are dead. */
+  /** Cancels the attempts that engines hold for dead node incarnations, and repeats this. */
   private void sweep() {
     world.engines().forEach(this::sweep);
-    process.after(SWEEP_EVERY, this::sweep);
+    process.after(SWEEP_INTERVAL_NANOS, this::sweep);
   }
 
   private void sweep(Engine engine) {
-    if (!engine.answers()) {
+    if (!engine.isAvailable()) {
       return;
     }
-    engine.held().stream().filter(id -> peers.isDead(id.origin())).forEach(engine::cancel);
+    engine.heldAttempts().stream().filter(id -> peers.isDead(id.origin())).forEach(engine::cancel);
   }
 
   private RequestId requestOf(Event event) {
@@ -302,7 +302,7 @@
   private RequestId requestOf(Effect effect) {
     return switch (effect) {
       case Effect.OfAttempt of -> {
-        attempts.remember(of.attempt(), of.request());
+        attempts.register(of.attempt(), of.request());
         yield of.request();
       }
       case Effect.Complete done -> done.request();
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodeAttempts.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodeAttempts.java
@@ -19,29 +19,29 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Carries out what the router orders of upstreams. Answers that come after a timeout are passed on
- * as they are, since the router has to tell them apart.
+ * Performs the router's effects on upstreams. Answers that arrive after a timeout are passed to the
+ * router too, because the router must recognise and ignore them itself.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class NodeAttempts {
-  private static final long ONE_WAY = VirtualTime.MILLI;
-  private static final long CANCEL_TIMEOUT = 500 * VirtualTime.MILLI;
+  private static final long ONE_WAY_NANOS = VirtualTime.MILLI;
+  private static final long CANCEL_TIMEOUT_NANOS = 500 * VirtualTime.MILLI;
 
   private final World world;
   private final Node node;
   private final Map<AttemptId, RequestId> requests = new HashMap<>();
   private final Map<AttemptId, Step> steps = new HashMap<>();
-  private int cancels;
+  private int pendingCancels;
 
   NodeAttempts(World world, Node node) {
     this.world = world;
     this.node = node;
   }
 
-  void remember(AttemptId attempt, RequestId request) {
+  void register(AttemptId attempt, RequestId request) {
     requests.put(attempt, request);
   }
 
@@ -49,44 +49,44 @@
     return requests.get(attempt);
   }
 
-  /** Whether no cancel is under way. */
+  /** Returns whether no cancel is in progress. */
   boolean isIdle() {
-    return cancels == 0;
+    return pendingCancels == 0;
   }
 
   void prefill(Effect.StartPrefill e) {
     Step step = new Step(e, e.attempt(), e.request());
-    step.limit(e.timeoutNanos());
+    step.startTimeout(e.timeoutNanos());
     Engine engine = world.engine(e.upstream());
-    toUpstream(() -> engine.prefill(step.job()));
+    sendToUpstream(() -> engine.prefill(step.job()));
   }
 
   void transfer(Effect.StartTransfer e) {
     Step step = new Step(e, e.attempt(), e.request());
-    step.limit(e.timeoutNanos());
+    step.startTimeout(e.timeoutNanos());
     Engine engine = world.engine(e.to());
     Engine source = world.engine(e.from());
-    toUpstream(() -> engine.transfer(step.job(), id(e.prefill()), source));
+    sendToUpstream(() -> engine.transfer(step.job(), engineRequestId(e.prefill()), source));
   }
 
   void decode(Effect.StartDecode e) {
     Step step = new Step(e, e.attempt(), e.request());
-    step.limitSilence(e.timeoutNanos());
+    step.startIdleTimeout(e.timeoutNanos());
     Connection connection = node.connection(e.request());
     if (connection != null) {
-      connection.begin(e.attempt());
+      connection.setCurrent(e.attempt());
     }
     Engine engine = world.engine(e.upstream());
-    toUpstream(() -> engine.decode(step.job(), e.resumeFrom()));
+    sendToUpstream(() -> engine.decode(step.job(), e.resumeFrom()));
   }
 
   void plain(Effect.SendPlain e) {
     Step step = new Step(e, e.attempt(), e.request());
-    step.limit(e.timeoutNanos());
+    step.startTimeout(e.timeoutNanos());
     Connection connection = node.connection(e.request());
     boolean repeatable = connection != null && connection.isRepeatable();
     Engine service = world.engine(e.upstream());
-    toUpstream(() -> service.serve(step.job(), repeatable));
+    sendToUpstream(() -> service.serve(step.job(), repeatable));
   }
 
   void cancel(Effect.Cancel e) {
@@ -96,67 +96,67 @@
     }
     Connection connection = node.connection(e.request());
     if (connection != null) {
-      connection.drop(e.attempt());
+      connection.clearCurrent(e.attempt());
     }
-    new CancelCall(e).begin();
+    new CancelCall(e).start();
   }
 
-  private EngineRequestId id(AttemptId attempt) {
+  private EngineRequestId engineRequestId(AttemptId attempt) {
     return new EngineRequestId(new EngineRequestId.Origin(node.host, node.incarnation), attempt);
   }
 
-  private void toUpstream(Runnable message) {
-    world.platform().after(ONE_WAY, message);
+  private void sendToUpstream(Runnable message) {
+    world.platform().after(ONE_WAY_NANOS, message);
   }
 
-  /** One try to cancel. */
+  /** One cancel request to an upstream. */
   private final class CancelCall {
     private final Effect.Cancel effect;
-    private boolean over;
+    private boolean settled;
 
     CancelCall(Effect.Cancel effect) {
       this.effect = effect;
     }
 
-    void begin() {
-      cancels++;
+    void start() {
+      pendingCancels++;
       Engine engine = world.engine(effect.upstream());
-      toUpstream(() -> cancelAt(engine, effect.upstream()));
-      node.process.after(CANCEL_TIMEOUT, () -> settle(CancelOutcome.FAILED));
+      sendToUpstream(() -> cancelAtEngine(engine, effect.upstream()));
+      node.process.after(CANCEL_TIMEOUT_NANOS, () -> settle(CancelOutcome.FAILED));
     }
 
-    private void cancelAt(Engine engine, UpstreamName name) {
-      if (!engine.answers()) {
-        node.process.after(ONE_WAY, () -> settle(CancelOutcome.FAILED));
+    private void cancelAtEngine(Engine engine, UpstreamName name) {
+      if (!engine.isAvailable()) {
+        node.process.after(ONE_WAY_NANOS, () -> settle(CancelOutcome.FAILED));
         return;
       }
-      engine.cancel(id(effect.attempt()));
-      world.hook(effect, Moment.AFTER_EFFECT, node, effect.request());
-      node.process.after(ONE_WAY, () -> settle(CancelOutcome.ACKNOWLEDGED));
+      engine.cancel(engineRequestId(effect.attempt()));
+      world.reachStep(effect, Moment.AFTER_EFFECT, node, effect.request());
+      node.process.after(ONE_WAY_NANOS, () -> settle(CancelOutcome.ACKNOWLEDGED));
     }
 
     private void settle(CancelOutcome outcome) {
-      if (over) {
+      if (settled) {
         return;
       }
-      over = true;
-      cancels--;
+      settled = true;
+      pendingCancels--;
       node.apply(new Event.CancelSettled(world.time().now(), effect.attempt(), outcome));
-      world.hook(effect, Moment.AFTER_ANSWER, node, effect.request());
+      world.reachStep(effect, Moment.AFTER_ANSWER, node, effect.request());
     }
   }
 
-  /** One step of one attempt. */
+  /** One step of an attempt: a prefill, transfer, decode or plain call. */
   private final class Step implements Reply {
     private final Effect effect;
     private final AttemptId attempt;
     private final RequestId request;
     private boolean aborted;
     private boolean answered;
-    private boolean cut;
-    private boolean first = true;
-    private long heard;
-    private long due;
+    private boolean closed;
+    private boolean firstTokenPending = true;
+    private long receivedPieces;
+    private long nextDeliveryAt;
 
     Step(Effect effect, AttemptId attempt, RequestId request) {
       this.effect = effect;
@@ -167,9 +167,10 @@
 
     Engine.Job job() {
       Connection connection = node.connection(request);
-      CallerRecord caller = world.seen().caller(request);
+      CallerRecord caller = world.observations().caller(request);
       String identity = connection == null ? caller.identity : connection.caller().identity;
-      return new Engine.Job(id(attempt), request, identity, caller.expectedPieces, this);
+      return new Engine.Job(
+          engineRequestId(attempt), request, identity, caller.expectedPieces, this);
     }
 
     void abort() {
@@ -177,21 +178,21 @@
       answered = true;
     }
 
-    void limit(long nanos) {
+    void startTimeout(long nanos) {
       if (nanos > 0) {
         node.process.after(nanos, this::timeOut);
       }
     }
 
-    void limitSilence(long nanos) {
-      long before = heard;
+    void startIdleTimeout(long nanos) {
+      long countBefore = receivedPieces;
       node.process.after(
           nanos,
           () -> {
-            if (heard == before) {
+            if (receivedPieces == countBefore) {
               timeOut();
             } else {
-              limitSilence(nanos);
+              startIdleTimeout(nanos);
             }
           });
     }
@@ -203,45 +204,45 @@
     }
 
     @Override
-    public void taken() {
-      world.hook(effect, Moment.AFTER_EFFECT, node, request);
+    public void accepted() {
+      world.reachStep(effect, Moment.AFTER_EFFECT, node, request);
     }
 
     @Override
-    public void piece(CallerRecord.Piece piece) {
-      back(() -> pieceNow(piece));
+    public void sendPiece(CallerRecord.Piece piece) {
+      deliver(() -> onPiece(piece));
     }
 
-    private void pieceNow(CallerRecord.Piece piece) {
-      heard++;
+    private void onPiece(CallerRecord.Piece piece) {
+      receivedPieces++;
       Connection connection = node.connection(request);
       if (aborted || connection == null) {
         return;
       }
-      if (connection.take(attempt, piece) && first) {
-        first = false;
+      if (connection.accept(attempt, piece) && firstTokenPending) {
+        firstTokenPending = false;
         node.apply(new Event.FirstToken(world.time().now(), attempt));
       }
     }
 
     @Override
-    public void end(Builder event) {
-      back(
+    public void complete(EventFactory event) {
+      deliver(
           () -> {
             answered = true;
             node.apply(event.at(world.time().now()));
-            world.hook(effect, Moment.AFTER_ANSWER, node, request);
+            world.reachStep(effect, Moment.AFTER_ANSWER, node, request);
           });
     }
 
     @Override
     public void fail(FailureCause cause, Exposure exposure) {
       failLater(cause, exposure);
-      cut = true;
+      closed = true;
     }
 
     private void failLater(FailureCause cause, Exposure exposure) {
-      back(
+      deliver(
           () -> {
             if (!answered) {
               failNow(cause, exposure);
@@ -252,17 +253,18 @@
     private void failNow(FailureCause cause, Exposure exposure) {
       answered = true;
       Connection connection = node.connection(request);
-      int tokens = connection == null ? 0 : connection.passed();
+      int tokens = connection == null ? 0 : connection.deliveredPieces();
       node.apply(new Event.AttemptFailed(world.time().now(), attempt, cause, exposure, tokens));
-      world.hook(effect, Moment.AFTER_ANSWER, node, request);
+      world.reachStep(effect, Moment.AFTER_ANSWER, node, request);
     }
 
-    private void back(Runnable delivery) {
-      if (cut) {
+    private void deliver(Runnable delivery) {
+      if (closed) {
         return;
       }
-      due = Math.max(due, world.time().now() + ONE_WAY + world.answerDelay());
-      node.process.at(due, delivery);
+      nextDeliveryAt =
+          Math.max(nextDeliveryAt, world.time().now() + ONE_WAY_NANOS + world.answerDelay());
+      node.process.at(nextDeliveryAt, delivery);
     }
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodeConfig.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodeConfig.java
@@ -23,7 +23,7 @@
 import org.larkkeel.store.log.WriterId;
 
 /**
- * Follows the log of configurations and brings each into force at one node.
+ * Follows the configuration log and applies each configuration to one node.
  *
  * <p>Not safe for use by several threads.
  *
@@ -56,34 +56,38 @@
     return log;
   }
 
-  long last() {
+  long lastEntryNumber() {
     return entries.size();
   }
 
-  /** Takes an entry of this node's own append without waiting for the watch. */
+  /**
+   * Applies an entry that this node appended itself or received from a peer, without waiting for
+   * the watch of the log.
+   */
   void offer(LogEntry entry) {
     follower.offer(entry);
   }
 
-  /** Asks a peer for what this node lacks. */
+  /** Requests the log entries that this node lacks from a peer. */
   void pullFrom(HostName peer) {
-    long after = last();
+    long after = lastEntryNumber();
     world
         .nodeOn(peer)
         .ifPresent(
             to -> world.peerFaults().send(to.process, () -> to.config().answerPull(after, node)));
   }
 
-  private void answerPull(long after, Node asker) {
+  private void answerPull(long after, Node requester) {
     List<LogEntry> missing = entries.stream().filter(entry -> entry.number() > after).toList();
     world
         .peerFaults()
-        .send(asker.process, () -> missing.forEach(entry -> asker.config().offer(entry)));
+        .send(requester.process, () -> missing.forEach(entry -> requester.config().offer(entry)));
   }
 
   @Override
   public void snapshot(LogSnapshot snapshot) {
-    throw new IllegalStateException("the log of the proof has no snapshots");
+    throw new IllegalStateException(
+        "unexpected snapshot: the configuration log of the simulated cluster has none");
   }
 
   @Override
@@ -95,10 +99,10 @@
     node.apply(
         new Event.ConfigurationAccepted(
             world.time().now(), Configurations.withLeaving(leaving).withRevision(revision)));
-    node.peers().holds(revision);
+    node.peers().announceRevision(revision);
   }
 
-  /** The upstream that an entry takes out of use. */
+  /** Returns the upstream that an entry marks as leaving. */
   static Optional<UpstreamName> leaving(LogEntry entry) {
     return entry.records().stream()
         .map(record -> record.path(LEAVING).asText())
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodePeers.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodePeers.java
@@ -24,14 +24,14 @@
 import org.larkkeel.peer.membership.NodeId;
 
 /**
- * Runs the membership of one node and tells the node of changes.
+ * Runs the membership protocol of one node and notifies the node of changes.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class NodePeers {
-  private static final long MIN_TICK = 20 * VirtualTime.MILLI;
+  private static final long MIN_TICK_NANOS = 20 * VirtualTime.MILLI;
 
   private final World world;
   private final Node node;
@@ -65,20 +65,20 @@
     tick();
   }
 
-  void hostList(List<HostEntry> hosts) {
-    on(new Event.HostList(world.time().now(), hosts));
+  void setHosts(List<HostEntry> hosts) {
+    apply(new Event.HostList(world.time().now(), hosts));
   }
 
-  void holds(Revision revision) {
-    on(new Event.RevisionHeld(world.time().now(), revision));
+  void announceRevision(Revision revision) {
+    apply(new Event.RevisionHeld(world.time().now(), revision));
   }
 
   void leave() {
-    on(new Event.Leave(world.time().now()));
+    apply(new Event.Leave(world.time().now()));
   }
 
   void stop() {
-    on(new Event.Stop(world.time().now()));
+    apply(new Event.Stop(world.time().now()));
   }
 
   boolean isDead(EngineRequestId.Origin origin) {
@@ -90,16 +90,16 @@
   }
 
   private void receive(NodeAddress source, Message message) {
-    on(new Event.Received(world.time().now(), source, message));
+    apply(new Event.Received(world.time().now(), source, message));
   }
 
   private void tick() {
-    on(new Event.Tick(world.time().now()));
-    long next = Math.max(membership.nextDeadline(), world.time().now() + MIN_TICK);
+    apply(new Event.Tick(world.time().now()));
+    long next = Math.max(membership.nextDeadline(), world.time().now() + MIN_TICK_NANOS);
     node.process.at(next, this::tick);
   }
 
-  private void on(Event event) {
+  private void apply(Event event) {
     for (Effect effect : membership.on(event)) {
       perform(effect);
     }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodeRuns.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodeRuns.java
@@ -32,16 +32,16 @@
 import org.larkkeel.store.run.RunToken;
 
 /**
- * Claims and records the runs of one node, at whichever node keeps the records.
+ * Claims and records the runs of one node, at the node that owns the run's shard.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class NodeRuns {
-  private static final long RETRY = 200 * VirtualTime.MILLI;
-  private static final long CLAIM_LIMIT = 4 * VirtualTime.SECOND;
-  private static final long RECORD_LIMIT = 40 * VirtualTime.SECOND;
+  private static final long RETRY_DELAY_NANOS = 200 * VirtualTime.MILLI;
+  private static final long CLAIM_TIMEOUT_NANOS = 4 * VirtualTime.SECOND;
+  private static final long RECORD_TIMEOUT_NANOS = 40 * VirtualTime.SECOND;
   private static final int STATUS_OK = 200;
 
   private final World world;
@@ -49,10 +49,15 @@
   private final WriterId self;
   private final RunLog log;
 
-  /** A run is recorded under the token of its claim, whichever attempt ran it. */
+  /**
+   * The claim token of each request. A run is recorded under the token of its claim, even if a
+   * later attempt ran it.
+   */
   private final Map<RequestId, RunToken> tokens = new HashMap<>();
 
-  /** What a claim came to: the outcome, and the recorded answer if there is one. */
+  /**
+   * The result of a claim: its outcome, empty if unknown, and the recorded answer if there is one.
+   */
   record Claim(Optional<ClaimOutcome> outcome, Optional<String> answer) {
     private static Claim of(ClaimOutcome outcome) {
       return new Claim(Optional.of(outcome), Optional.empty());
@@ -77,7 +82,10 @@
     log.setMembers(node.peers().owners());
   }
 
-  /** Claims a run; without an outcome nothing is known of it. */
+  /**
+   * Claims a run. The result has no outcome if the owner received the claim and did not answer in
+   * time.
+   */
   void claim(Effect.ClaimRun effect, Consumer<Claim> done) {
     ClaimRequest request =
         new ClaimRequest(
@@ -85,10 +93,10 @@
             Long.toHexString(effect.key().bodyDigest()),
             new RunToken(self, effect.attempt()));
     tokens.put(effect.request(), request.token());
-    new ClaimCall(request, done).begin();
+    new ClaimCall(request, done).start();
   }
 
-  /** Records how a run ended, for as long as it takes within a limit. */
+  /** Records the outcome of a run, with retries until {@link #RECORD_TIMEOUT_NANOS} have passed. */
   void record(Effect.RecordRun effect, String answer, Consumer<RecordOutcome> done) {
     RunOutcome outcome =
         switch (effect.result()) {
@@ -100,7 +108,7 @@
           case UNKNOWN -> new RunOutcome.Unknown();
         };
     RunToken token = tokens.get(effect.request());
-    new RecordCall(id(effect.workspace(), effect.key()), token, outcome, done).begin();
+    new RecordCall(id(effect.workspace(), effect.key()), token, outcome, done).attempt();
   }
 
   private static RunId id(WorkspaceName workspace, RunKey key) {
@@ -111,11 +119,11 @@
     return node.peers().isDead(new EngineRequestId.Origin(writer.host(), writer.incarnation()));
   }
 
-  /** One claim, with its retries. */
+  /** One claim with its retries. */
   private final class ClaimCall {
     private final ClaimRequest request;
     private final Consumer<Claim> done;
-    private final long limit = world.time().now() + CLAIM_LIMIT;
+    private final long deadline = world.time().now() + CLAIM_TIMEOUT_NANOS;
     private boolean settled;
     private boolean sentToPeer;
 
@@ -124,27 +132,27 @@
       this.done = done;
     }
 
-    void begin() {
-      node.process.at(limit, this::giveUp);
-      ask();
+    void start() {
+      node.process.at(deadline, this::timeOut);
+      sendClaim();
     }
 
-    private void ask() {
+    private void sendClaim() {
       if (!settled) {
-        log.claim(request).thenAccept(this::answered);
+        log.claim(request).thenAccept(this::onResult);
       }
     }
 
-    private void answered(ClaimResult result) {
+    private void onResult(ClaimResult result) {
       if (result instanceof ClaimResult.NotOwner notOwner) {
-        notOwner.owner().flatMap(world::nodeOn).ifPresent(this::askPeer);
-        node.process.after(RETRY, this::ask);
+        notOwner.owner().flatMap(world::nodeOn).ifPresent(this::sendToOwner);
+        node.process.after(RETRY_DELAY_NANOS, this::sendClaim);
       } else {
         settle(claimOf(result));
       }
     }
 
-    private void askPeer(Node owner) {
+    private void sendToOwner(Node owner) {
       sentToPeer = true;
       world
           .peerFaults()
@@ -160,7 +168,7 @@
       world.peerFaults().send(node.process, () -> settle(claimOf(result)));
     }
 
-    private void giveUp() {
+    private void timeOut() {
       settle(
           sentToPeer
               ? new Claim(Optional.empty(), Optional.empty())
@@ -186,17 +194,19 @@
       case ClaimResult.Unknown unknown -> Claim.of(ClaimOutcome.UNKNOWN);
       case ClaimResult.KeyReused reused -> Claim.of(ClaimOutcome.KEY_REUSED);
       case ClaimResult.Unavailable unavailable -> Claim.of(ClaimOutcome.UNAVAILABLE);
-      case ClaimResult.NotOwner notOwner -> throw new IllegalStateException("asked again before");
+      case ClaimResult.NotOwner notOwner ->
+          throw new IllegalStateException(
+              "a claim answered with NotOwner has to be sent to the owner");
     };
   }
 
-  /** One record, with its retries. */
+  /** One record of a run's outcome with its retries. */
   private final class RecordCall {
     private final RunId id;
     private final RunToken token;
     private final RunOutcome outcome;
     private final Consumer<RecordOutcome> done;
-    private final long limit = world.time().now() + RECORD_LIMIT;
+    private final long deadline = world.time().now() + RECORD_TIMEOUT_NANOS;
     private boolean settled;
 
     RecordCall(RunId id, RunToken token, RunOutcome outcome, Consumer<RecordOutcome> done) {
@@ -206,48 +216,48 @@
       this.done = done;
     }
 
-    void begin() {
+    void attempt() {
       Optional<HostName> owner = log.ownerOf(id);
-      Node keeper = owner.flatMap(world::nodeOn).orElse(node);
-      if (keeper == node) {
-        log.record(id, token, outcome).thenAccept(this::answered);
+      Node ownerNode = owner.flatMap(world::nodeOn).orElse(node);
+      if (ownerNode == node) {
+        log.record(id, token, outcome).thenAccept(this::onResult);
       } else {
-        askPeer(keeper);
+        sendToOwner(ownerNode);
       }
-      node.process.after(RETRY, this::again);
+      node.process.after(RETRY_DELAY_NANOS, this::retry);
     }
 
-    private void askPeer(Node keeper) {
+    private void sendToOwner(Node ownerNode) {
       world
           .peerFaults()
           .send(
-              keeper.process,
+              ownerNode.process,
               () ->
-                  keeper
+                  ownerNode
                       .runs()
                       .log
                       .record(id, token, outcome)
-                      .thenAccept(r -> answerFrom(keeper, r)));
+                      .thenAccept(r -> answerFrom(ownerNode, r)));
     }
 
-    private void answerFrom(Node keeper, RecordResult result) {
-      if (!keeper.process.isDead()) {
-        world.peerFaults().send(node.process, () -> answered(result));
+    private void answerFrom(Node ownerNode, RecordResult result) {
+      if (!ownerNode.process.isDead()) {
+        world.peerFaults().send(node.process, () -> onResult(result));
       }
     }
 
-    private void again() {
+    private void retry() {
       if (settled) {
         return;
       }
-      if (world.time().now() >= limit) {
+      if (world.time().now() >= deadline) {
         settle(RecordOutcome.FAILED);
       } else {
-        begin();
+        attempt();
       }
     }
 
-    private void answered(RecordResult result) {
+    private void onResult(RecordResult result) {
       switch (result) {
         case RECORDED -> settle(RecordOutcome.RECORDED);
         case NO_SUCH_RUN -> settle(RecordOutcome.FAILED);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Observations.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Observations.java
@@ -17,7 +17,8 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * What callers, engines, services, operators and the platform saw; nothing of what the nodes think.
+ * The observations of callers, engines, services, operators and the platform. The internal state of
+ * the nodes is not part of them.
  *
  * <p>Not safe for use by several threads.
  *
@@ -25,55 +26,55 @@
  */
 public final class Observations {
   private final Map<RequestId, CallerRecord> callers = new LinkedHashMap<>();
-  private final List<Held> holdings = new ArrayList<>();
+  private final List<HeldMemory> heldMemory = new ArrayList<>();
   private final List<Work> work = new ArrayList<>();
   private final List<Execution> executions = new ArrayList<>();
   private final List<Accepted> accepted = new ArrayList<>();
   private final List<InForce> inForce = new ArrayList<>();
   private final List<OrderTaken> orders = new ArrayList<>();
-  private final List<Start> starts = new ArrayList<>();
+  private final List<NodeIncarnation> incarnations = new ArrayList<>();
 
-  /** One start of a node. */
-  public static final class Start {
+  /** One incarnation of a node. */
+  public static final class NodeIncarnation {
     private final int number;
-    private final long at;
+    private final long startedAt;
     long stopAt = Long.MAX_VALUE;
     long endedAt = Long.MAX_VALUE;
 
-    Start(int number, long at) {
+    NodeIncarnation(int number, long startedAt) {
       this.number = number;
-      this.at = at;
+      this.startedAt = startedAt;
     }
 
     /**
-     * The number of the start.
+     * Returns the number of the incarnation, counted over all nodes.
      *
-     * @return a number from 0 on
+     * @return a number from 0
      */
     public int number() {
       return number;
     }
 
     /**
-     * When it began.
+     * Returns the time of the start.
      *
      * @return nanoseconds
      */
-    public long at() {
-      return at;
+    public long startedAt() {
+      return startedAt;
     }
 
     /**
-     * When a planned stop was asked for.
+     * Returns the time at which a planned stop was requested.
      *
-     * @return nanoseconds, the largest number if never
+     * @return nanoseconds, {@link Long#MAX_VALUE} if never
      */
     public long stopAt() {
       return stopAt;
     }
 
     /**
-     * Tells whether the process still runs.
+     * Returns whether the process is running.
      *
      * @return true if so
      */
@@ -82,39 +83,39 @@
     }
   }
 
-  /** Engine memory held for an attempt of a request. */
-  public static final class Held {
+  /** Engine memory that was held for an attempt of a request. */
+  public static final class HeldMemory {
     final UpstreamName upstream;
     final RequestId request;
     final long from;
     long until = Long.MAX_VALUE;
 
-    Held(UpstreamName upstream, RequestId request, long from) {
+    HeldMemory(UpstreamName upstream, RequestId request, long from) {
       this.upstream = upstream;
       this.request = request;
       this.from = from;
     }
 
     /**
-     * The engine.
+     * Returns the engine.
      *
-     * @return its name
+     * @return the name of the engine
      */
     public UpstreamName upstream() {
       return upstream;
     }
 
     /**
-     * The request.
+     * Returns the request.
      *
-     * @return its id
+     * @return the id of the request
      */
     public RequestId request() {
       return request;
     }
 
     /**
-     * When it began.
+     * Returns the time at which the memory was allocated.
      *
      * @return nanoseconds
      */
@@ -123,9 +124,9 @@
     }
 
     /**
-     * When it ended.
+     * Returns the time at which the memory was freed.
      *
-     * @return nanoseconds, the largest number if it did not
+     * @return nanoseconds, {@link Long#MAX_VALUE} if it is still held
      */
     public long until() {
       return until;
@@ -133,83 +134,83 @@
   }
 
   /**
-   * New work that an upstream took.
+   * New work that an upstream accepted.
    *
    * @param upstream the upstream
    * @param request the request
-   * @param at when
+   * @param at the time in nanoseconds
    */
   public record Work(UpstreamName upstream, RequestId request, long at) {}
 
   /**
    * A plain call that a service executed.
    *
-   * @param identity what must not run twice: the key, or the request if it has none
+   * @param identity the identity of the work: the idempotency key, or the request if it has none
    * @param request the request
-   * @param repeatable whether it may run more than once
+   * @param repeatable true if the call may run more than once
    */
   public record Execution(String identity, RequestId request, boolean repeatable) {}
 
   /**
    * A configuration that the platform holds durably.
    *
-   * @param revision its revision
-   * @param leaving the upstream that it takes out of use, empty if none
-   * @param at when
+   * @param revision the revision of the configuration
+   * @param leaving the upstream that it marks as leaving, empty if none
+   * @param at the time in nanoseconds
    */
   public record Accepted(Revision revision, Optional<UpstreamName> leaving, long at) {}
 
   /**
-   * A configuration that came into force at a node, as its status page shows.
+   * A configuration that came into force at a node, as its status page shows it.
    *
-   * @param node the start of the node
-   * @param host its host
+   * @param node the number of the node incarnation
+   * @param host the host of the node
    * @param revision the revision
-   * @param at when
+   * @param at the time in nanoseconds
    */
   public record InForce(int node, HostName host, Revision revision, long at) {}
 
   /**
-   * An order that an engine carried out.
+   * An order that an engine executed.
    *
    * @param upstream the engine
-   * @param fence its fencing number
-   * @param at when
+   * @param fence the fencing number of the order
+   * @param at the time in nanoseconds
    */
   public record OrderTaken(UpstreamName upstream, long fence, long at) {}
 
-  void started(Start start) {
-    starts.add(start);
+  void addIncarnation(NodeIncarnation incarnation) {
+    incarnations.add(incarnation);
   }
 
-  Start start(int number) {
-    return starts.get(number);
+  NodeIncarnation incarnation(int number) {
+    return incarnations.get(number);
   }
 
   /**
-   * Starts of nodes.
+   * Returns the incarnations of all nodes.
    *
-   * @return the records, in order of their numbers
+   * @return the incarnations, in the order of their numbers
    */
-  public List<Start> starts() {
-    return List.copyOf(starts);
+  public List<NodeIncarnation> incarnations() {
+    return List.copyOf(incarnations);
   }
 
   CallerRecord caller(RequestId request) {
     return callers.computeIfAbsent(request, id -> new CallerRecord(id));
   }
 
-  Held hold(UpstreamName upstream, RequestId request, long now) {
-    Held held = new Held(upstream, request, now);
-    holdings.add(held);
+  HeldMemory addHeldMemory(UpstreamName upstream, RequestId request, long now) {
+    HeldMemory held = new HeldMemory(upstream, request, now);
+    heldMemory.add(held);
     return held;
   }
 
-  void took(UpstreamName upstream, RequestId request, long now) {
+  void addWork(UpstreamName upstream, RequestId request, long now) {
     work.add(new Work(upstream, request, now));
   }
 
-  void executed(Execution execution) {
+  void addExecution(Execution execution) {
     executions.add(execution);
   }
 
@@ -221,30 +222,30 @@
     inForce.add(configuration);
   }
 
-  void ordered(OrderTaken order) {
+  void addOrder(OrderTaken order) {
     orders.add(order);
   }
 
   /**
-   * What the callers saw.
+   * Returns the observations of the callers.
    *
-   * @return their records, in the order of the requests
+   * @return one record for each request, in the order of the requests
    */
   public List<CallerRecord> callers() {
     return List.copyOf(callers.values());
   }
 
   /**
-   * What engines held.
+   * Returns the memory that engines held.
    *
-   * @return the records, in the order of their beginning
+   * @return the records, in the order of allocation
    */
-  public List<Held> holdings() {
-    return List.copyOf(holdings);
+  public List<HeldMemory> heldMemory() {
+    return List.copyOf(heldMemory);
   }
 
   /**
-   * New work of upstreams.
+   * Returns the work that upstreams accepted.
    *
    * @return the records, in order
    */
@@ -253,7 +254,7 @@
   }
 
   /**
-   * Calls executed by services.
+   * Returns the calls that services executed.
    *
    * @return the records, in order
    */
@@ -262,7 +263,7 @@
   }
 
   /**
-   * Configurations accepted.
+   * Returns the accepted configurations.
    *
    * @return the records, in order
    */
@@ -271,7 +272,7 @@
   }
 
   /**
-   * Configurations in force.
+   * Returns the configurations that came into force at nodes.
    *
    * @return the records, in order
    */
@@ -280,7 +281,7 @@
   }
 
   /**
-   * Orders carried out.
+   * Returns the orders that engines executed.
    *
    * @return the records, in order
    */
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Reply.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Reply.java
@@ -11,25 +11,25 @@
 import org.larkkeel.event.FailureCause;
 
 /**
- * The way back from an upstream to the node that sent an attempt.
+ * The channel on which an upstream answers the node that sent an attempt.
  *
  * @since 0.1
  */
 interface Reply {
-  /** Makes an event once the time of its delivery is known. */
+  /** Creates an event at the time of its delivery. */
   @FunctionalInterface
-  interface Builder {
+  interface EventFactory {
     Event at(long time);
   }
 
-  /** The far side has taken the order and will act on it. */
-  void taken();
+  /** Signals that the upstream has accepted the attempt and will execute it. */
+  void accepted();
 
   /** Sends a piece of the answer. */
-  void piece(CallerRecord.Piece piece);
+  void sendPiece(CallerRecord.Piece piece);
 
-  /** Sends the last answer of the step. */
-  void end(Builder event);
+  /** Completes the step. */
+  void complete(EventFactory event);
 
   /** Fails the step. */
   void fail(FailureCause cause, Exposure exposure);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Store.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/Store.java
@@ -23,7 +23,8 @@
 import org.larkkeel.store.WatchEvent;
 
 /**
- * The platform's objects, with versions, conditional updates and a history for watches.
+ * A fake of the platform's object store, with versions, conditional updates and a history for
+ * watches.
  *
  * <p>Not safe for use by several threads.
  *
@@ -68,12 +69,12 @@
   }
 
   StoredObject update(ObjectKey key, String kind, JsonNode spec, StoreVersion resourceVersion) {
-    check(key, resourceVersion);
+    checkVersion(key, resourceVersion);
     return put(key, kind, spec);
   }
 
   Void delete(ObjectKey key, StoreVersion resourceVersion) {
-    StoredObject o = check(key, resourceVersion);
+    StoredObject o = checkVersion(key, resourceVersion);
     objects(key.collection()).remove(key.name());
     version = version.next();
     StoredObject last = new StoredObject(key, o.kind(), version, o.spec());
@@ -85,19 +86,19 @@
     return version;
   }
 
-  List<WatchEvent> since(String collection, StoreVersion from) {
+  List<WatchEvent> changesAfter(String collection, StoreVersion from) {
     return history.stream()
         .filter(c -> c.version.isAfter(from) && c.collection.equals(collection))
         .map(c -> c.event)
         .toList();
   }
 
-  void observe(Runnable observer) {
+  void addObserver(Runnable observer) {
     observers.add(observer);
   }
 
-  /** Tells every watch to look again, as after a change. */
-  void wakeWatches() {
+  /** Makes every watch check for changes and for an outage of the store. */
+  void notifyWatches() {
     List.copyOf(observers).forEach(Runnable::run);
   }
 
@@ -109,7 +110,7 @@
     return collections.computeIfAbsent(collection, c -> new TreeMap<>());
   }
 
-  private StoredObject check(ObjectKey key, StoreVersion resourceVersion) {
+  private StoredObject checkVersion(ObjectKey key, StoreVersion resourceVersion) {
     StoredObject o = get(key);
     if (!o.resourceVersion().equals(resourceVersion)) {
       throw failure(new ObjectApiFailure.Conflict(), key);
@@ -127,7 +128,7 @@
 
   private void record(Change change) {
     history.add(change);
-    wakeWatches();
+    notifyWatches();
   }
 
   private static ObjectApiException failure(ObjectApiFailure failure, ObjectKey key) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/StoreClient.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/StoreClient.java
@@ -23,21 +23,21 @@
 import org.larkkeel.store.WatchEvent;
 
 /**
- * One process's client of the {@link Store}, with the faults of now.
+ * The client of one process for the {@link Store}, subject to the active {@link StoreFaults}.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class StoreClient implements ObjectApi {
-  private static final long ONE_WAY = 2 * VirtualTime.MILLI;
-  private static final long TIMEOUT = VirtualTime.SECOND;
+  private static final long ONE_WAY_NANOS = 2 * VirtualTime.MILLI;
+  private static final long TIMEOUT_NANOS = VirtualTime.SECOND;
 
-  /** A slow call that is answered in time. */
-  private static final long SLOW = 700 * VirtualTime.MILLI;
+  /** The duration of a slow call that is answered before {@link #TIMEOUT_NANOS}. */
+  private static final long SLOW_NANOS = 700 * VirtualTime.MILLI;
 
-  /** A slow call that takes effect after its caller gave up. */
-  private static final long LATE = 1_500 * VirtualTime.MILLI;
+  /** The duration of a slow call that takes effect after its caller timed out. */
+  private static final long LATE_NANOS = 1_500 * VirtualTime.MILLI;
 
   private final World world;
   private final VirtualTime.Process process;
@@ -81,35 +81,35 @@
       Duration timeout,
       Consumer<WatchEvent> listener) {
     StoreWatch watch = new StoreWatch(collection, resourceVersion, listener);
-    world.platform().after(ONE_WAY, watch::begin);
+    world.platform().after(ONE_WAY_NANOS, watch::start);
     process.schedule(timeout, () -> watch.ended.complete(null));
     return watch;
   }
 
   private <T> CompletableFuture<T> call(boolean write, Supplier<T> effect) {
     CompletableFuture<T> result = new CompletableFuture<>();
-    world.platform().after(ONE_WAY, () -> arrive(write, effect, result));
+    world.platform().after(ONE_WAY_NANOS, () -> receive(write, effect, result));
     return result;
   }
 
-  private <T> void arrive(boolean write, Supplier<T> effect, CompletableFuture<T> result) {
+  private <T> void receive(boolean write, Supplier<T> effect, CompletableFuture<T> result) {
     if (world.storeFaults().isDown()) {
-      answer(ONE_WAY, result, null, new ObjectApiFailure.Unavailable());
+      answer(ONE_WAY_NANOS, result, null, new ObjectApiFailure.Unavailable());
       return;
     }
     if (!world.storeFaults().isSlow()) {
-      take(write, effect, result);
+      execute(write, effect, result);
       return;
     }
     slowCalls++;
     boolean late = slowCalls % 2 == 0;
     if (late) {
-      answer(TIMEOUT, result, null, lost(write));
+      answer(TIMEOUT_NANOS, result, null, timeoutFailure(write));
     }
-    world.platform().after(late ? LATE : SLOW, () -> take(write, effect, result));
+    world.platform().after(late ? LATE_NANOS : SLOW_NANOS, () -> execute(write, effect, result));
   }
 
-  private <T> void take(boolean write, Supplier<T> effect, CompletableFuture<T> result) {
+  private <T> void execute(boolean write, Supplier<T> effect, CompletableFuture<T> result) {
     T value = null;
     ObjectApiFailure failure = null;
     try {
@@ -117,14 +117,14 @@
     } catch (ObjectApiException e) {
       failure = e.failure();
     }
-    if (write && world.storeFaults().isLosing()) {
-      answer(TIMEOUT, result, null, lost(true));
+    if (write && world.storeFaults().isLosingAnswers()) {
+      answer(TIMEOUT_NANOS, result, null, timeoutFailure(true));
     } else {
-      answer(ONE_WAY, result, value, failure);
+      answer(ONE_WAY_NANOS, result, value, failure);
     }
   }
 
-  private static ObjectApiFailure lost(boolean write) {
+  private static ObjectApiFailure timeoutFailure(boolean write) {
     return write ? new ObjectApiFailure.OutcomeUnknown() : new ObjectApiFailure.Unavailable();
   }
 
@@ -141,41 +141,41 @@
         });
   }
 
-  /** Tells the changes of a collection. */
+  /** Delivers the changes of a collection in order. */
   private final class StoreWatch implements Watch {
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private final String collection;
     private final Consumer<WatchEvent> listener;
-    private StoreVersion told;
-    private long next;
+    private StoreVersion deliveredVersion;
+    private long nextDeliveryAt;
 
     StoreWatch(String collection, StoreVersion from, Consumer<WatchEvent> listener) {
       this.collection = collection;
-      this.told = from;
+      this.deliveredVersion = from;
       this.listener = listener;
     }
 
-    void begin() {
-      world.store().observe(this::tell);
-      tell();
+    void start() {
+      world.store().addObserver(this::deliverChanges);
+      deliverChanges();
     }
 
-    private void tell() {
+    private void deliverChanges() {
       if (ended.isDone()) {
         return;
       }
       if (world.storeFaults().isDown()) {
         ObjectApiException down =
             new ObjectApiException(new ObjectApiFailure.Unavailable(), "injected");
-        process.after(ONE_WAY, () -> ended.completeExceptionally(down));
+        process.after(ONE_WAY_NANOS, () -> ended.completeExceptionally(down));
         return;
       }
-      long delay = world.storeFaults().isSlow() ? LATE : ONE_WAY;
-      next = Math.max(next, world.time().now() + delay);
-      for (WatchEvent event : world.store().since(collection, told)) {
-        process.at(next, () -> deliver(event));
+      long delay = world.storeFaults().isSlow() ? LATE_NANOS : ONE_WAY_NANOS;
+      nextDeliveryAt = Math.max(nextDeliveryAt, world.time().now() + delay);
+      for (WatchEvent event : world.store().changesAfter(collection, deliveredVersion)) {
+        process.at(nextDeliveryAt, () -> deliver(event));
       }
-      told = world.store().version();
+      deliveredVersion = world.store().version();
     }
 
     private void deliver(WatchEvent event) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/StoreFaults.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/StoreFaults.java
@@ -7,7 +7,10 @@
 package org.larkkeel.bench.proof.world;
 
 /**
- * What is wrong with the platform's store now. Not safe for use by several threads.
+ * The faults of the platform's store that are active. Each fault is counted, so that overlapping
+ * periods of the same fault end with the last of them.
+ *
+ * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -16,16 +19,16 @@
   private int slow;
   private int losses;
 
-  void setDown(boolean begins) {
-    outages += begins ? 1 : -1;
+  void setDown(boolean active) {
+    outages += active ? 1 : -1;
   }
 
-  void setSlow(boolean begins) {
-    slow += begins ? 1 : -1;
+  void setSlow(boolean active) {
+    slow += active ? 1 : -1;
   }
 
-  void setLosing(boolean begins) {
-    losses += begins ? 1 : -1;
+  void setLosingAnswers(boolean active) {
+    losses += active ? 1 : -1;
   }
 
   boolean isDown() {
@@ -36,8 +39,8 @@
     return slow > 0;
   }
 
-  /** Whether the answers to writes that take effect now are lost. */
-  boolean isLosing() {
+  /** Returns whether the answers to writes are lost although the writes take effect. */
+  boolean isLosingAnswers() {
     return losses > 0;
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/VirtualTime.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/VirtualTime.java
@@ -14,28 +14,29 @@
 import org.larkkeel.store.Scheduler;
 
 /**
- * Virtual time for any number of processes, each of which can be paused or killed.
+ * A virtual clock and scheduler for any number of simulated processes, each of which can be paused
+ * or killed.
  *
- * <p>Tasks run in the order of their time, and of their submission where that is equal. Not safe
- * for use by several threads.
+ * <p>Tasks run in the order of their due time, and tasks with the same due time in the order of
+ * submission. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class VirtualTime {
-  /** A millisecond. */
+  /** A millisecond in nanoseconds. */
   public static final long MILLI = 1_000_000L;
 
-  /** A second. */
+  /** A second in nanoseconds. */
   public static final long SECOND = 1_000 * MILLI;
 
-  private static final long MOST_TASKS = 2_000_000;
+  private static final long MAX_TASKS = 2_000_000;
   private static final Comparator<Task> ORDER =
       Comparator.comparingLong((Task t) -> t.due).thenComparingLong(t -> t.sequence);
 
   private final PriorityQueue<Task> tasks = new PriorityQueue<>(ORDER);
   private long now = SECOND;
   private long sequence;
-  private long count;
+  private long executedTasks;
 
   private static final class Task {
     private final Process process;
@@ -52,16 +53,16 @@
   }
 
   /**
-   * Starts a process.
+   * Creates a process.
    *
-   * @return its scheduler
+   * @return the scheduler of the process
    */
   public Process newProcess() {
     return new Process();
   }
 
   /**
-   * The present time.
+   * Returns the current virtual time.
    *
    * @return nanoseconds
    */
@@ -70,16 +71,18 @@
   }
 
   /**
-   * Runs everything that is due up to a time.
+   * Runs all tasks that are due up to a point in time.
    *
-   * @param end the last time
+   * @param end the time in nanoseconds, inclusive
+   * @throws IllegalStateException if too many tasks have run, which shows an endless loop of tasks
    */
   public void runUntil(long end) {
     while (!tasks.isEmpty() && tasks.peek().due <= end) {
       Task task = tasks.poll();
-      count++;
-      if (count > MOST_TASKS) {
-        throw new IllegalStateException("the run does not come to rest");
+      executedTasks++;
+      if (executedTasks > MAX_TASKS) {
+        throw new IllegalStateException(
+            "too many tasks in one run: tasks keep scheduling each other");
       }
       now = task.due;
       task.process.run(task);
@@ -89,31 +92,31 @@
 
   /** The scheduler of one process. */
   public final class Process implements Scheduler {
-    private final List<Task> held = new ArrayList<>();
+    private final List<Task> deferred = new ArrayList<>();
     private boolean paused;
     private boolean dead;
 
-    /** Holds all tasks back, as when the process is stopped. */
+    /** Defers all tasks, as when the operating system suspends the process. */
     public void pause() {
       paused = true;
     }
 
-    /** Runs on; what was held back is due at once, in its order. */
+    /** Resumes the process. The deferred tasks are due immediately, in their order. */
     public void resume() {
       paused = false;
-      List<Task> waiting = List.copyOf(held);
-      held.clear();
+      List<Task> waiting = List.copyOf(deferred);
+      deferred.clear();
       waiting.forEach(t -> at(now, t.body));
     }
 
-    /** Drops all tasks for good. */
+    /** Kills the process: none of its tasks runs any more. */
     public void kill() {
       dead = true;
-      held.clear();
+      deferred.clear();
     }
 
     /**
-     * Tells whether the process was killed.
+     * Returns whether the process was killed.
      *
      * @return true if so
      */
@@ -122,20 +125,20 @@
     }
 
     /**
-     * Runs a task at a time.
+     * Schedules a task at a point in time.
      *
-     * @param due when; a time that has passed means now
-     * @param body what
+     * @param due the time in nanoseconds; a time in the past means now
+     * @param body the task
      */
     public void at(long due, Runnable body) {
       tasks.add(new Task(this, Math.max(now, due), sequence++, body));
     }
 
     /**
-     * Runs a task after a delay.
+     * Schedules a task after a delay.
      *
      * @param nanos the delay
-     * @param body what
+     * @param body the task
      */
     public void after(long nanos, Runnable body) {
       at(now + nanos, body);
@@ -146,7 +149,7 @@
         return;
       }
       if (paused) {
-        held.add(task);
+        deferred.add(task);
       } else {
         task.body.run();
       }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/World.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/World.java
@@ -31,31 +31,36 @@
 import org.larkkeel.store.log.LogEntry;
 
 /**
- * Three nodes, their upstreams and the platform in virtual time, with faults at chosen steps.
+ * A simulated cluster in virtual time: three nodes, their upstreams and the platform, with faults
+ * that are injected at chosen steps.
  *
- * <p>The same seed and injections give the same run. Not safe for use by several threads.
+ * <p>Runs are deterministic: the same seed, injections and calls give the same run. Not safe for
+ * use by several threads.
  *
  * @since 0.1
  */
 public final class World {
-  /** Nodes. */
+  /** The number of nodes. */
   public static final int NODES = 3;
 
-  /** When scenarios begin: the nodes know each other and the configuration by then. */
-  public static final long START = 12 * VirtualTime.SECOND;
+  /**
+   * The virtual time at which scenarios start. The nodes know each other and the configuration by
+   * then.
+   */
+  public static final long SCENARIO_START_NANOS = 12 * VirtualTime.SECOND;
 
-  /** Pieces of the answer to a completion. */
+  /** The number of tokens in the answer to a completion. */
   public static final int ANSWER_TOKENS = 24;
 
-  private static final long HOST_LIST_EVERY = 5 * VirtualTime.SECOND;
-  private static final long REPORT_EVERY = 250 * VirtualTime.MILLI;
-  private static final long REPORT_LAG = 100 * VirtualTime.MILLI;
-  private static final long CACHE_LAG = 300 * VirtualTime.MILLI;
-  private static final long STALE_BY = 4 * VirtualTime.SECOND;
-  private static final long NODE_RESTART = 3 * VirtualTime.SECOND;
-  private static final long LATE_ANSWER = 2_500 * VirtualTime.MILLI;
-  private static final long OPERATOR_RETRY = 500 * VirtualTime.MILLI;
-  private static final int OPERATOR_TRIES = 40;
+  private static final long HOST_LIST_INTERVAL_NANOS = 5 * VirtualTime.SECOND;
+  private static final long REPORT_INTERVAL_NANOS = 250 * VirtualTime.MILLI;
+  private static final long REPORT_DELAY_NANOS = 100 * VirtualTime.MILLI;
+  private static final long CACHE_DELAY_NANOS = 300 * VirtualTime.MILLI;
+  private static final long STALE_REPORT_DELAY_NANOS = 4 * VirtualTime.SECOND;
+  private static final long NODE_RESTART_DELAY_NANOS = 3 * VirtualTime.SECOND;
+  private static final long LATE_ANSWER_DELAY_NANOS = 2_500 * VirtualTime.MILLI;
+  private static final long OPERATOR_RETRY_DELAY_NANOS = 500 * VirtualTime.MILLI;
+  private static final int MAX_OPERATOR_ATTEMPTS = 40;
   private static final int PORT = 7400;
 
   private final long seed;
@@ -65,22 +70,22 @@
   private final StoreFaults storeFaults = new StoreFaults();
   private final PeerFaults peerFaults;
   private final Injector injector;
-  private final Observations seen = new Observations();
+  private final Observations observations = new Observations();
   private final Map<UpstreamName, Engine> engines = new LinkedHashMap<>();
-  private final List<Node> nodes = new ArrayList<>();
-  private final Node[] current = new Node[NODES];
+  private final List<Node> allNodes = new ArrayList<>();
+  private final Node[] currentNodes = new Node[NODES];
   private final Set<RequestId> subjects = new HashSet<>();
   private final Map<RequestId, UpstreamName> lastUpstream = new HashMap<>();
   private final Callers callers = new Callers(this);
-  private UpstreamName focus = new UpstreamName("decode-a");
+  private UpstreamName subjectUpstream = new UpstreamName("decode-a");
   private int stalls;
   private int lateAnswers;
   private int staleLoads;
 
   /**
-   * Starts the nodes.
+   * Starts the nodes and advances the virtual time to {@link #SCENARIO_START_NANOS}.
    *
-   * @param seed the seed of everything that happens by chance
+   * @param seed the seed of all random choices
    * @param injections the faults
    */
   public World(long seed, List<Injection> injections) {
@@ -93,33 +98,33 @@
     for (int i = 0; i < NODES; i++) {
       startNode(i, 1);
     }
-    operate(0, Optional.empty());
-    hostList();
-    engines.values().forEach(this::report);
-    time.runUntil(START);
+    changeConfiguration(0, Optional.empty());
+    publishHostList();
+    engines.values().forEach(this::publishLoad);
+    time.runUntil(SCENARIO_START_NANOS);
     injector.arm();
   }
 
   /**
-   * Runs on.
+   * Advances the virtual time by a duration.
    *
-   * @param nanos how long
+   * @param nanos the duration
    */
   public void run(long nanos) {
     time.runUntil(time.now() + nanos);
   }
 
   /**
-   * Runs on.
+   * Advances the virtual time to a point in time.
    *
-   * @param end until when
+   * @param end the time in nanoseconds
    */
   public void runTo(long end) {
     time.runUntil(end);
   }
 
   /**
-   * The present time.
+   * Returns the current virtual time.
    *
    * @return nanoseconds
    */
@@ -128,16 +133,16 @@
   }
 
   /**
-   * What everybody outside saw.
+   * Returns the observations of callers, engines, services, operators and the platform.
    *
    * @return the observations so far
    */
-  public Observations seen() {
-    return seen;
+  public Observations observations() {
+    return observations;
   }
 
   /**
-   * Sends requests.
+   * Returns the callers, which send requests.
    *
    * @return the callers
    */
@@ -145,22 +150,22 @@
     return callers;
   }
 
-  /** Ends the part of the run in which faults come about. */
-  public void endFaults() {
+  /** Stops the injection of faults. Faults that are active end after their own duration. */
+  public void disarmFaults() {
     injector.disarm();
   }
 
   /**
-   * The places that the subject of the run reached.
+   * Returns the injection points that the subject requests of the run reached.
    *
-   * @return the places, in the order of the first time
+   * @return the points, in the order in which they were first reached
    */
-  public Set<Place> places() {
-    return injector.places();
+  public Set<InjectionPoint> reachedPoints() {
+    return injector.reachedPoints();
   }
 
   /**
-   * Tells whether every fault came about.
+   * Returns whether every fault was injected.
    *
    * @return false if a step was not reached
    */
@@ -169,51 +174,51 @@
   }
 
   /**
-   * When the last fault ended.
+   * Returns the time at which the last fault ends.
    *
-   * @return nanoseconds, 0 if there was none
+   * @return nanoseconds, 0 if no fault with a recovery time was injected
    */
-  public long healedAt() {
-    return injector.healedAt();
+  public long faultsEndedAt() {
+    return injector.faultsEndedAt();
   }
 
   /**
-   * Begins a planned stop of a node.
+   * Starts a planned stop of a node.
    *
-   * @param index which
+   * @param index the index of the node
    */
   public void stopNode(int index) {
-    current[index].stop();
+    currentNodes[index].stop();
   }
 
   /**
-   * Kills a node, whose host starts another one later.
+   * Kills a node. Its host starts a new incarnation later.
    *
-   * @param index which
+   * @param index the index of the node
    */
   public void killNode(int index) {
-    current[index].kill();
+    currentNodes[index].kill();
   }
 
   /**
-   * Kills the upstream that the subject used last, which comes back later.
+   * Kills the upstream that the subject request used last, and restarts it later.
    *
-   * @param downtime nanoseconds
+   * @param downtime the time until the restart in nanoseconds
    */
   public void killLastUpstream(long downtime) {
-    Engine engine = engine(focus);
+    Engine engine = engine(subjectUpstream);
     engine.kill();
     platform.after(downtime, engine::restart);
   }
 
   /**
-   * An operator changes the configuration through a node.
+   * Changes the configuration through a node, as an operator does.
    *
-   * @param index which node
-   * @param leaving the upstream to take no new work, empty to change something else
+   * @param index the index of the node
+   * @param leaving the upstream to mark as leaving, empty for another change
    */
-  public void operate(int index, Optional<UpstreamName> leaving) {
-    platform.execute(() -> new OperatorCall(index, leaving).begin());
+  public void changeConfiguration(int index, Optional<UpstreamName> leaving) {
+    platform.execute(() -> new ConfigurationChange(index, leaving).attempt());
   }
 
   VirtualTime time() {
@@ -249,27 +254,27 @@
   }
 
   Node node(int index) {
-    return current[index];
+    return currentNodes[index];
   }
 
   boolean isLinkStalled() {
     return stalls > 0;
   }
 
-  void setLinkStalled(boolean begins) {
-    stalls += begins ? 1 : -1;
+  void setLinkStalled(boolean active) {
+    stalls += active ? 1 : -1;
   }
 
-  void setAnswersLate(boolean begins) {
-    lateAnswers += begins ? 1 : -1;
+  void setAnswersLate(boolean active) {
+    lateAnswers += active ? 1 : -1;
   }
 
-  void setLoadStale(boolean begins) {
-    staleLoads += begins ? 1 : -1;
+  void setLoadStale(boolean active) {
+    staleLoads += active ? 1 : -1;
   }
 
   long answerDelay() {
-    return lateAnswers > 0 ? LATE_ANSWER : 0;
+    return lateAnswers > 0 ? LATE_ANSWER_DELAY_NANOS : 0;
   }
 
   void addSubject(RequestId request) {
@@ -280,21 +285,21 @@
     return subjects.contains(request);
   }
 
-  void subjectLeaves() {
-    subjects.forEach(callers::leave);
+  void disconnectSubjects() {
+    subjects.forEach(callers::disconnect);
   }
 
-  void hook(Object step, Moment moment, Node node, RequestId request) {
+  void reachStep(Object step, Moment moment, Node node, RequestId request) {
     UpstreamName upstream = upstreamOf(step);
     if (upstream != null && request != null) {
       lastUpstream.put(request, upstream);
       if (isSubject(request)) {
-        focus = upstream;
+        subjectUpstream = upstream;
       }
     }
-    UpstreamName concerned =
-        upstream != null ? upstream : lastUpstream.getOrDefault(request, focus);
-    injector.reached(new Place(step.getClass(), moment), node, request, concerned);
+    UpstreamName targetUpstream =
+        upstream != null ? upstream : lastUpstream.getOrDefault(request, subjectUpstream);
+    injector.reach(new InjectionPoint(step.getClass(), moment), node, request, targetUpstream);
   }
 
   NodeAddress address(HostName host) {
@@ -302,18 +307,19 @@
   }
 
   Optional<Node> nodeAt(NodeAddress address) {
-    return running(current[address.ip()[3]]);
+    return running(currentNodes[address.ip()[3]]);
   }
 
   Optional<Node> nodeOn(HostName host) {
-    return running(current[indexOf(host)]);
+    return running(currentNodes[indexOf(host)]);
   }
 
-  void nodeDied(Node node) {
-    seen.start(node.number).endedAt = time.now();
+  void onNodeDeath(Node node) {
+    observations.incarnation(node.number).endedAt = time.now();
     int index = indexOf(node.host);
-    if (current[index] == node) {
-      platform.after(NODE_RESTART, () -> startNode(index, node.incarnation.value() + 1));
+    if (currentNodes[index] == node) {
+      platform.after(
+          NODE_RESTART_DELAY_NANOS, () -> startNode(index, node.incarnation.value() + 1));
     }
   }
 
@@ -322,12 +328,12 @@
   }
 
   private void startNode(int index, long incarnation) {
-    Node node = new Node(this, nodes.size(), new HostName("entry-" + index), incarnation);
-    nodes.add(node);
-    seen.started(new Observations.Start(node.number, time.now()));
-    current[index] = node;
+    Node node = new Node(this, allNodes.size(), new HostName("entry-" + index), incarnation);
+    allNodes.add(node);
+    observations.addIncarnation(new Observations.NodeIncarnation(node.number, time.now()));
+    currentNodes[index] = node;
     node.start();
-    node.peers().hostList(hosts());
+    node.peers().setHosts(hosts());
   }
 
   private static int indexOf(HostName host) {
@@ -344,28 +350,30 @@
     return hosts;
   }
 
-  private void hostList() {
-    for (Node node : current) {
-      node.process.execute(() -> node.peers().hostList(hosts()));
+  private void publishHostList() {
+    for (Node node : currentNodes) {
+      node.process.execute(() -> node.peers().setHosts(hosts()));
     }
-    platform.after(HOST_LIST_EVERY, this::hostList);
+    platform.after(HOST_LIST_INTERVAL_NANOS, this::publishHostList);
   }
 
-  private void report(Engine engine) {
-    for (Node node : current) {
-      Event event = reportOf(engine);
-      long lag = staleLoads > 0 ? STALE_BY : REPORT_LAG;
-      node.process.after(lag, () -> node.apply(at(event)));
+  private void publishLoad(Engine engine) {
+    for (Node node : currentNodes) {
+      Event event = loadEvent(engine);
+      long delay = staleLoads > 0 ? STALE_REPORT_DELAY_NANOS : REPORT_DELAY_NANOS;
+      node.process.after(delay, () -> node.apply(withCurrentTime(event)));
     }
-    platform.after(REPORT_EVERY, () -> report(engine));
+    platform.after(REPORT_INTERVAL_NANOS, () -> publishLoad(engine));
   }
 
-  /** Tells the nodes, late, that an engine keeps the prefix of the prompts. */
+  /**
+   * Reports to all nodes, after a delay, that an engine caches the shared prefix of the prompts.
+   */
   void publishCache(Engine engine, long sequence) {
     Incarnation incarnation = engine.incarnation();
-    for (Node node : current) {
+    for (Node node : currentNodes) {
       node.process.after(
-          CACHE_LAG,
+          CACHE_DELAY_NANOS,
           () ->
               node.apply(
                   new Event.CacheChanged(
@@ -373,22 +381,23 @@
                       engine.name,
                       incarnation,
                       sequence,
-                      Callers.PREFIXES.keys(),
+                      Callers.SHARED_PREFIX.keys(),
                       ImmutableLongArray.of())));
     }
   }
 
-  private Event reportOf(Engine engine) {
-    return engine.answers()
+  private Event loadEvent(Engine engine) {
+    return engine.isAvailable()
         ? new Event.LoadReported(time.now(), engine.name, engine.report())
         : new Event.LoadUnavailable(time.now(), engine.name);
   }
 
-  private Event at(Event event) {
+  private Event withCurrentTime(Event event) {
     return switch (event) {
       case Event.LoadReported reported ->
           new Event.LoadReported(time.now(), reported.upstream(), reported.report());
-      case Event.LoadUnavailable silent -> new Event.LoadUnavailable(time.now(), silent.upstream());
+      case Event.LoadUnavailable unavailable ->
+          new Event.LoadUnavailable(time.now(), unavailable.upstream());
       default -> event;
     };
   }
@@ -409,20 +418,20 @@
     };
   }
 
-  /** One change of the configuration, with the retries of an operator's command. */
-  private final class OperatorCall {
+  /** One configuration change with the retries of an operator's command. */
+  private final class ConfigurationChange {
     private final int index;
     private final Optional<UpstreamName> leaving;
-    private int tries;
+    private int attempts;
 
-    OperatorCall(int index, Optional<UpstreamName> leaving) {
+    ConfigurationChange(int index, Optional<UpstreamName> leaving) {
       this.index = index;
       this.leaving = leaving;
     }
 
-    void begin() {
-      Node node = current[index];
-      tries++;
+    void attempt() {
+      Node node = currentNodes[index];
+      attempts++;
       if (node.process.isDead()) {
         retry();
         return;
@@ -433,30 +442,32 @@
               .put(NodeConfig.LEAVING, leaving.map(UpstreamName::value).orElse(""));
       NodeConfig config = node.config();
       LogEntry entry =
-          LogEntry.records(config.last() + 1, config.log().nextAppend(), List.of(record));
-      config.log().append(entry).call().thenAccept(result -> settled(config, result));
+          LogEntry.records(
+              config.lastEntryNumber() + 1, config.log().nextAppend(), List.of(record));
+      config.log().append(entry).call().thenAccept(result -> onAppendResult(config, result));
     }
 
-    private void settled(NodeConfig config, AppendResult result) {
+    private void onAppendResult(NodeConfig config, AppendResult result) {
       switch (result) {
         case AppendResult.Appended appended -> {
           long revision = appended.entry().number();
-          seen.addAccepted(new Observations.Accepted(new Revision(revision), leaving, time.now()));
+          observations.addAccepted(
+              new Observations.Accepted(new Revision(revision), leaving, time.now()));
           config.offer(appended.entry());
         }
         case AppendResult.Lost lost -> {
           lost.winner().ifPresent(config::offer);
           retry();
         }
-        case AppendResult.NotAppended refused -> retry();
+        case AppendResult.NotAppended notAppended -> retry();
         case AppendResult.Unresolved unresolved -> retry();
         case AppendResult.Forgotten forgotten -> retry();
       }
     }
 
     private void retry() {
-      if (tries < OPERATOR_TRIES) {
-        platform.after(OPERATOR_RETRY, this::begin);
+      if (attempts < MAX_OPERATOR_ATTEMPTS) {
+        platform.after(OPERATOR_RETRY_DELAY_NANOS, this::attempt);
       }
     }
   }
