--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/soak/PhaseVerdictTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/soak/PhaseVerdictTest.java
@@ -34,9 +34,12 @@
         "");
   }
 
-  /** What one phase may and may not show. */
+  /** Checks the conditions under which a phase passes. */
   public static class Passed {
-    /** The callers' counts, the service's runs, the demands, and the verdict. */
+    /**
+     * Returns the callers' counts, the runs of the service, the options uncut and unaffected, and
+     * the expected result.
+     */
     @DataProvider
     public Object[][] phases() {
       return new Object[][] {
@@ -55,10 +58,10 @@
     }
 
     @Test(dataProvider = "phases")
-    public void onlyIfAllDemandsHold(
-        RemoteLoad.Result seen, String runs, boolean uncut, boolean unaffected, boolean passed)
+    public void onlyIfAllConditionsHold(
+        RemoteLoad.Result result, String runs, boolean uncut, boolean unaffected, boolean passed)
         throws Exception {
-      PhaseVerdict verdict = PhaseVerdict.of(seen, new ObjectMapper().readTree(runs));
+      PhaseVerdict verdict = PhaseVerdict.of(result, new ObjectMapper().readTree(runs));
       assertEquals(verdict.passed(uncut, unaffected), passed);
     }
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/AttemptResult.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/AttemptResult.java
@@ -6,15 +6,18 @@
 
 package org.larkkeel.bench.demo;
 
-/** What one attempt of a caller brought. Immutable and safe for use by several threads. */
+/** The result of one attempt of a caller. Immutable and safe for use by several threads. */
 sealed interface AttemptResult {
-  /** The whole answer, with the times of its first and last token after the attempt began. */
+  /** The complete answer, with the times of its first and last token since the attempt started. */
   record Answer(String body, long firstNanos, long lastNanos, int tokens)
       implements AttemptResult {}
 
-  /** An error that the node told. */
+  /** An error that the node answered. */
   record Refused(String kind, boolean notRun, boolean repeatable) implements AttemptResult {}
 
-  /** The connection failed, before it was made if not reached, else before the whole answer. */
+  /**
+   * The connection failed: it could not be opened if {@code reached} is false, otherwise it broke
+   * before the complete answer.
+   */
   record Broken(String cause, boolean reached) implements AttemptResult {}
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Caller.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Caller.java
@@ -14,16 +14,17 @@
 import org.larkkeel.standin.ServiceOracle;
 
 /**
- * A caller that stays until its request is answered or finally refused.
+ * A caller that retries its request until it is answered or finally refused.
  *
- * <p>It goes to another node after a broken connection or a refusal that may be repeated; a call
- * that runs at most once keeps its key. Safe for use by several threads; calls block.
+ * <p>It retries at another node after a broken connection or a refusal that allows a retry. A call
+ * that must run at most once keeps its idempotency key. Safe for use by several threads; calls
+ * block.
  */
 final class Caller {
   private static final int MAX_ATTEMPTS = 12;
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(50);
-  private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
-  private static final int ORDER_RUN = 1;
+  private static final Duration INITIAL_BACKOFF = Duration.ofMillis(50);
+  private static final Duration MAX_BACKOFF = Duration.ofSeconds(1);
+  private static final int EXPECTED_RUN = 1;
 
   private final CallerClient client;
   private final ImmutableList<URI> nodes;
@@ -35,29 +36,29 @@
     this.tally = tally;
   }
 
-  /** Sends a request until it ends. */
+  /** Sends a request and its retries until it ends. */
   void run(DemoRequest request, int firstNode) {
     tally.sent();
     try {
-      settle(request, firstNode);
+      sendUntilEnd(request, firstNode);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       tally.ended(request, Outcome.LOST, "interrupted");
     }
   }
 
-  private void settle(DemoRequest request, int firstNode) throws InterruptedException {
+  private void sendUntilEnd(DemoRequest request, int firstNode) throws InterruptedException {
     long arrived = System.nanoTime();
     AttemptResult last = null;
     for (int i = 0; i < MAX_ATTEMPTS; i++) {
       if (i > 0) {
         tally.retried();
-        Thread.sleep(pause(i));
+        Thread.sleep(backoff(i));
       }
-      long before = System.nanoTime() - arrived;
+      long nanosBefore = System.nanoTime() - arrived;
       last = client.send(nodes.get((firstNode + i) % nodes.size()), request);
       if (last instanceof AttemptResult.Answer answer) {
-        answered(request, answer, before);
+        answered(request, answer, nanosBefore);
         return;
       }
       tally.failed(failure(request, last));
@@ -80,18 +81,19 @@
           r.notRun() ? FailedAttempt.ORDER_NOT_RUN : FailedAttempt.ORDER_MAY_HAVE_RUN;
       case AttemptResult.Refused r ->
           r.notRun() ? FailedAttempt.REPEATABLE_NOT_RUN : FailedAttempt.REPEATABLE_MAY_HAVE_RUN;
-      case AttemptResult.Answer a -> throw new IllegalArgumentException("an answer is no failure");
+      case AttemptResult.Answer a ->
+          throw new IllegalArgumentException("an answer is not a failed attempt");
     };
   }
 
-  private static Duration pause(int attempt) {
-    Duration grown = FIRST_PAUSE.multipliedBy(1L << Math.min(attempt, 5));
-    return grown.compareTo(LONGEST_PAUSE) < 0 ? grown : LONGEST_PAUSE;
+  private static Duration backoff(int attempt) {
+    Duration grown = INITIAL_BACKOFF.multipliedBy(1L << Math.min(attempt, 5));
+    return grown.compareTo(MAX_BACKOFF) < 0 ? grown : MAX_BACKOFF;
   }
 
-  private void answered(DemoRequest request, AttemptResult.Answer answer, long before) {
+  private void answered(DemoRequest request, AttemptResult.Answer answer, long nanosBefore) {
     if (answer.body().equals(expected(request))) {
-      tally.times(request, answer, before);
+      tally.recordTimes(request, answer, nanosBefore);
       tally.ended(request, Outcome.ANSWERED, "");
     } else {
       tally.ended(request, Outcome.WRONG, answer.body());
@@ -101,7 +103,7 @@
   private void refused(DemoRequest request, AttemptResult.Refused refused) {
     boolean internal = refused.kind().equals(ErrorKind.INTERNAL.slug());
     if (request instanceof DemoRequest.Order order && refused.notRun()) {
-      tally.toldNotRun(order.reference());
+      tally.refusedAsNotRun(order.reference());
     }
     tally.ended(request, internal ? Outcome.LOST : Outcome.REFUSED, refused.kind());
   }
@@ -111,7 +113,7 @@
       case DemoRequest.Dossier d ->
           AnswerOracle.whole(DemoCluster.MODEL, d.prompt(), d.maxTokens());
       case DemoRequest.Lookup l -> ServiceOracle.lookup(l.path());
-      case DemoRequest.Order o -> ServiceOracle.change(o.path(), o.reference(), ORDER_RUN);
+      case DemoRequest.Order o -> ServiceOracle.change(o.path(), o.reference(), EXPECTED_RUN);
     };
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/CallerClient.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/CallerClient.java
@@ -28,14 +28,14 @@
 import org.larkkeel.errors.Repeat;
 import org.larkkeel.errors.Slugs;
 
-/** Makes single attempts over HTTP. Safe for use by several threads; calls block. */
+/** Sends single attempts over HTTP. Safe for use by several threads; calls block. */
 final class CallerClient implements AutoCloseable {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-  private static final Duration TIMEOUT = Duration.ofSeconds(70);
-  private static final String DATA = "data: ";
-  private static final String DONE = "[DONE]";
-  private static final int SUCCESS_END = 300;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(70);
+  private static final String DATA_PREFIX = "data: ";
+  private static final String DONE_DATA = "[DONE]";
+  private static final int SUCCESS_STATUS_END = 300;
 
   private final HttpClient client =
       HttpClient.newBuilder()
@@ -49,10 +49,12 @@
       HttpResponse<InputStream> response =
           client.send(httpRequest(node, request), BodyHandlers.ofInputStream());
       try (InputStream body = response.body()) {
-        if (response.statusCode() >= SUCCESS_END) {
-          return refused(body.readAllBytes());
+        if (response.statusCode() >= SUCCESS_STATUS_END) {
+          return readRefusal(body.readAllBytes());
         }
-        return request instanceof DemoRequest.Dossier ? stream(body, start) : whole(body, start);
+        return request instanceof DemoRequest.Dossier
+            ? readStream(body, start)
+            : readComplete(body, start);
       }
     } catch (ConnectException | HttpConnectTimeoutException e) {
       return new AttemptResult.Broken(e.getClass().getSimpleName(), false);
@@ -63,7 +65,9 @@
 
   private static HttpRequest httpRequest(URI node, DemoRequest request) {
     HttpRequest.Builder builder =
-        HttpRequest.newBuilder().timeout(TIMEOUT).header("X-Larkkeel-Workspace", "tejemanos");
+        HttpRequest.newBuilder()
+            .timeout(REQUEST_TIMEOUT)
+            .header("X-Larkkeel-Workspace", "tejemanos");
     return switch (request) {
       case DemoRequest.Dossier dossier ->
           builder
@@ -91,24 +95,24 @@
     return body.toString();
   }
 
-  private static AttemptResult whole(InputStream body, long start) throws IOException {
+  private static AttemptResult readComplete(InputStream body, long start) throws IOException {
     String text = new String(body.readAllBytes(), StandardCharsets.UTF_8);
     long nanos = System.nanoTime() - start;
     return new AttemptResult.Answer(text, nanos, nanos, 0);
   }
 
-  private static AttemptResult stream(InputStream body, long start) throws IOException {
+  private static AttemptResult readStream(InputStream body, long start) throws IOException {
     StringBuilder text = new StringBuilder();
     long first = 0;
     long last = 0;
     int tokens = 0;
     BufferedReader lines = new BufferedReader(new InputStreamReader(body, StandardCharsets.UTF_8));
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-      if (!line.startsWith(DATA)) {
+      if (!line.startsWith(DATA_PREFIX)) {
         continue;
       }
-      String data = line.substring(DATA.length());
-      if (data.equals(DONE)) {
+      String data = line.substring(DATA_PREFIX.length());
+      if (data.equals(DONE_DATA)) {
         return new AttemptResult.Answer(text.toString(), first, last, tokens);
       }
       JsonNode event = MAPPER.readTree(data);
@@ -123,7 +127,7 @@
     return new AttemptResult.Broken("stream-ended-early", true);
   }
 
-  private static AttemptResult refused(byte[] body) throws IOException {
+  private static AttemptResult readRefusal(byte[] body) throws IOException {
     return refusal(MAPPER.readTree(body));
   }
 
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Demo.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Demo.java
@@ -15,7 +15,10 @@
 import java.util.concurrent.locks.LockSupport;
 import org.larkkeel.standin.EngineStandin;
 
-/** One run of the demo. Used by one thread. */
+/**
+ * One run of the demo: starts the cluster, sends the load, injects the faults and prints the
+ * verdict. Not safe for use by several threads.
+ */
 final class Demo {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long MAX_WAIT_SECONDS = 180;
@@ -30,9 +33,9 @@
     this.out = out;
   }
 
-  /** Runs; true if nothing was lost, wrong or doubled. */
+  /** Runs the demo. Returns whether the {@linkplain Verdict#passed verdict} is passed. */
   boolean run() throws Exception {
-    long begin = System.nanoTime();
+    long clusterStart = System.nanoTime();
     out.println(
         "starting nodes="
             + options.nodes()
@@ -42,12 +45,13 @@
             + options.rate());
     try (DemoCluster cluster = DemoCluster.start(options.nodes(), options.slots());
         CallerClient client = new CallerClient()) {
-      out.println("started millis=" + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin));
+      out.println(
+          "started millis=" + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - clusterStart));
       ImmutableList<URI> addresses = cluster.callerAddresses();
       Caller caller = new Caller(client, addresses, tally);
       long start = System.nanoTime();
       try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
-        load(cluster, caller, callers, start);
+        sendRequests(cluster, caller, callers, start);
         await(callers);
       }
       double seconds = (System.nanoTime() - start) / (double) SECOND;
@@ -57,7 +61,7 @@
     }
   }
 
-  private void load(DemoCluster cluster, Caller caller, ExecutorService callers, long start)
+  private void sendRequests(DemoCluster cluster, Caller caller, ExecutorService callers, long start)
       throws Exception {
     Workload workload = new Workload(options.seed());
     long interval = SECOND / options.rate();
@@ -69,8 +73,8 @@
       int second = i / options.rate();
       if (second != lastSecond) {
         lastSecond = second;
-        progress(second);
-        faults(cluster, second);
+        printProgress(second);
+        injectFaults(cluster, second);
       }
       DemoRequest request = workload.next();
       int node = i % options.nodes();
@@ -78,18 +82,18 @@
     }
   }
 
-  private void faults(DemoCluster cluster, int second) throws Exception {
+  private void injectFaults(DemoCluster cluster, int second) throws Exception {
     if (options.killNodeAt().filter(at -> at == second).isPresent()) {
       out.println("fault second=" + second + " killed=node");
       cluster.killNode(0);
     }
     if (options.killEngineAt().filter(at -> at == second).isPresent()) {
       out.println("fault second=" + second + " killed=engines");
-      victims(cluster).forEach(EngineStandin::kill);
+      faultTargets(cluster).forEach(EngineStandin::kill);
     }
     if (options.killEngineAt().filter(at -> at + ENGINE_DOWN_SECONDS == second).isPresent()) {
       out.println("fault second=" + second + " restarted=engines");
-      victims(cluster).forEach(EngineStandin::restart);
+      faultTargets(cluster).forEach(EngineStandin::restart);
     }
     if (options.storeOutage().filter(o -> o.from() == second).isPresent()) {
       out.println("fault second=" + second + " store=down");
@@ -101,24 +105,24 @@
     }
   }
 
-  private static ImmutableList<EngineStandin> victims(DemoCluster cluster) {
+  private static ImmutableList<EngineStandin> faultTargets(DemoCluster cluster) {
     return ImmutableList.of(
         cluster.engines().get("prefill-old-1"), cluster.engines().get("decode-new-1"));
   }
 
-  private void progress(int second) {
-    Tally.Snapshot seen = tally.snapshot();
+  private void printProgress(int second) {
+    Tally.Snapshot counts = tally.snapshot();
     out.println(
         "progress second="
             + second
             + " sent="
-            + seen.sent()
+            + counts.sent()
             + " answered="
-            + seen.count(Outcome.ANSWERED)
+            + counts.count(Outcome.ANSWERED)
             + " refused="
-            + seen.count(Outcome.REFUSED)
+            + counts.count(Outcome.REFUSED)
             + " retried="
-            + seen.retried());
+            + counts.retried());
   }
 
   private void await(ExecutorService callers) throws InterruptedException {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/DemoCluster.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/DemoCluster.java
@@ -52,17 +52,17 @@
 /**
  * The platform, the upstreams and the nodes of the demo.
  *
- * <p>Used by one thread, but for the getters.
+ * <p>Not safe for use by several threads, except for the getters.
  */
 final class DemoCluster implements AutoCloseable {
   static final String MODEL = "telar";
   static final String WORKSPACE = "tejemanos";
   private static final String CONFIGURATION = "demo-configuration.json";
   private static final String SERVICE = "mercado";
-  private static final long HOST_LAG_MILLIS = 200;
-  private static final long START_SECONDS = 20;
-  private static final long SLOTS_SECONDS = 15;
-  private static final long POLL_MILLIS = 20;
+  private static final long HOST_LIST_DELAY_MILLIS = 200;
+  private static final long START_TIMEOUT_SECONDS = 20;
+  private static final long FREE_SLOTS_TIMEOUT_SECONDS = 15;
+  private static final long POLL_INTERVAL_MILLIS = 20;
   private static final int DATA_CENTRES = 3;
   private static final InetSocketAddress FREE_PORT =
       new InetSocketAddress(InetAddress.ofLiteral("127.0.0.1"), 0);
@@ -80,7 +80,8 @@
     platform =
         closer.add(
             PlatformStandin.start(
-                org.larkkeel.standin.PlatformSettings.DEFAULTS.withHostLagMillis(HOST_LAG_MILLIS)));
+                org.larkkeel.standin.PlatformSettings.DEFAULTS.withHostLagMillis(
+                    HOST_LIST_DELAY_MILLIS)));
     service = closer.add(ServiceStandin.start(ServiceSettings.DEFAULTS));
     ImmutableMap.Builder<String, EngineStandin> started = ImmutableMap.builder();
     for (EngineSettings settings : engineSettings()) {
@@ -89,7 +90,9 @@
     engines = started.buildOrThrow();
   }
 
-  /** Starts everything; the nodes are ready when this returns. */
+  /**
+   * Starts the platform, the upstreams and the nodes. The nodes are ready when this method returns.
+   */
   static DemoCluster start(int nodeCount, SlotSharing slots) throws Exception {
     Closer closer = new Closer();
     try {
@@ -132,8 +135,11 @@
     awaitReady();
   }
 
-  /** Proposes the configuration as an operator does; the nodes get it from the platform. */
-  private void apply(Configuration wanted) throws Exception {
+  /**
+   * Proposes the configuration through one node, as an operator does; the nodes receive it from the
+   * platform.
+   */
+  private void apply(Configuration configuration) throws Exception {
     Change change =
         new Change(
             new ChangeId("demo-1"),
@@ -141,35 +147,36 @@
             System.currentTimeMillis(),
             "the configuration of the demo",
             Revision.NONE,
-            Diff.between(Configuration.EMPTY, wanted).operations(wanted, false));
+            Diff.between(Configuration.EMPTY, configuration).operations(configuration, false));
     ProposalOutcome outcome =
         nodes
             .getFirst()
             .operations()
             .propose(change, DryRun.NO)
-            .get(START_SECONDS, TimeUnit.SECONDS);
+            .get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (!(outcome instanceof ProposalOutcome.Accepted)) {
       throw new IllegalStateException("the configuration was not accepted: " + outcome);
     }
   }
 
-  /** Waits until the configuration is in force everywhere and the nodes know each other. */
+  /** Waits until the configuration is in force at all nodes and the nodes know each other. */
   private void awaitReady() throws InterruptedException, TimeoutException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS);
     while (!nodes.stream().allMatch(n -> n.isReady() && n.liveNodes() == nodes.size())) {
       if (System.nanoTime() - end >= 0) {
-        throw new TimeoutException("the nodes are not ready after seconds=" + START_SECONDS);
+        throw new TimeoutException(
+            "the nodes are not ready after seconds=" + START_TIMEOUT_SECONDS);
       }
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
   }
 
   private Settings settings(int index) {
     ListenerSettings listener = ListenerSettings.plain(FREE_PORT);
-    DataCentreName place = new DataCentreName("dc-" + (1 + index % DATA_CENTRES));
+    DataCentreName dataCentre = new DataCentreName("dc-" + (1 + index % DATA_CENTRES));
     return new Settings(
         new HostName("entry-" + (1 + index)),
-        place,
+        dataCentre,
         Optional.empty(),
         listener,
         listener,
@@ -184,7 +191,7 @@
         ImmutableList.of(),
         LimitSettings.DEFAULT,
         RouterSettings.builder()
-            .dataCentre(Optional.of(place))
+            .dataCentre(Optional.of(dataCentre))
             .sharedSlots(slots == SlotSharing.GRANTED)
             .build(),
         LogLevel.INFO);
@@ -195,13 +202,13 @@
         Resources.toString(
             Resources.getResource(DemoCluster.class, CONFIGURATION), StandardCharsets.UTF_8);
     for (Map.Entry<String, EngineStandin> engine : engines.entrySet()) {
-      text = insert(text, engine.getKey(), engine.getValue().address());
+      text = insertAddress(text, engine.getKey(), engine.getValue().address());
     }
-    text = insert(text, SERVICE, service.address());
+    text = insertAddress(text, SERVICE, service.address());
     return ConfigurationDocument.read(CONFIGURATION, text).orThrow();
   }
 
-  private static String insert(String text, String name, InetSocketAddress address) {
+  private static String insertAddress(String text, String name, InetSocketAddress address) {
     return text.replace(
         "@" + name + "@", address.getAddress().getHostAddress() + ":" + address.getPort());
   }
@@ -224,17 +231,20 @@
     return engines;
   }
 
-  /** Ends a node as if its process had died. */
+  /** Kills a node, as if its process had died. */
   void killNode(int index) throws Exception {
     nodes.get(index).kill();
   }
 
-  /** Waits, within a bound, until no engine holds a slot; the number of those still held. */
+  /**
+   * Waits until no engine holds a slot or the timeout has passed. Returns the number of slots still
+   * held.
+   */
   int awaitFreeSlots() throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(SLOTS_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FREE_SLOTS_TIMEOUT_SECONDS);
     int held = heldSlots();
     while (held > 0 && System.nanoTime() - end < 0) {
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
       held = heldSlots();
     }
     return held;
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/DemoOptions.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/DemoOptions.java
@@ -12,7 +12,7 @@
 import org.kohsuke.args4j.Option;
 import org.larkkeel.daemon.settings.SlotSharing;
 
-/** The options of the demo. Set by the parser, then only read. */
+/** The command-line options of the demo. Set by the parser and only read afterwards. */
 final class DemoOptions {
   private static final int MAX_NODES = 64;
   private static final int MAX_SECONDS = 3_600;
@@ -59,7 +59,7 @@
   @Option(name = "--help", aliases = "-h", help = true, usage = "print this and end")
   private boolean help;
 
-  /** From when to when the store is down. */
+  /** The period in which the store is down, in seconds since the start of the load. */
   record Outage(int from, int to) {}
 
   int nodes() {
@@ -107,17 +107,17 @@
     return help;
   }
 
-  /** Checks ranges. */
-  void check(CmdLineParser parser) throws CmdLineException {
-    range(parser, "--nodes", nodes, 1, MAX_NODES);
-    range(parser, "--seconds", seconds, 1, MAX_SECONDS);
-    range(parser, "--rate", rate, 1, MAX_RATE);
+  /** Validates the ranges of all options. */
+  void validate(CmdLineParser parser) throws CmdLineException {
+    checkRange(parser, "--nodes", nodes, 1, MAX_NODES);
+    checkRange(parser, "--seconds", seconds, 1, MAX_SECONDS);
+    checkRange(parser, "--rate", rate, 1, MAX_RATE);
     if (killNodeAt != null) {
-      range(parser, "--kill-node-at", killNodeAt, 0, seconds);
-      range(parser, "--nodes with --kill-node-at", nodes, 2, MAX_NODES);
+      checkRange(parser, "--kill-node-at", killNodeAt, 0, seconds);
+      checkRange(parser, "--nodes with --kill-node-at", nodes, 2, MAX_NODES);
     }
     if (killEngineAt != null) {
-      range(parser, "--kill-engine-at", killEngineAt, 0, seconds);
+      checkRange(parser, "--kill-engine-at", killEngineAt, 0, seconds);
     }
     if (storeOutage != null) {
       checkOutage(parser);
@@ -130,11 +130,11 @@
           parser, "--store-outage is \"" + storeOutage + "\": write FROM,TO in seconds", null);
     }
     Outage outage = storeOutage().orElseThrow();
-    range(parser, "the begin of --store-outage", outage.from, 0, seconds);
-    range(parser, "the end of --store-outage", outage.to, outage.from, seconds);
+    checkRange(parser, "the start of --store-outage", outage.from, 0, seconds);
+    checkRange(parser, "the end of --store-outage", outage.to, outage.from, seconds);
   }
 
-  private static void range(CmdLineParser parser, String name, int value, int min, int max)
+  private static void checkRange(CmdLineParser parser, String name, int value, int min, int max)
       throws CmdLineException {
     if (value < min || value > max) {
       throw new CmdLineException(
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/FailedAttempt.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/FailedAttempt.java
@@ -6,15 +6,15 @@
 
 package org.larkkeel.bench.demo;
 
-/** How one attempt of a request failed. */
+/** The way in which one attempt of a request failed. */
 enum FailedAttempt {
-  /** No connection was made, so that no byte was sent. */
+  /** No connection was opened, so that no byte was sent. */
   UNREACHED,
-  /** The connection failed before the whole answer had come. */
+  /** The connection failed before the complete answer was received. */
   BROKEN,
-  /** A request that may be repeated was refused as not run. */
+  /** A request that may run more than once was refused as not run. */
   REPEATABLE_NOT_RUN,
-  /** A request that may be repeated was refused and may have run. */
+  /** A request that may run more than once was refused and may have run. */
   REPEATABLE_MAY_HAVE_RUN,
   /** An order was refused as not run. */
   ORDER_NOT_RUN,
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Main.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Main.java
@@ -14,10 +14,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs the demo: exit 0 if nothing was lost, wrong or doubled, 1 if something was, 2 for wrong
- * options.
+ * Runs the demo. The exit status is 0 if no request was lost, answered wrongly or run twice and all
+ * other checks of the verdict hold, 1 if a check fails, and 2 for invalid options.
  *
- * <p>Used by one thread.
+ * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -38,7 +38,7 @@
     CmdLineParser parser = new CmdLineParser(options);
     try {
       parser.parseArgument(args);
-      options.check(parser);
+      options.validate(parser);
     } catch (CmdLineException e) {
       System.err.println(e.getMessage());
       usage(parser, System.err);
@@ -48,7 +48,7 @@
       usage(parser, System.out);
       return;
     }
-    quiet(options.verbose());
+    setLogLevel(options.verbose());
     boolean passed = new Demo(options, System.out).run();
     System.exit(passed ? 0 : FAILED);
   }
@@ -58,8 +58,11 @@
     parser.printUsage(out);
   }
 
-  /** The nodes log at the level WARN unless asked for more, so that the progress can be read. */
-  private static void quiet(boolean verbose) {
+  /**
+   * Sets the log level of the nodes: INFO if verbose, otherwise ERROR so that the progress lines
+   * stay readable.
+   */
+  private static void setLogLevel(boolean verbose) {
     ch.qos.logback.classic.Logger root =
         (ch.qos.logback.classic.Logger) LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME);
     root.setLevel(verbose ? Level.INFO : Level.ERROR);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Outcome.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Outcome.java
@@ -7,17 +7,17 @@
 package org.larkkeel.bench.demo;
 
 /**
- * How a request of the load ended for its caller.
+ * The way in which a request of the load ended for its caller.
  *
  * @since 0.1
  */
 enum Outcome {
-  /** The whole answer arrived and is the right one. */
+  /** The complete and correct answer arrived. */
   ANSWERED,
-  /** An answer arrived that is not the right one. */
+  /** An incorrect answer arrived. */
   WRONG,
-  /** The request was refused, with a reason that may be true. */
+  /** The request was refused with an error other than an internal one. */
   REFUSED,
-  /** Neither an answer nor a refusal came. */
+  /** Neither an answer nor a refusal arrived, or the node reported an internal error. */
   LOST
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/RemoteLoad.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/RemoteLoad.java
@@ -20,9 +20,9 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Sends the demo's requests to nodes that run as other processes, and verifies every answer.
+ * Sends the demo's requests to nodes that run in other processes, and verifies every answer.
  *
- * <p>Used by one thread.
+ * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -37,19 +37,19 @@
   private final Tally tally = new Tally();
 
   /**
-   * What became of the requests.
+   * The outcomes of all requests and attempts.
    *
-   * @param sent requests sent
-   * @param answered those answered byte for byte
-   * @param refused those refused in the end
-   * @param wrong those with another answer than the right one
-   * @param lost those with neither an answer nor a refusal
-   * @param unreached attempts that got no connection
-   * @param broken attempts whose connection failed before the whole answer
-   * @param repeatableRefused attempts refused of requests that may be repeated
-   * @param mayHaveRun attempts refused without the word that they did not run
-   * @param toldNotRun the references of orders refused in the end as not run
-   * @param line key=value pairs of all counts
+   * @param sent the number of requests sent
+   * @param answered requests that got the correct answer, byte for byte
+   * @param refused requests that were finally refused
+   * @param wrong requests that got an incorrect answer
+   * @param lost requests that got neither an answer nor a refusal
+   * @param unreached attempts that could not open a connection
+   * @param broken attempts whose connection failed before the complete answer
+   * @param repeatableRefused refused attempts of requests that may run more than once
+   * @param mayHaveRun attempts that were refused without the statement that they did not run
+   * @param refusedAsNotRun the references of orders that were finally refused as not run
+   * @param line all counts as key=value pairs
    * @since 0.1
    */
   public record Result(
@@ -62,15 +62,16 @@
       long broken,
       long repeatableRefused,
       long mayHaveRun,
-      ImmutableSet<String> toldNotRun,
+      ImmutableSet<String> refusedAsNotRun,
       String line) {}
 
   /**
-   * Creates a load.
+   * Creates a load generator.
    *
    * @param nodes the nodes' caller addresses, at least one
-   * @param firstNode the index of the node that a request is sent to first, by its number
-   * @param out where progress is printed
+   * @param firstNode maps the number of a request to the index of the node that gets its first
+   *     attempt
+   * @param out the stream for progress lines
    */
   public RemoteLoad(ImmutableList<URI> nodes, IntUnaryOperator firstNode, PrintStream out) {
     this.nodes = Objects.requireNonNull(nodes, "nodes");
@@ -79,12 +80,13 @@
   }
 
   /**
-   * Sends requests and waits for their ends.
+   * Sends requests and waits until all of them have ended.
    *
-   * @param seed chooses the requests; each run against the same service needs another one
-   * @param rate requests a second
-   * @param seconds how long requests are sent
-   * @return what became of them
+   * @param seed the seed that chooses the requests; each run against the same service needs a
+   *     different one
+   * @param rate the number of requests per second
+   * @param seconds the time for which requests are sent
+   * @return the outcomes
    * @throws InterruptedException if the thread is interrupted
    */
   public Result run(long seed, int rate, int seconds) throws InterruptedException {
@@ -115,35 +117,35 @@
     }
   }
 
-  private static Result result(Tally.Snapshot seen) {
+  private static Result result(Tally.Snapshot counts) {
     long mayHaveRun =
-        seen.count(FailedAttempt.ORDER_MAY_HAVE_RUN)
-            + seen.count(FailedAttempt.REPEATABLE_MAY_HAVE_RUN);
+        counts.count(FailedAttempt.ORDER_MAY_HAVE_RUN)
+            + counts.count(FailedAttempt.REPEATABLE_MAY_HAVE_RUN);
     return new Result(
-        seen.sent(),
-        seen.count(Outcome.ANSWERED),
-        seen.count(Outcome.REFUSED),
-        seen.count(Outcome.WRONG),
-        seen.count(Outcome.LOST),
-        seen.count(FailedAttempt.UNREACHED),
-        seen.count(FailedAttempt.BROKEN),
-        seen.count(FailedAttempt.REPEATABLE_NOT_RUN)
-            + seen.count(FailedAttempt.REPEATABLE_MAY_HAVE_RUN),
+        counts.sent(),
+        counts.count(Outcome.ANSWERED),
+        counts.count(Outcome.REFUSED),
+        counts.count(Outcome.WRONG),
+        counts.count(Outcome.LOST),
+        counts.count(FailedAttempt.UNREACHED),
+        counts.count(FailedAttempt.BROKEN),
+        counts.count(FailedAttempt.REPEATABLE_NOT_RUN)
+            + counts.count(FailedAttempt.REPEATABLE_MAY_HAVE_RUN),
         mayHaveRun,
-        ImmutableSet.copyOf(seen.toldNotRun()),
-        line(seen));
+        ImmutableSet.copyOf(counts.refusedAsNotRun()),
+        line(counts));
   }
 
-  private static String line(Tally.Snapshot seen) {
+  private static String line(Tally.Snapshot counts) {
     StringJoiner line = new StringJoiner(" ");
-    line.add("sent=" + seen.sent());
-    line.add("ended=" + seen.ended());
+    line.add("sent=" + counts.sent());
+    line.add("ended=" + counts.ended());
     for (Outcome outcome : Outcome.values()) {
-      line.add(outcome.name().toLowerCase(Locale.ROOT) + "=" + seen.count(outcome));
+      line.add(outcome.name().toLowerCase(Locale.ROOT) + "=" + counts.count(outcome));
     }
-    seen.refusals().forEach((kind, n) -> line.add("refused_" + kind + "=" + n));
+    counts.refusals().forEach((kind, n) -> line.add("refused_" + kind + "=" + n));
     for (FailedAttempt failure : FailedAttempt.values()) {
-      line.add("attempts_" + failure.name().toLowerCase(Locale.ROOT) + "=" + seen.count(failure));
+      line.add("attempts_" + failure.name().toLowerCase(Locale.ROOT) + "=" + counts.count(failure));
     }
     return line.toString();
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Tally.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Tally.java
@@ -18,22 +18,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts what callers saw. Safe for use by several threads. */
+/** Counts the outcomes and times that callers observe. Safe for use by several threads. */
 final class Tally {
   private static final Logger log = LoggerFactory.getLogger(Tally.class);
-  private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(10);
+  private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(10);
   private static final int DIGITS = 3;
-  private static final int SHOWN = 200;
-  private static final long FIRST_TARGET = Duration.ofSeconds(4).toNanos();
-  private static final long BETWEEN_TARGET = Duration.ofMillis(100).toNanos();
+  private static final int MAX_DETAIL_LENGTH = 200;
+  private static final long FIRST_TOKEN_TARGET_NANOS = Duration.ofSeconds(4).toNanos();
+  private static final long TOKEN_GAP_TARGET_NANOS = Duration.ofMillis(100).toNanos();
 
   private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
   private final Map<String, Long> refusals = new TreeMap<>();
   private final Map<FailedAttempt, Long> failures = new EnumMap<>(FailedAttempt.class);
-  private final Set<String> toldNotRun = new HashSet<>();
-  private final Histogram first = new Histogram(LONGEST_MICROS, DIGITS);
-  private final Histogram between = new Histogram(LONGEST_MICROS, DIGITS);
-  private final Histogram plain = new Histogram(LONGEST_MICROS, DIGITS);
+  private final Set<String> refusedAsNotRun = new HashSet<>();
+  private final Histogram firstToken = new Histogram(MAX_MICROS, DIGITS);
+  private final Histogram tokenGap = new Histogram(MAX_MICROS, DIGITS);
+  private final Histogram plain = new Histogram(MAX_MICROS, DIGITS);
   private long sent;
   private long retried;
   private long withinTargets;
@@ -46,9 +46,9 @@
       Map<Outcome, Long> outcomes,
       Map<String, Long> refusals,
       Map<FailedAttempt, Long> failures,
-      Set<String> toldNotRun,
-      Histogram first,
-      Histogram between,
+      Set<String> refusedAsNotRun,
+      Histogram firstToken,
+      Histogram tokenGap,
       Histogram plain) {
     long count(Outcome outcome) {
       return outcomes.getOrDefault(outcome, 0L);
@@ -71,14 +71,14 @@
     retried++;
   }
 
-  /** One attempt of a request failed. */
+  /** Records a failed attempt of a request. */
   synchronized void failed(FailedAttempt failure) {
     failures.merge(failure, 1L, Long::sum);
   }
 
-  /** An order was finally refused with the word that it did not run. */
-  synchronized void toldNotRun(String reference) {
-    toldNotRun.add(reference);
+  /** Records an order that was finally refused as not run. */
+  synchronized void refusedAsNotRun(String reference) {
+    refusedAsNotRun.add(reference);
   }
 
   synchronized void ended(DemoRequest request, Outcome outcome, String detail) {
@@ -90,29 +90,34 @@
           "event=request_failed outcome={} type={} detail=\"{}\"",
           outcome,
           request.getClass().getSimpleName(),
-          detail.substring(0, Math.min(detail.length(), SHOWN)));
+          detail.substring(0, Math.min(detail.length(), MAX_DETAIL_LENGTH)));
     }
   }
 
-  /** Counts the times of an answer; those of earlier attempts count towards the first token. */
-  synchronized void times(DemoRequest request, AttemptResult.Answer answer, long before) {
-    long firstNanos = before + answer.firstNanos();
+  /**
+   * Records the times of an answer. The time of earlier attempts is part of the time to the first
+   * token.
+   */
+  synchronized void recordTimes(
+      DemoRequest request, AttemptResult.Answer answer, long nanosBefore) {
+    long firstNanos = nanosBefore + answer.firstNanos();
     if (!(request instanceof DemoRequest.Dossier)) {
       record(plain, firstNanos);
-      withinTargets += firstNanos <= FIRST_TARGET ? 1 : 0;
+      withinTargets += firstNanos <= FIRST_TOKEN_TARGET_NANOS ? 1 : 0;
       return;
     }
-    record(first, firstNanos);
+    record(firstToken, firstNanos);
     long gap = 0;
     if (answer.tokens() > 1) {
       gap = (answer.lastNanos() - answer.firstNanos()) / (answer.tokens() - 1);
-      record(between, gap);
+      record(tokenGap, gap);
     }
-    withinTargets += firstNanos <= FIRST_TARGET && gap <= BETWEEN_TARGET ? 1 : 0;
+    withinTargets +=
+        firstNanos <= FIRST_TOKEN_TARGET_NANOS && gap <= TOKEN_GAP_TARGET_NANOS ? 1 : 0;
   }
 
   private static void record(Histogram histogram, long nanos) {
-    histogram.recordValue(Math.min(LONGEST_MICROS, TimeUnit.NANOSECONDS.toMicros(nanos)));
+    histogram.recordValue(Math.min(MAX_MICROS, TimeUnit.NANOSECONDS.toMicros(nanos)));
   }
 
   synchronized Snapshot snapshot() {
@@ -123,9 +128,9 @@
         Collections.unmodifiableMap(new EnumMap<>(outcomes)),
         Collections.unmodifiableMap(new TreeMap<>(refusals)),
         Collections.unmodifiableMap(new EnumMap<>(failures)),
-        Set.copyOf(toldNotRun),
-        first.copy(),
-        between.copy(),
+        Set.copyOf(refusedAsNotRun),
+        firstToken.copy(),
+        tokenGap.copy(),
         plain.copy());
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Verdict.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Verdict.java
@@ -13,11 +13,12 @@
 import org.larkkeel.standin.ServiceLedger;
 
 /**
- * Compares what callers saw with what the upstreams did. Immutable and safe for use by several
- * threads.
+ * The result of a run of the demo, from the callers' observations and the ledgers of the upstreams.
+ *
+ * <p>Immutable and safe for use by several threads.
  */
 record Verdict(
-    Tally.Snapshot seen,
+    Tally.Snapshot counts,
     long duplicated,
     long untruthful,
     int heldSlots,
@@ -27,9 +28,10 @@
   private static final double MICROS_PER_MILLI = 1_000;
   private static final double[] PERCENTILES = {50, 95, 99};
 
-  static Verdict of(Tally.Snapshot seen, DemoCluster cluster, int heldSlots, double seconds) {
+  static Verdict of(Tally.Snapshot counts, DemoCluster cluster, int heldSlots, double seconds) {
     ServiceLedger.Snapshot service = cluster.service().ledger().snapshot();
-    long untruthful = seen.toldNotRun().stream().filter(service.byReference()::containsKey).count();
+    long untruthful =
+        counts.refusedAsNotRun().stream().filter(service.byReference()::containsKey).count();
     long prefilled = 0;
     long wasted = 0;
     for (var engine : cluster.engines().values()) {
@@ -38,42 +40,45 @@
       wasted += ledger.wastedPrefillTokens();
     }
     return new Verdict(
-        seen, service.duplicated(), untruthful, heldSlots, prefilled, wasted, seconds);
+        counts, service.duplicated(), untruthful, heldSlots, prefilled, wasted, seconds);
   }
 
-  /** Whether nothing was lost, wrong or doubled, and no engine holds anything. */
+  /**
+   * Returns whether requests were sent and all ended, none was lost, answered wrongly, run twice or
+   * run although refused as not run, and no engine still holds a slot.
+   */
   boolean passed() {
-    return seen.sent() > 0
-        && seen.ended() == seen.sent()
-        && seen.count(Outcome.WRONG) == 0
-        && seen.count(Outcome.LOST) == 0
+    return counts.sent() > 0
+        && counts.ended() == counts.sent()
+        && counts.count(Outcome.WRONG) == 0
+        && counts.count(Outcome.LOST) == 0
         && duplicated == 0
         && untruthful == 0
         && heldSlots == 0;
   }
 
-  /** One line of key=value figures; times in milliseconds. */
+  /** Returns one line of key=value figures; times are in milliseconds. */
   String line() {
     StringJoiner line = new StringJoiner(" ");
-    line.add("sent=" + seen.sent());
-    line.add("answered=" + seen.count(Outcome.ANSWERED));
-    line.add("refused=" + seen.count(Outcome.REFUSED));
-    seen.refusals().forEach((kind, n) -> line.add("refused_" + kind + "=" + n));
-    line.add("lost=" + (seen.count(Outcome.LOST) + seen.sent() - seen.ended()));
-    line.add("wrong=" + seen.count(Outcome.WRONG));
+    line.add("sent=" + counts.sent());
+    line.add("answered=" + counts.count(Outcome.ANSWERED));
+    line.add("refused=" + counts.count(Outcome.REFUSED));
+    counts.refusals().forEach((kind, n) -> line.add("refused_" + kind + "=" + n));
+    line.add("lost=" + (counts.count(Outcome.LOST) + counts.sent() - counts.ended()));
+    line.add("wrong=" + counts.count(Outcome.WRONG));
     line.add("duplicated=" + duplicated);
     line.add("untruthful=" + untruthful);
     line.add("held_slots=" + heldSlots);
-    line.add("retried=" + seen.retried());
-    line.add("goodput_per_second=" + number(seen.withinTargets() / seconds));
+    line.add("retried=" + counts.retried());
+    line.add("goodput_per_second=" + number(counts.withinTargets() / seconds));
     line.add("prefill_tokens=" + prefilledTokens);
     line.add("wasted_prefill_tokens=" + wastedTokens);
     line.add(
         "wasted_prefill_share="
             + number(prefilledTokens == 0 ? 0 : (double) wastedTokens / prefilledTokens));
-    percentiles(line, "first_token_ms", seen.first());
-    percentiles(line, "between_tokens_ms", seen.between());
-    percentiles(line, "plain_ms", seen.plain());
+    percentiles(line, "first_token_ms", counts.firstToken());
+    percentiles(line, "between_tokens_ms", counts.tokenGap());
+    percentiles(line, "plain_ms", counts.plain());
     line.add("result=" + (passed() ? "passed" : "failed"));
     return line.toString();
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Workload.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Workload.java
@@ -8,9 +8,9 @@
 
 import java.util.SplittableRandom;
 
-/** Makes the mixed load of the demo from a seed. Used by one thread. */
+/** Generates the mixed load of the demo from a seed. Not safe for use by several threads. */
 final class Workload {
-  private static final double DOSSIER_SHARE = 0.12;
+  private static final double COMPLETION_SHARE = 0.12;
   private static final double ORDER_SHARE = 0.18;
   private static final int SHARED_CLAUSES = 4;
   private static final int MIN_WORDS = 400;
@@ -33,17 +33,17 @@
   DemoRequest next() {
     next++;
     double share = random.nextDouble();
-    if (share < DOSSIER_SHARE) {
+    if (share < COMPLETION_SHARE) {
       return new DemoRequest.Dossier(prompt(), random.nextInt(MIN_TOKENS, MAX_TOKENS + 1));
     }
-    if (share < DOSSIER_SHARE + ORDER_SHARE) {
+    if (share < COMPLETION_SHARE + ORDER_SHARE) {
       return new DemoRequest.Order(
           "/orders", "order-" + seed + "-" + next, "key-" + seed + "-" + next);
     }
     return new DemoRequest.Lookup("/catalogue/item-" + random.nextInt(1_000) + "?n=" + next);
   }
 
-  /** Some prompts begin with the same clauses, so that prefix caches matter. */
+  /** Returns a prompt with one of a few common beginnings, so that prefix caches matter. */
   private String prompt() {
     StringBuilder text = new StringBuilder();
     text.append("clauses ").append(random.nextInt(SHARED_CLAUSES)).append('\n');
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/soak/Main.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/soak/Main.java
@@ -21,10 +21,10 @@
 import org.larkkeel.bench.demo.RemoteLoad;
 
 /**
- * The load client of {@code ./soak}: one phase's requests to nodes in other processes.
+ * The load client of {@code ./soak}: sends the requests of one phase to nodes in other processes.
  *
- * <p>Ends with one line of key=value pairs, and exit status 0 only if its checks hold. Used by one
- * thread.
+ * <p>Prints one line of key=value pairs at the end. The exit status is 0 only if all checks hold.
+ * Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -58,7 +58,7 @@
   /**
    * Sends the requests and ends the process.
    *
-   * @param args the options
+   * @param args the command-line options
    * @throws Exception if the service's ledger can not be read
    */
   public static void main(String[] args) throws Exception {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/soak/PhaseVerdict.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/soak/PhaseVerdict.java
@@ -11,53 +11,59 @@
 import org.larkkeel.bench.demo.RemoteLoad;
 
 /**
- * Judges one phase by what the callers saw and by what the service ran.
+ * The result of one phase of a soak test, from the callers' observations and the runs of the
+ * service.
  *
- * @param result what the callers saw
- * @param ordersRun orders that the service ran
- * @param doubled those that it ran more than once
- * @param untruthful those that it ran though their caller was told that they did not run
+ * <p>Immutable and safe for use by several threads.
+ *
+ * @param result the callers' observations
+ * @param ordersRun the number of orders that the service ran
+ * @param duplicated the number of orders that the service ran more than once
+ * @param untruthful the number of orders that the service ran although they were refused as not run
  */
-record PhaseVerdict(RemoteLoad.Result result, long ordersRun, long doubled, long untruthful) {
-  /** Judges; {@code runs} has the number of executions by the reference of an order. */
+record PhaseVerdict(RemoteLoad.Result result, long ordersRun, long duplicated, long untruthful) {
+  /**
+   * Creates the result of a phase. {@code runs} maps the reference of each order to its number of
+   * executions.
+   */
   static PhaseVerdict of(RemoteLoad.Result result, JsonNode runs) {
     long doubled = Streams.stream(runs).filter(n -> n.asInt() > 1).count();
-    long untruthful = result.toldNotRun().stream().filter(runs::has).count();
+    long untruthful = result.refusedAsNotRun().stream().filter(runs::has).count();
     return new PhaseVerdict(result, runs.size(), doubled, untruthful);
   }
 
   /**
-   * Whether every request came to a whole and truthful end.
+   * Returns whether every request ended with a correct answer or a truthful refusal.
    *
-   * @param uncut demand also that no connection failed and no attempt was left in doubt
-   * @param unaffected demand also that no attempt of a repeatable request was refused
+   * @param uncut also requires that no connection failed and that no refused attempt may have run
+   * @param unaffected also requires that no attempt of a repeatable request was refused
    */
   boolean passed(boolean uncut, boolean unaffected) {
-    return whole()
-        && doubled == 0
+    return isComplete()
+        && duplicated == 0
         && untruthful == 0
-        && !(uncut && cut())
+        && !(uncut && hasFailedAttempts())
         && !(unaffected && result.repeatableRefused() > 0);
   }
 
-  private boolean whole() {
+  private boolean isComplete() {
     return result.sent() > 0
         && result.wrong() == 0
         && result.lost() == 0
         && result.answered() + result.refused() == result.sent();
   }
 
-  private boolean cut() {
+  private boolean hasFailedAttempts() {
     return result.unreached() > 0 || result.broken() > 0 || result.mayHaveRun() > 0;
   }
 
-  /** All counts as key=value pairs. */
+  /** Returns all counts as key=value pairs. */
   String line() {
     return result.line()
         + " orders_run="
         + ordersRun
         + " doubled="
-        + doubled
+        + duplicated
         + " untruthful="
         + untruthful;
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/soak/ReadyNodes.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/soak/ReadyNodes.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 
 /**
- * Asks every node whether it is ready, as a balancer in front of the nodes does.
+ * Polls the readiness of every node, as a load balancer in front of the nodes does.
  *
  * <p>Safe for use by several threads.
  */
 final class ReadyNodes implements AutoCloseable {
   private static final Duration TIMEOUT = Duration.ofMillis(500);
-  private static final Duration PERIOD = Duration.ofMillis(200);
-  private static final int READY = 200;
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
+  private static final int STATUS_READY = 200;
 
   private final ImmutableList<URI> nodes;
   private final AtomicIntegerArray ready;
@@ -37,11 +37,14 @@
     for (int i = 0; i < nodes.size(); i++) {
       int node = i;
       ready.set(node, 1);
-      Thread.ofVirtual().start(() -> ask(node));
+      Thread.ofVirtual().start(() -> poll(node));
     }
   }
 
-  /** The index of a ready node for a request; of any node if none is ready. */
+  /**
+   * Returns the index of a ready node for the request with the given number, or of any node if none
+   * is ready.
+   */
   int first(int number) {
     for (int i = 0; i < nodes.size(); i++) {
       int node = (number + i) % nodes.size();
@@ -52,13 +55,13 @@
     return number % nodes.size();
   }
 
-  private void ask(int node) {
+  private void poll(int node) {
     HttpRequest request =
         HttpRequest.newBuilder(nodes.get(node).resolve("/readyz")).timeout(TIMEOUT).build();
     try {
       while (!closed.get()) {
         ready.set(node, isReady(request) ? 1 : 0);
-        Thread.sleep(PERIOD);
+        Thread.sleep(POLL_INTERVAL);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -67,7 +70,7 @@
 
   private boolean isReady(HttpRequest request) throws InterruptedException {
     try {
-      return client.send(request, BodyHandlers.discarding()).statusCode() == READY;
+      return client.send(request, BodyHandlers.discarding()).statusCode() == STATUS_READY;
     } catch (IOException e) {
       return false;
     }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/soak/package-info.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/soak/package-info.java
@@ -4,5 +4,5 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** The load client of a soak test over separate processes. */
+/** The load client of the soak test, whose nodes run in separate processes. */
 package org.larkkeel.bench.soak;
