--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/CapacityCommand.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/CapacityCommand.java
@@ -15,7 +15,10 @@
 import java.util.Map;
 
 /**
- * Prints every sample and the slope of every series as one line of key=value pairs each.
+ * The command {@code ./capacity}: measures how the costs of a node grow with the size of a
+ * deployment. It prints each sample, and the slope of each series, as one line of key=value pairs.
+ *
+ * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -32,14 +35,18 @@
   /**
    * Runs the command.
    *
-   * @param args {@value #RELAY} for the relay's reducer alone, or none
+   * @param args {@value #RELAY} to measure only the relay's reducer, or none
    * @throws Exception if a node can't be started
    */
   public static void main(String[] args) throws Exception {
     boolean relayOnly = args.length == 1 && args[0].equals(RELAY);
     if (args.length > 0 && !relayOnly) {
       System.err.println(
-          "capacity takes " + RELAY + " or nothing, and got \"" + args[0] + "\"; correct it");
+          "capacity takes either "
+              + RELAY
+              + " or no argument, but got \""
+              + args[0]
+              + "\"; use one of the two");
       System.exit(2);
     }
     new CapacityCommand(System.out).run(relayOnly);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/Deployment.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/Deployment.java
@@ -33,21 +33,21 @@
 import org.larkkeel.selector.Selector;
 
 /**
- * Makes configurations of a given size: half of the upstreams prefill and half decode, old and new
- * generations alternate, and models are spread evenly.
+ * The size of a deployment, from which configurations are generated: half of the upstreams prefill
+ * and half decode, old and new generations alternate, and models are spread evenly.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param upstreams engines in all, a multiple of {@code 2 * models}
- * @param workspaces workspaces, at least 1
- * @param models models, at least 1
+ * @param upstreams the number of engines, a multiple of {@code 2 * models}
+ * @param workspaces the number of workspaces, at least 1
+ * @param models the number of models, at least 1
  */
 record Deployment(int upstreams, int workspaces, int models) {
   private static final int DATA_CENTRES = 6;
   private static final int SLOTS = 20;
   private static final Limits LIMITS = new Limits(100_000, 500_000_000, 100_000);
 
-  /** The target of the capacity page: 600 runners, 3,900 workspaces, 10 models. */
+  /** The target size of the capacity page: 600 runners, 3,900 workspaces, 10 models. */
   static final Deployment TARGET = new Deployment(600, 3_900, 10);
 
   static ModelName model(int index) {
@@ -107,12 +107,12 @@
 
   private static Pool pool(int model, Role role) {
     String name = role == Role.PREFILL ? "prefill" : "decode";
-    String wanted = "role=" + name + ", model=" + model(model);
+    String selector = "role=" + name + ", model=" + model(model);
     return new Pool(
         new PoolName(model(model) + "-" + name),
         role,
         Labels.of(ImmutableMap.of("model", model(model).value())),
-        Selector.parse(wanted));
+        Selector.parse(selector));
   }
 
   private ImmutableSortedMap<RuleName, Rule> rules() {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/IdleCluster.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/IdleCluster.java
@@ -38,15 +38,16 @@
 import org.larkkeel.standin.PlatformStandin;
 
 /**
- * Nodes without callers, before a platform and engines of their own, in this process.
+ * A cluster of nodes without callers, with its own stand-ins of the platform and the engines, in
+ * this process.
  *
- * <p>Used by one thread.
+ * <p>Not safe for use by several threads.
  */
 final class IdleCluster implements AutoCloseable {
   private static final InetSocketAddress FREE_PORT =
       new InetSocketAddress(InetAddress.ofLiteral("127.0.0.1"), 0);
-  private static final long READY_SECONDS = 60;
-  private static final long POLL_MILLIS = 100;
+  private static final long READY_TIMEOUT_SECONDS = 60;
+  private static final long POLL_INTERVAL_MILLIS = 100;
   private static final int READS_PER_SECOND = 100;
   private static final int WRITES_PER_SECOND = 50;
 
@@ -65,12 +66,16 @@
   }
 
   private Configuration configuration(int engineCount) {
-    Configuration made = new Deployment(engineCount, 1, 1).configuration(new Revision(1));
+    Configuration template = new Deployment(engineCount, 1, 1).configuration(new Revision(1));
     ImmutableSortedMap.Builder<UpstreamName, Upstream> upstreams =
         ImmutableSortedMap.naturalOrder();
-    made.upstreams().values().forEach(u -> upstreams.put(u.name(), startEngine(u)));
+    template.upstreams().values().forEach(u -> upstreams.put(u.name(), startEngine(u)));
     return new Configuration(
-        made.revision(), upstreams.buildOrThrow(), made.pools(), made.rules(), made.workspaces());
+        template.revision(),
+        upstreams.buildOrThrow(),
+        template.pools(),
+        template.rules(),
+        template.workspaces());
   }
 
   private Upstream startEngine(Upstream declared) {
@@ -81,10 +86,10 @@
     String model = declared.models().iterator().next().value();
     EngineStandin engine =
         closer.add(EngineStandin.start(EngineSettings.of(declared.name().value(), role, model)));
-    InetSocketAddress at = engine.address();
+    InetSocketAddress address = engine.address();
     return new Upstream(
         declared.name(),
-        at.getAddress().getHostAddress() + ":" + at.getPort(),
+        address.getAddress().getHostAddress() + ":" + address.getPort(),
         declared.labels(),
         declared.models(),
         declared.slots(),
@@ -126,16 +131,17 @@
   }
 
   private void awaitReady() throws Exception {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
     while (!nodes.stream().allMatch(n -> n.isReady() && n.liveNodes() == nodes.size())) {
       if (System.nanoTime() - end >= 0) {
-        throw new TimeoutException("the nodes are not ready after seconds=" + READY_SECONDS);
+        throw new TimeoutException(
+            "the nodes are not ready after seconds=" + READY_TIMEOUT_SECONDS);
       }
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
   }
 
-  /** Calls that the platform has seen, a watch counted once. */
+  /** Returns the number of calls that the platform has received; a watch counts once. */
   long storeCalls() {
     return platform.calls().values().stream().mapToLong(Long::longValue).sum();
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/Meter.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/Meter.java
@@ -10,30 +10,30 @@
 import java.lang.management.ManagementFactory;
 
 /**
- * Reads the heap in use and the processor time of the calling thread.
+ * Reads the heap in use, and the processor time of the process and of the calling thread.
  *
  * <p>Stateless and safe for use by several threads.
  */
 final class Meter {
-  private static final int COLLECTIONS = 3;
+  private static final int COLLECTION_RUNS = 3;
 
   private Meter() {}
 
-  /** Bytes in use after the garbage is gone. */
+  /** Returns the bytes of heap in use after garbage collection. */
   static long heapBytes() {
-    for (int i = 0; i < COLLECTIONS; i++) {
+    for (int i = 0; i < COLLECTION_RUNS; i++) {
       System.gc();
     }
     return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
   }
 
-  /** Nanoseconds that all threads of this process have run. */
+  /** Returns the processor time of all threads of this process, in nanoseconds. */
   static long processNanos() {
     return ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
         .getProcessCpuTime();
   }
 
-  /** Nanoseconds that this thread has run. */
+  /** Returns the processor time of the calling thread, in nanoseconds. */
   static long threadNanos() {
     return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/NodeSlopes.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/NodeSlopes.java
@@ -11,17 +11,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures idle nodes: processor time and heap of the process, and calls at the platform, by the
- * number of nodes and of engines. The stand-ins run in the same process, so their share is in the
- * base of the line and, for their answers to polls, in its slope.
+ * Measures idle nodes: the processor time and heap of the process, and the calls to the platform,
+ * by the number of nodes and of engines. The stand-ins run in the same process, so their cost is
+ * part of the base of the line and, for their answers to polls, of its slope.
  *
- * <p>Not safe for use by several threads: it reads the times of the whole process.
+ * <p>Not safe for use by several threads: it reads the processor time and heap of the whole
+ * process.
  */
 final class NodeSlopes {
   private static final int[] NODES = {2, 4, 8, 16};
   private static final int[] ENGINES = {4, 16, 32};
-  private static final int FEW_ENGINES = 4;
-  private static final int FEW_NODES = 4;
+  private static final int FIXED_ENGINES = 4;
+  private static final int FIXED_NODES = 4;
   private static final long SETTLE_SECONDS = 5;
   private static final long MEASURE_SECONDS = 10;
   private static final double PERCENT = 100;
@@ -30,10 +31,10 @@
 
   List<Sample> measure() throws Exception {
     for (int nodes : NODES) {
-      measure("nodes", nodes, nodes, FEW_ENGINES);
+      measure("nodes", nodes, nodes, FIXED_ENGINES);
     }
     for (int engines : ENGINES) {
-      measure("engines", engines, FEW_NODES, engines);
+      measure("engines", engines, FIXED_NODES, engines);
     }
     return samples;
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/RelaySlopes.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/RelaySlopes.java
@@ -37,8 +37,9 @@
 import org.larkkeel.relay.Stage;
 
 /**
- * Measures how the processor time of a relay node's reducer grows with the upstreams: to learn of
- * them, of one change, and for a call, with what a node looks up after each event.
+ * Measures how the processor time of a relay node's reducer grows with the number of upstreams: to
+ * register all upstreams, to apply a change of one upstream, and to handle a call. Each figure
+ * includes the lookups that a node makes after each event.
  *
  * <p>Not safe for use by several threads.
  */
@@ -46,15 +47,18 @@
   private static final int[] UPSTREAMS = {25, 100, 300, 1_000};
   private static final int WARM_UP = 5_000;
   private static final int MEASURED = 10_000;
-  private static final int TOGETHER = 50;
+  private static final int BATCH_SIZE = 50;
+
+  /** The number of repetitions; only the last one is measured, the others warm up. */
   private static final int REGISTRATIONS = 20;
-  private static final long GAP_NANOS = 1_000_000;
+
+  private static final long CALL_INTERVAL_NANOS = 1_000_000;
   private static final long MEMORY = 100_000;
-  private static final int PROMPT = 3_000;
-  private static final int OUTPUT = 600;
-  private static final double MICROS = 1e3;
-  private static final double MILLIS = 1e6;
-  private static final DataCentreName PLACE = new DataCentreName("dc-1");
+  private static final int PROMPT_TOKENS = 3_000;
+  private static final int OUTPUT_TOKENS = 600;
+  private static final double NANOS_PER_MICRO = 1e3;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final DataCentreName DATA_CENTRE = new DataCentreName("dc-1");
   private static final ServiceName PLAIN = new ServiceName("plain");
   private static final ServiceName MODEL = new ServiceName("model");
   private static final String HOST = "a.example";
@@ -63,16 +67,24 @@
 
   private final List<Sample> samples = new ArrayList<>();
 
-  /** A router and the attempts that it has in flight. */
+  /** A router and its attempts in flight. */
   private static final class Driver {
     private final RelayRouter router =
         new RelayRouter(
             new RelaySettings(
-                PLACE, 0.2, 20, 10_000 * GAP_NANOS, 1, 512, 1, 7, QuotaTolerance.NONE));
+                DATA_CENTRE,
+                0.2,
+                20,
+                10_000 * CALL_INTERVAL_NANOS,
+                1,
+                512,
+                1,
+                7,
+                QuotaTolerance.NONE));
     private final List<AttemptId> sent = new ArrayList<>();
-    private long now = 1_000_000 * GAP_NANOS;
+    private long now = 1_000_000 * CALL_INTERVAL_NANOS;
     private long lastCall;
-    private int looked;
+    private int lookupResults;
 
     Driver() {
       apply(
@@ -114,32 +126,32 @@
               sent.add(s.attempt());
             }
           });
-      looked += router.loads().size() + router.lapsing(now).size() + router.asks(now).size();
+      lookupResults += router.loads().size() + router.lapsing(now).size() + router.asks(now).size();
     }
 
     void register(int from, int to, boolean leaving) {
-      ImmutableMap.Builder<UpstreamName, RelayUpstream> some = ImmutableMap.builder();
+      ImmutableMap.Builder<UpstreamName, RelayUpstream> registered = ImmutableMap.builder();
       for (int i = from; i < to; i++) {
         UpstreamName id = new UpstreamName("i-%05d".formatted(i));
         boolean plain = i % 2 == 0;
         Stage run = i % 3 == 0 ? Stage.PREFILL : Stage.DECODE;
-        some.put(
+        registered.put(
             id,
             new RelayUpstream(
                 UpstreamLife.unknownStart(id),
                 plain ? PLAIN : MODEL,
                 "10.0.0.1:80",
-                PLACE,
+                DATA_CENTRE,
                 64,
                 plain ? Stage.WHOLE : run,
                 leaving));
       }
-      apply(new RelayEvent.UpstreamsChanged(now, some.buildOrThrow(), ImmutableSet.of()));
+      apply(new RelayEvent.UpstreamsChanged(now, registered.buildOrThrow(), ImmutableSet.of()));
     }
 
-    /** One call from its arrival to its answer; a stream's prompt is read first. */
+    /** Runs one call from its arrival to its answer. The prompt of a stream is prefilled first. */
     void call(String path, CallSize size) {
-      now += GAP_NANOS;
+      now += CALL_INTERVAL_NANOS;
       RequestId id = new RequestId(++lastCall);
       RequestIdentity identity = new RequestIdentity("POST", HOST, path, "", new byte[0]);
       apply(
@@ -170,7 +182,11 @@
       registration(upstreams);
       change(upstreams);
       call("relay.call", upstreams, PLAIN_PATH, CallSize.NONE);
-      call("relay.stream", upstreams, STREAM_PATH, new CallSize(PROMPT, 2 * OUTPUT, OUTPUT));
+      call(
+          "relay.stream",
+          upstreams,
+          STREAM_PATH,
+          new CallSize(PROMPT_TOKENS, 2 * OUTPUT_TOKENS, OUTPUT_TOKENS));
     }
     return samples;
   }
@@ -179,7 +195,7 @@
     samples.add(new Sample(series, "upstreams", upstreams, value, unit));
   }
 
-  private static Driver registered(int upstreams) {
+  private static Driver newDriver(int upstreams) {
     Driver driver = new Driver();
     driver.register(0, upstreams, false);
     return driver;
@@ -190,20 +206,24 @@
     for (int i = 0; i < REGISTRATIONS; i++) {
       Driver driver = new Driver();
       long start = Meter.threadNanos();
-      for (int from = 0; from < upstreams; from += TOGETHER) {
-        driver.register(from, Math.min(upstreams, from + TOGETHER), false);
+      for (int from = 0; from < upstreams; from += BATCH_SIZE) {
+        driver.register(from, Math.min(upstreams, from + BATCH_SIZE), false);
       }
       nanos = Meter.threadNanos() - start;
     }
-    add("relay.register", upstreams, nanos / MILLIS, "ms");
+    add("relay.register", upstreams, nanos / NANOS_PER_MILLI, "ms");
   }
 
   private void change(int upstreams) {
-    Driver driver = registered(upstreams);
+    Driver driver = newDriver(upstreams);
     change(driver, WARM_UP);
     long start = Meter.threadNanos();
     change(driver, MEASURED);
-    add("relay.change", upstreams, (Meter.threadNanos() - start) / MICROS / MEASURED, "us");
+    add(
+        "relay.change",
+        upstreams,
+        (Meter.threadNanos() - start) / NANOS_PER_MICRO / MEASURED,
+        "us");
   }
 
   private static void change(Driver driver, int times) {
@@ -213,19 +233,20 @@
   }
 
   private void call(String series, int upstreams, String path, CallSize size) {
-    Driver driver = registered(upstreams);
+    Driver driver = newDriver(upstreams);
     calls(driver, path, size, WARM_UP);
     long start = Meter.threadNanos();
     calls(driver, path, size, MEASURED);
-    add(series, upstreams, (Meter.threadNanos() - start) / MICROS / MEASURED, "us");
+    add(series, upstreams, (Meter.threadNanos() - start) / NANOS_PER_MICRO / MEASURED, "us");
   }
 
   private static void calls(Driver driver, String path, CallSize size, int times) {
     for (int i = 0; i < times; i++) {
       driver.call(path, size);
     }
-    if (driver.looked < 0) {
-      throw new IllegalStateException("a negative number of upstreams");
+    // Reading the lookup results keeps the compiler from removing the lookups.
+    if (driver.lookupResults < 0) {
+      throw new IllegalStateException("negative number of lookup results");
     }
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/RequestDriver.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/RequestDriver.java
@@ -26,7 +26,7 @@
 import org.larkkeel.router.RouterSettings;
 
 /**
- * Drives a router with requests whose every step succeeds a fixed time after it was ordered.
+ * Drives a router with requests. Every step of a request succeeds after a fixed time.
  *
  * <p>Not safe for use by several threads.
  */
@@ -40,8 +40,8 @@
 
   private final Deployment deployment;
   private final Router router = new Router(RouterSettings.defaults(), SEED);
-  private final ArrayDeque<Event> due = new ArrayDeque<>();
-  private final boolean holding;
+  private final ArrayDeque<Event> scheduledEvents = new ArrayDeque<>();
+  private final boolean keepsRequests;
   private long now;
   private long nextRequest;
   private long events;
@@ -51,32 +51,35 @@
   /**
    * Creates a driver.
    *
-   * @param deployment its size
-   * @param holding whether requests stay in progress for ever, to weigh them
+   * @param deployment the size of the deployment
+   * @param keepsRequests true if requests stay in progress, so that their heap can be measured
    */
-  RequestDriver(Deployment deployment, boolean holding) {
+  RequestDriver(Deployment deployment, boolean keepsRequests) {
     this.deployment = deployment;
-    this.holding = holding;
+    this.keepsRequests = keepsRequests;
     Configuration configuration = deployment.configuration(new Revision(1));
     apply(new Event.ConfigurationAccepted(now, configuration));
     configuration.upstreams().keySet().forEach(this::report);
   }
 
-  /** Sends requests, one every {@code gapNanos}; steps of earlier ones end in between. */
-  void send(int count, long gapNanos) {
+  /**
+   * Sends one request every {@code intervalNanos}. Steps of earlier requests that are due end in
+   * between.
+   */
+  void send(int count, long intervalNanos) {
     for (int i = 0; i < count; i++) {
-      long next = now + gapNanos;
-      drain(next);
+      long next = now + intervalNanos;
+      applyDueEvents(next);
       now = next;
       apply(new Event.RequestArrived(now, call()));
     }
-    drain(now);
+    applyDueEvents(now);
   }
 
-  /** Applies one event of the caller's. */
+  /** Applies an event to the router. */
   void apply(Event event) {
     events++;
-    router.apply(event, this::carryOut);
+    router.apply(event, this::perform);
   }
 
   long now() {
@@ -95,9 +98,9 @@
     return refused;
   }
 
-  private void drain(long until) {
-    while (!due.isEmpty() && due.peekFirst().at() <= until) {
-      Event event = due.pollFirst();
+  private void applyDueEvents(long until) {
+    while (!scheduledEvents.isEmpty() && scheduledEvents.peekFirst().at() <= until) {
+      Event event = scheduledEvents.pollFirst();
       now = event.at();
       apply(event);
     }
@@ -130,21 +133,23 @@
         0);
   }
 
-  private void carryOut(Effect effect) {
+  private void perform(Effect effect) {
     long at = now + STEP_NANOS;
     switch (effect) {
       case Effect.StartPrefill prefill -> {
-        if (!holding) {
-          due.add(new Event.PrefillDone(at, prefill.attempt(), KV_BYTES, 0));
+        if (!keepsRequests) {
+          scheduledEvents.add(new Event.PrefillDone(at, prefill.attempt(), KV_BYTES, 0));
         }
       }
-      case Effect.StartTransfer transfer -> due.add(new Event.TransferDone(at, transfer.attempt()));
+      case Effect.StartTransfer transfer ->
+          scheduledEvents.add(new Event.TransferDone(at, transfer.attempt()));
       case Effect.StartDecode decode -> {
-        due.add(new Event.FirstToken(at, decode.attempt()));
-        due.add(new Event.DecodeDone(at, decode.attempt(), OUTPUT_TOKENS));
+        scheduledEvents.add(new Event.FirstToken(at, decode.attempt()));
+        scheduledEvents.add(new Event.DecodeDone(at, decode.attempt(), OUTPUT_TOKENS));
       }
       case Effect.Cancel cancel ->
-          due.add(new Event.CancelSettled(at, cancel.attempt(), CancelOutcome.ACKNOWLEDGED));
+          scheduledEvents.add(
+              new Event.CancelSettled(at, cancel.attempt(), CancelOutcome.ACKNOWLEDGED));
       case Effect.Complete complete -> completed++;
       case Effect.Refuse refuse -> refused++;
       default -> {}
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/Sample.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/Sample.java
@@ -7,15 +7,15 @@
 package org.larkkeel.bench.capacity;
 
 /**
- * One measured figure.
+ * One measured value.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param series what was measured, such as {@code router.heap}
- * @param by what was varied, such as {@code upstreams}
- * @param size how many of that there were
- * @param value the figure
- * @param unit its unit
+ * @param series the measured quantity, such as {@code router.heap}
+ * @param by the varied quantity, such as {@code upstreams}
+ * @param size the size of the varied quantity
+ * @param value the measured value
+ * @param unit the unit of the value
  * @since 0.1
  */
 record Sample(String series, String by, double size, double value, String unit) {}
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/Slope.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/Slope.java
@@ -14,16 +14,16 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param series what was measured
- * @param by what was varied
+ * @param series the measured quantity
+ * @param by the varied quantity
  * @param base the value at size 0
- * @param perOne the growth for one more
+ * @param perOne the growth of the value for each increase of the size by 1
  * @param fit the coefficient of determination, 1 for a perfect line
  * @param unit the unit of the value
  * @since 0.1
  */
 record Slope(String series, String by, double base, double perOne, double fit, String unit) {
-  /** Fits a line; the samples are of one series, at least two sizes. */
+  /** Fits a line through samples of one series, which must have at least two different sizes. */
   static Slope of(List<Sample> samples) {
     SimpleRegression line = new SimpleRegression();
     samples.forEach(s -> line.addData(s.size(), s.value()));
@@ -37,7 +37,7 @@
         first.unit());
   }
 
-  /** The value that the line gives at a size. */
+  /** Returns the value of the line at a size. */
   double at(double size) {
     return base + perOne * size;
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/package-info.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/package-info.java
@@ -4,5 +4,8 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 
-/** Measures how state, time and messages grow with the size of a deployment. */
+/**
+ * Measurements of how the heap, the processor time and the calls to the platform grow with the size
+ * of a deployment.
+ */
 package org.larkkeel.bench.capacity;
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/BenchFleet.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/BenchConfigurations.java
@@ -31,17 +31,20 @@
 import org.larkkeel.lib.WorkspaceName;
 import org.larkkeel.selector.Selector;
 
-/** Configurations and calls for the benchmarks: half the upstreams prefill, half decode. */
-final class BenchFleet {
+/**
+ * Configurations and calls for the benchmarks. Half of the upstreams prefill and half decode.
+ * Stateless and safe for use by several threads.
+ */
+final class BenchConfigurations {
   private static final ModelName MODEL = new ModelName("notes");
   private static final WorkspaceName WORKSPACE = new WorkspaceName("weavers");
   private static final int SLOTS = 20;
-  private static final int PROMPT = 4_000;
-  private static final int OUTPUT = 200;
+  private static final int PROMPT_TOKENS = 4_000;
+  private static final int OUTPUT_TOKENS = 200;
   private static final int DATA_CENTRES = 6;
   private static final RuleName RULE = new RuleName("model");
 
-  private BenchFleet() {}
+  private BenchConfigurations() {}
 
   static Configuration configuration(int upstreams, long revision) {
     ImmutableSortedMap.Builder<UpstreamName, Upstream> all = ImmutableSortedMap.naturalOrder();
@@ -59,7 +62,9 @@
         ImmutableSortedMap.of());
   }
 
-  /** The same configuration with another label on one upstream. */
+  /**
+   * Returns the configuration with another generation label on one upstream and the next revision.
+   */
   static Configuration relabelled(Configuration before, int upstream, String generation) {
     Upstream changed = upstream(upstream, generation);
     ImmutableSortedMap.Builder<UpstreamName, Upstream> all = ImmutableSortedMap.naturalOrder();
@@ -74,7 +79,14 @@
 
   static Call.Completion call(long id) {
     return new Call.Completion(
-        new RequestId(id), WORKSPACE, Optional.empty(), MODEL, PROMPT, OUTPUT, PrefixKeys.NONE, 0);
+        new RequestId(id),
+        WORKSPACE,
+        Optional.empty(),
+        MODEL,
+        PROMPT_TOKENS,
+        OUTPUT_TOKENS,
+        PrefixKeys.NONE,
+        0);
   }
 
   private static Upstream upstream(int number, String generation) {
@@ -91,9 +103,12 @@
         Upstream.DEFAULT_LINK_BYTES_PER_SECOND);
   }
 
-  private static Pool pool(String role, Role does) {
+  private static Pool pool(String role, Role poolRole) {
     return new Pool(
-        new PoolName(role), does, Labels.NONE, Selector.parse("gen in (old, new), role=" + role));
+        new PoolName(role),
+        poolRole,
+        Labels.NONE,
+        Selector.parse("gen in (old, new), role=" + role));
   }
 
   private static Rule rule() {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/Benchmarks.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/Benchmarks.java
@@ -13,7 +13,7 @@
 import org.openjdk.jmh.runner.options.TimeValue;
 
 /**
- * Runs the benchmarks in this process, one thread, short: a few seconds each.
+ * Runs the benchmarks in this process on one thread, a few seconds each.
  *
  * <p>Stateless.
  *
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/ConfigurationBenchmark.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/ConfigurationBenchmark.java
@@ -22,7 +22,8 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * One label of one upstream changes, which moves it out of its pools or back.
+ * Measures a configuration change: one label of one upstream changes, which removes the upstream
+ * from its pools or adds it again.
  *
  * <p>Not safe for use by several threads.
  *
@@ -32,7 +33,7 @@
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class ConfigurationBenchmark {
-  /** Upstreams in all. */
+  /** The number of upstreams. */
   @Param({"600", "6000"})
   public int upstreams;
 
@@ -40,23 +41,23 @@
   private Configuration next;
   private long changes;
 
-  /** Makes a router. */
+  /** Creates a router. */
   @Setup
   public void configure() {
     router = new Router(RouterSettings.defaults(), 1);
-    next = BenchFleet.configuration(upstreams, 1);
+    next = BenchConfigurations.configuration(upstreams, 1);
     router.apply(new Event.ConfigurationAccepted(0, next), e -> {});
-    router.apply(new Event.RequestArrived(0, BenchFleet.call(1)), e -> {});
+    router.apply(new Event.RequestArrived(0, BenchConfigurations.call(1)), e -> {});
   }
 
-  /** Prepares the change, which is not measured. */
+  /** Prepares the next configuration; this is not measured. */
   @Setup(Level.Invocation)
   public void change() {
     changes++;
-    next = BenchFleet.relabelled(next, 1, changes % 2 == 0 ? "old" : "none");
+    next = BenchConfigurations.relabelled(next, 1, changes % 2 == 0 ? "old" : "none");
   }
 
-  /** Takes the change. */
+  /** Applies the change. */
   @Benchmark
   public void relabel() {
     router.apply(new Event.ConfigurationAccepted(changes, next), e -> {});
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/PlacementBenchmark.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/PlacementBenchmark.java
@@ -23,7 +23,7 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * One choice of a pair of engines.
+ * Measures the choice of a pair of engines for a request.
  *
  * <p>Not safe for use by several threads.
  *
@@ -33,29 +33,29 @@
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class PlacementBenchmark {
-  /** Upstreams in all. */
+  /** The number of upstreams. */
   @Param({"6", "60", "600", "6000"})
   public int upstreams;
 
   private Core core;
   private RequestState request;
 
-  /** Makes a router with idle engines. */
+  /** Creates a router with idle engines. */
   @Setup
   public void configure() {
     core = new Core(RouterSettings.defaults(), 1);
-    Configuration configuration = BenchFleet.configuration(upstreams, 1);
+    Configuration configuration = BenchConfigurations.configuration(upstreams, 1);
     core.fleet.apply(configuration);
     core.routes.apply(configuration);
     Route route =
         core.routes
-            .route(BenchFleet.call(1), configuration.rules().values().iterator().next())
+            .route(BenchConfigurations.call(1), configuration.rules().values().iterator().next())
             .orElseThrow();
-    request = new RequestState(BenchFleet.call(1), route, 0, () -> {});
+    request = new RequestState(BenchConfigurations.call(1), route, 0, () -> {});
   }
 
   /**
-   * Chooses.
+   * Chooses a prefill and a decode engine.
    *
    * @return the choice
    */
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/ReducerBenchmark.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/ReducerBenchmark.java
@@ -25,8 +25,8 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * Events through the whole reducer: five a completion, from its arrival to its last token, while
- * others decode.
+ * Measures the throughput of the router's reducer. A completion takes five events from its arrival
+ * to its last token, while other completions decode.
  *
  * <p>Not safe for use by several threads.
  *
@@ -41,51 +41,52 @@
   private static final long KV_BYTES = 1_000_000;
   private static final int TOKENS = 100;
 
-  /** Upstreams in all. */
+  /** The number of upstreams. */
   @Param({"6", "600"})
   public int upstreams;
 
   private final ArrayDeque<AttemptId> decoding = new ArrayDeque<>();
-  private final EffectSink sink = this::take;
+  private final EffectSink sink = this::onEffect;
   private Router router;
   private long now;
   private long requests;
-  private AttemptId last;
+  private AttemptId lastAttempt;
 
-  /** Fills the decode engines to about half. */
+  /** Creates a router and fills about half of the decode slots. */
   @Setup
   public void fill() {
     router = new Router(RouterSettings.defaults(), 1);
     router.apply(
-        new Event.ConfigurationAccepted(now, BenchFleet.configuration(upstreams, 1)), sink);
+        new Event.ConfigurationAccepted(now, BenchConfigurations.configuration(upstreams, 1)),
+        sink);
     for (int i = 0; i < 5 * upstreams; i++) {
-      begin();
+      startCompletion();
     }
   }
 
-  /** One completion comes and another ends. */
+  /** Starts one completion and ends the oldest one. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public void completion() {
-    begin();
+    startCompletion();
     AttemptId oldest = decoding.pollFirst();
     router.apply(new Event.DecodeDone(now, oldest, TOKENS), sink);
   }
 
-  private void begin() {
+  private void startCompletion() {
     now += STEP_NANOS;
     requests++;
-    router.apply(new Event.RequestArrived(now, BenchFleet.call(requests)), sink);
-    router.apply(new Event.PrefillDone(now, last, KV_BYTES, 0), sink);
-    router.apply(new Event.TransferDone(now, last), sink);
-    router.apply(new Event.FirstToken(now, last), sink);
-    decoding.addLast(last);
+    router.apply(new Event.RequestArrived(now, BenchConfigurations.call(requests)), sink);
+    router.apply(new Event.PrefillDone(now, lastAttempt, KV_BYTES, 0), sink);
+    router.apply(new Event.TransferDone(now, lastAttempt), sink);
+    router.apply(new Event.FirstToken(now, lastAttempt), sink);
+    decoding.addLast(lastAttempt);
   }
 
-  private void take(Effect effect) {
+  private void onEffect(Effect effect) {
     switch (effect) {
-      case Effect.StartPrefill start -> last = start.attempt();
-      case Effect.StartTransfer start -> last = start.attempt();
+      case Effect.StartPrefill start -> lastAttempt = start.attempt();
+      case Effect.StartTransfer start -> lastAttempt = start.attempt();
       default -> {}
     }
   }
