--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/fleet/SimEngineTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/fleet/SimEngineTest.java
@@ -19,9 +19,9 @@
 import org.larkkeel.bench.experiment.fake.Timeline;
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.DataCentreName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.relay.RateNotice;
+import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayUpstream;
@@ -73,7 +73,7 @@
     Job takeOver(long id, String handle, int prompt, int output) {
       RelayUpstream source =
           new RelayUpstream(
-              UpstreamLife.unknownStart(READS),
+              UpstreamIncarnation.unknown(READS),
               new ServiceName("model"),
               "127.0.0.1:80",
               new DataCentreName("dc-1"),
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void noticed(Job job, long sentAt, RateNotice rate) {}
+    public void noticed(Job job, long sentAt, RateLimitNotice rate) {}
 
     @Override
     public void promptRead(Job job, String handle) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/RelaySlopes.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/RelaySlopes.java
@@ -16,7 +16,7 @@
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.RequestId;
 import org.larkkeel.lib.RuleName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.quota.QuotaTolerance;
 import org.larkkeel.relay.AnswerGrade;
@@ -126,7 +126,7 @@
               sent.add(s.attempt());
             }
           });
-      lookupResults += router.loads().size() + router.lapsing(now).size() + router.asks(now).size();
+      lookupResults += router.loads().size() + router.losingHandles(now).size() + router.reservationRequests(now).size();
     }
 
     void register(int from, int to, boolean leaving) {
@@ -138,7 +138,7 @@
         registered.put(
             id,
             new RelayUpstream(
-                UpstreamLife.unknownStart(id),
+                UpstreamIncarnation.unknown(id),
                 plain ? PLAIN : MODEL,
                 "10.0.0.1:80",
                 DATA_CENTRE,
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/FleetModel.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/FleetModel.java
@@ -21,7 +21,7 @@
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.Incarnation;
 import org.larkkeel.lib.RuleName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.relay.CallKind;
 import org.larkkeel.relay.ProbeResult;
@@ -146,13 +146,13 @@
   private void crashed(UpstreamName id, SimEngine engine) {
     crashes++;
     RelayUpstream before = upstreams.get(id);
-    UpstreamLife life = new UpstreamLife(id, new Incarnation(crashes));
+    UpstreamIncarnation life = new UpstreamIncarnation(id, new Incarnation(crashes));
     RelayUpstream after =
         new RelayUpstream(
             life,
             before.service(),
             before.address(),
-            before.place(),
+            before.dataCentre(),
             before.slots(),
             before.stage(),
             false);
@@ -175,7 +175,7 @@
   private static RelayUpstream upstream(
       UpstreamName id, ServiceName service, int slots, Stage stage) {
     return new RelayUpstream(
-        UpstreamLife.unknownStart(id), service, "127.0.0.1:80", PLACE, slots, stage, false);
+        UpstreamIncarnation.unknown(id), service, "127.0.0.1:80", PLACE, slots, stage, false);
   }
 
   private RelayConfiguration buildConfiguration() {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/Job.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/Job.java
@@ -11,7 +11,7 @@
 import java.util.function.LongFunction;
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.relay.RateNotice;
+import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.larkkeel.relay.RelayEvent;
 
@@ -32,7 +32,7 @@
     void complete(Job job, LongFunction<RelayEvent> event);
 
     /** The answer that follows says something of its upstream; its request was sent by a time. */
-    void noticed(Job job, long sentAt, RateNotice rate);
+    void noticed(Job job, long sentAt, RateLimitNotice rate);
 
     /** The engine of a name, from which a prompt is fetched. */
     SimEngine engine(UpstreamName id);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimEngine.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimEngine.java
@@ -200,7 +200,7 @@
 
   private void begin(Job job) {
     if (job.purpose instanceof Purpose.TakeOver t && job.generated == 0 && job.readings.isEmpty()) {
-      SimEngine source = job.sender.engine(t.source().id());
+      SimEngine source = job.sender.engine(t.source().name());
       Job prompt = source.kept.remove(t.handle());
       if (prompt == null) {
         decline(job);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimNode.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimNode.java
@@ -24,12 +24,12 @@
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.quota.QuotaTolerance;
 import org.larkkeel.relay.MoveResult;
 import org.larkkeel.relay.PromptKey;
-import org.larkkeel.relay.RateNotice;
+import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RelayCall;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayEvent;
@@ -149,7 +149,7 @@
         () ->
             submit(
                 new RelayEvent.UpstreamsChanged(
-                    now(), ImmutableMap.of(upstream.id(), upstream), ImmutableSet.of())));
+                    now(), ImmutableMap.of(upstream.name(), upstream), ImmutableSet.of())));
   }
 
   /** Its process ends: callers and upstreams see their connections break. */
@@ -251,11 +251,11 @@
   }
 
   @Override
-  public void noticed(Job job, long sentAt, RateNotice rate) {
+  public void noticed(Job job, long sentAt, RateLimitNotice rate) {
     heard(
         () -> {
-          UpstreamLife life = fleet.upstreams().get(job.upstream).life();
-          if (rate instanceof RateNotice.Limited || router.isRateLimited(life)) {
+          UpstreamIncarnation life = fleet.upstreams().get(job.upstream).incarnation();
+          if (rate instanceof RateLimitNotice.Limited || router.isRateLimited(life)) {
             UpstreamNotice notice = new UpstreamNotice(false, 0, rate);
             submit(new RelayEvent.Noticed(now(), life, sentAt, notice));
           }
@@ -337,7 +337,7 @@
       router.apply(next, this::effect);
     }
     applying = false;
-    sharing.tell(router.loads(), router.lapsing(now()), router.asks(now()));
+    sharing.tell(router.loads(), router.losingHandles(now()), router.reservationRequests(now()));
     arm();
   }
 
@@ -366,14 +366,14 @@
       case RelayEffect.Cancel e -> cancel(e.attempt());
       case RelayEffect.Move e ->
           submit(new RelayEvent.Moved(now(), e.attempt(), new MoveResult.Failed()));
-      case RelayEffect.Free e -> fleet.overNetwork(() -> engine(e.source().id()).free(e.handle()));
-      case RelayEffect.Follow e -> follow(e);
+      case RelayEffect.Free e -> fleet.overNetwork(() -> engine(e.source().name()).free(e.handle()));
+      case RelayEffect.ForwardStream e -> follow(e);
       case RelayEffect.Deliver e -> deliver(e);
       case RelayEffect.Refuse e -> caller(e.call(), c -> c.refused(e.kind(), e.retryAfterMillis()));
       case RelayEffect.Cut e -> caller(e.call(), Caller::cut);
-      case RelayEffect.GrantRoom e -> sharing.grant(e);
+      case RelayEffect.GrantReservation e -> sharing.grant(e);
       case RelayEffect.Probe e -> probe(e.upstream());
-      case RelayEffect.TellSuspect e -> sharing.tellSuspect(e);
+      case RelayEffect.ReportSuspect e -> sharing.tellSuspect(e);
       case RelayEffect.Report e -> {
         if (e.fact() instanceof RelayFact.PromptWasted w) {
           wastedByRouter += w.tokens();
@@ -391,7 +391,7 @@
         new Job(
             this,
             e.attempt(),
-            e.upstream().id(),
+            e.upstream().name(),
             e.purpose(),
             caller.prompt(),
             caller.output(),
@@ -406,7 +406,7 @@
   }
 
   private void probe(RelayUpstream upstream) {
-    heard(() -> submit(new RelayEvent.Probed(now(), upstream.life(), fleet.probe(upstream.id()))));
+    heard(() -> submit(new RelayEvent.Probed(now(), upstream.incarnation(), fleet.probe(upstream.name()))));
   }
 
   private void cancel(AttemptId attempt) {
@@ -417,7 +417,7 @@
     }
   }
 
-  private void follow(RelayEffect.Follow e) {
+  private void follow(RelayEffect.ForwardStream e) {
     Caller caller = callers.get(e.call());
     if (caller != null) {
       followed.put(e.attempt(), caller);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimPlain.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimPlain.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import org.larkkeel.bench.experiment.fake.Timeline;
 import org.larkkeel.relay.AnswerGrade;
-import org.larkkeel.relay.RateNotice;
+import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RefusalCause;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RequestRate;
@@ -90,7 +90,7 @@
     job.sender.noticed(
         job,
         sentAt,
-        limit.<RateNotice>map(RateNotice.Limited::new).orElseGet(RateNotice.Unlimited::new));
+        limit.<RateLimitNotice>map(RateLimitNotice.Limited::new).orElseGet(RateLimitNotice.Unlimited::new));
   }
 
   /** A request arrives. */
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/FeedCostTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/FeedCostTest.java
@@ -28,7 +28,7 @@
 import org.larkkeel.lib.Closer;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.quota.QuotaTolerance;
 import org.larkkeel.relay.RelayConfiguration;
@@ -139,7 +139,7 @@
       parseCount++;
       return new Reading.Readable<>(
           new RelayUpstream(
-              UpstreamLife.unknownStart(new UpstreamName(object.key().name())),
+              UpstreamIncarnation.unknown(new UpstreamName(object.key().name())),
               new ServiceName("model"),
               "127.0.0.1:80",
               new DataCentreName("dc-1"),
@@ -247,7 +247,7 @@
 
     void assertKnown(int upstreams) throws Exception {
       CompletableFuture<Integer> known = new CompletableFuture<>();
-      worker.worker().getIoThread().execute(() -> known.complete(router.upstreams()));
+      worker.worker().getIoThread().execute(() -> known.complete(router.upstreamCount()));
       assertEquals(known.get(), Integer.valueOf(upstreams));
     }
   }
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/LoadSharingTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/LoadSharingTest.java
@@ -13,9 +13,9 @@
 
 import com.google.common.collect.ImmutableMap;
 import java.util.Collections;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.relay.RoomKeeping;
+import org.larkkeel.relay.ReservationMode;
 import org.testng.annotations.Test;
 
 /**
@@ -173,7 +173,7 @@
       SimCluster cluster = startedCluster(4, 16);
       cluster.load(100, 5_000);
       assertTrue(
-          cluster.nodes.stream().allMatch(n -> n.sharing.reservationMode() == RoomKeeping.EACH),
+          cluster.nodes.stream().allMatch(n -> n.sharing.reservationMode() == ReservationMode.EACH),
           "a node does not reserve locally");
       assertTrue(cluster.placed > 0);
     }
@@ -193,7 +193,7 @@
       return cluster;
     }
 
-    private static boolean knows(SimCluster cluster, UpstreamLife incarnation) {
+    private static boolean knows(SimCluster cluster, UpstreamIncarnation incarnation) {
       return cluster.nodes.stream().anyMatch(n -> n.router.loads().containsKey(incarnation));
     }
 
@@ -203,7 +203,7 @@
         SimCluster cluster = restarted(coordinatorFrom);
         int before = cluster.cancelled;
         cluster.advance(MAX_DELAY_MILLIS);
-        assertFalse(knows(cluster, UpstreamLife.unknownStart(ENGINE)));
+        assertFalse(knows(cluster, UpstreamIncarnation.unknown(ENGINE)));
         assertTrue(
             cluster.cancelled - before >= CAPACITY,
             "the runs of the previous incarnation have ended");
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/PeerMessageCodecTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/PeerMessageCodecTest.java
@@ -18,19 +18,19 @@
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.Incarnation;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.lib.WorkspaceName;
-import org.larkkeel.quota.QuotaAsk;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.quota.QuotaLevels;
 import org.larkkeel.relay.PromptKey;
-import org.larkkeel.relay.RateWord;
+import org.larkkeel.relay.RateLimitReport;
 import org.larkkeel.relay.RequestRate;
-import org.larkkeel.relay.RoomAsk;
+import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.ServiceName;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.store.StoreVersion;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -44,12 +44,12 @@
           NodeState.YOUNG,
           new FeedChanges(new StoreVersion(1, 7), new StoreVersion(2, 12)),
           ImmutableList.of(
-              new RateWord(
+              new RateLimitReport(
                   incarnation("i-1"), Optional.of(RequestRate.perSecond(5.2)), 40_000_000L),
-              new RateWord(incarnation("i-2"), Optional.empty(), 7)));
+              new RateLimitReport(incarnation("i-2"), Optional.empty(), 7)));
   private static final QuotaKey WORKSPACE = new QuotaKey.OfWorkspace(new WorkspaceName("weavers"));
-  private static final RoomAsk REQUEST =
-      new RoomAsk(
+  private static final ReservationRequest REQUEST =
+      new ReservationRequest(
           new RequestId(5),
           "wire-5",
           new ServiceName("model"),
@@ -74,16 +74,16 @@
                   new ReservationGrant(new RequestId(10), incarnation("i-1"), Optional.empty())))
           .withSuspects(
               ImmutableList.of(
-                  new Suspect(Fingerprint.of("one"), 0, ImmutableMap.of(incarnation("i-1"), 12L)),
-                  new Suspect(Fingerprint.of("two"), 3, ImmutableMap.of())));
+                  new SuspectRequest(Fingerprint.of("one"), 0, ImmutableMap.of(incarnation("i-1"), 12L)),
+                  new SuspectRequest(Fingerprint.of("two"), 3, ImmutableMap.of())));
 
-  private static final QuotaAsk QUOTA_REQUEST =
-      new QuotaAsk(
+  private static final QuotaRequest QUOTA_REQUEST =
+      new QuotaRequest(
           4,
           17,
           400_000_000L,
           60,
-          ImmutableList.of(new QuotaAsk.Want(WORKSPACE, 3_200, 200, 600, 40)));
+          ImmutableList.of(new QuotaRequest.Demand(WORKSPACE, 3_200, 200, 600, 40)));
   private static final QuotaGrant QUOTA_GRANT =
       new QuotaGrant(
           4, 16, ImmutableList.of(new QuotaGrant.Share(WORKSPACE, 3_800, 20_000, 12_000_000L)));
@@ -102,8 +102,8 @@
     };
   }
 
-  private static UpstreamLife incarnation(String name) {
-    return new UpstreamLife(new UpstreamName(name), new Incarnation(1_790_000_000_123L));
+  private static UpstreamIncarnation incarnation(String name) {
+    return new UpstreamIncarnation(new UpstreamName(name), new Incarnation(1_790_000_000_123L));
   }
 
   /** Messages that were encoded by a node. */
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/QuarantineEntriesTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/QuarantineEntriesTest.java
@@ -19,9 +19,9 @@
 import org.larkkeel.http.Json;
 import org.larkkeel.lib.Fingerprint;
 import org.larkkeel.lib.Incarnation;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.store.Reading;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -31,13 +31,13 @@
   private static final long NOW = 1_790_000_000_000L;
   private static final long MILLI = 1_000_000L;
 
-  private static Suspect suspect(String request, int ends) {
-    ImmutableMap.Builder<UpstreamLife, Long> crashes = ImmutableMap.builder();
+  private static SuspectRequest suspect(String request, int ends) {
+    ImmutableMap.Builder<UpstreamIncarnation, Long> crashes = ImmutableMap.builder();
     for (int i = 0; i < ends; i++) {
       UpstreamName name = new UpstreamName("i-" + i);
-      crashes.put(new UpstreamLife(name, new Incarnation(NOW + i)), 1_000 * MILLI);
+      crashes.put(new UpstreamIncarnation(name, new Incarnation(NOW + i)), 1_000 * MILLI);
     }
-    return new Suspect(Fingerprint.of(request), 0, crashes.buildOrThrow());
+    return new SuspectRequest(Fingerprint.of(request), 0, crashes.buildOrThrow());
   }
 
   private static ObjectNode written(QuarantineEntries entries) {
@@ -46,10 +46,10 @@
     return node;
   }
 
-  private static ImmutableList<Suspect> read(JsonNode entry, long wallMillis) {
+  private static ImmutableList<SuspectRequest> read(JsonNode entry, long wallMillis) {
     return switch (QuarantineEntries.read(entry, wallMillis)) {
-      case Reading.Readable<ImmutableList<Suspect>> r -> r.value();
-      case Reading.Unreadable<ImmutableList<Suspect>> u -> throw new AssertionError(u.problem());
+      case Reading.Readable<ImmutableList<SuspectRequest>> r -> r.value();
+      case Reading.Unreadable<ImmutableList<SuspectRequest>> u -> throw new AssertionError(u.problem());
     };
   }
 
@@ -59,10 +59,10 @@
     public void isReadWithTheAgesOfTheCrashesAtThatTime() {
       QuarantineEntries entries = new QuarantineEntries();
       assertTrue(entries.update(suspect("a", 3), NOW));
-      Suspect read = read(written(entries), NOW + 500).getFirst();
+      SuspectRequest read = read(written(entries), NOW + 500).getFirst();
       assertEquals(read.request(), Fingerprint.of("a"));
-      assertEquals(read.ends().keySet(), suspect("a", 3).ends().keySet());
-      assertTrue(read.ends().values().stream().allMatch(age -> age == 1_500 * MILLI));
+      assertEquals(read.crashes().keySet(), suspect("a", 3).crashes().keySet());
+      assertTrue(read.crashes().values().stream().allMatch(age -> age == 1_500 * MILLI));
     }
 
     @Test
@@ -76,7 +76,7 @@
     public void keepsClearedRequest() {
       QuarantineEntries entries = new QuarantineEntries();
       entries.update(suspect("a", 3), NOW);
-      Suspect cleared = new Suspect(Fingerprint.of("a"), 1, ImmutableMap.of());
+      SuspectRequest cleared = new SuspectRequest(Fingerprint.of("a"), 1, ImmutableMap.of());
       assertTrue(entries.update(cleared, NOW));
       assertEquals(read(written(entries), NOW), ImmutableList.of(cleared));
     }
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/ReservationServerTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/ReservationServerTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -29,16 +29,16 @@
   /** Longer than the interval between two reports of all changes. */
   private static final long SETTLED_MILLIS = 800;
 
-  private static UpstreamLife incarnation(int i) {
-    return UpstreamLife.unknownStart(new UpstreamName("u-" + i));
+  private static UpstreamIncarnation incarnation(int i) {
+    return UpstreamIncarnation.unknown(new UpstreamName("u-" + i));
   }
 
   /** The server and, for each node, the loads that result from the reports that it received. */
   private static final class Fixture {
     final ReservationServer server = new ReservationServer(() -> now(), this::onAnswer);
-    final Map<HostName, Map<UpstreamLife, Long>> reported = new HashMap<>();
-    final Map<HostName, Map<UpstreamLife, Long>> received = new HashMap<>();
-    Map<UpstreamLife, Long> ownLoads = Map.of();
+    final Map<HostName, Map<UpstreamIncarnation, Long>> reported = new HashMap<>();
+    final Map<HostName, Map<UpstreamIncarnation, Long>> received = new HashMap<>();
+    Map<UpstreamIncarnation, Long> ownLoads = Map.of();
     private long nowNanos = 1_000_000 * NANOS_PER_MILLI;
 
     private long now() {
@@ -47,7 +47,7 @@
 
     private void onAnswer(HostName node, ReservationServer.Answer answer) {
       if (answer instanceof ReservationServer.Answer.TotalLoads s) {
-        Map<UpstreamLife, Long> loads = received.computeIfAbsent(node, n -> new HashMap<>());
+        Map<UpstreamIncarnation, Long> loads = received.computeIfAbsent(node, n -> new HashMap<>());
         if (s.isComplete()) {
           loads.clear();
         }
@@ -56,7 +56,7 @@
       }
     }
 
-    void report(String name, Map<UpstreamLife, Long> loads) {
+    void report(String name, Map<UpstreamIncarnation, Long> loads) {
       HostName node = new HostName(name);
       reported.put(node, loads);
       PeerMessage.Sender sender =
@@ -71,7 +71,7 @@
               .withLoads(ImmutableMap.copyOf(loads), ImmutableSet.of()));
     }
 
-    void ownLoads(Map<UpstreamLife, Long> loads) {
+    void ownLoads(Map<UpstreamIncarnation, Long> loads) {
       ownLoads = loads;
       server.ownLoads(ImmutableMap.copyOf(loads));
     }
@@ -86,8 +86,8 @@
     }
 
     /** Returns the total load of all nodes but one. */
-    Map<UpstreamLife, Long> loadsOfOthers(HostName node) {
-      Map<UpstreamLife, Long> total = new HashMap<>(ownLoads);
+    Map<UpstreamIncarnation, Long> loadsOfOthers(HostName node) {
+      Map<UpstreamIncarnation, Long> total = new HashMap<>(ownLoads);
       reported.forEach(
           (other, loads) -> {
             if (!other.equals(node)) {
@@ -105,8 +105,8 @@
       return new Object[][] {{1L}, {2L}, {3L}};
     }
 
-    private static Map<UpstreamLife, Long> loads(SplittableRandom random) {
-      Map<UpstreamLife, Long> loads = new HashMap<>();
+    private static Map<UpstreamIncarnation, Long> loads(SplittableRandom random) {
+      Map<UpstreamIncarnation, Long> loads = new HashMap<>();
       for (int i = random.nextInt(4); i > 0; i--) {
         long units = random.nextBoolean() ? 1 + random.nextInt(5) : 1_000 + random.nextInt(9_000);
         loads.put(incarnation(random.nextInt(8)), units);
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimApp.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimApp.java
@@ -14,7 +14,7 @@
 import java.util.PriorityQueue;
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.relay.AnswerGrade;
-import org.larkkeel.relay.RateNotice;
+import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RefusalCause;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayUpstream;
@@ -108,14 +108,14 @@
   private void notice(SimCluster.Node node, RelayUpstream upstream, long sentAt) {
     if (limit.isPresent()) {
       limitReceivedNanos.putIfAbsent(node, cluster.nowNanos());
-    } else if (!node.router.isRateLimited(upstream.life())) {
+    } else if (!node.router.isRateLimited(upstream.incarnation())) {
       return;
     }
-    RateNotice rate =
-        limit.<RateNotice>map(RateNotice.Limited::new).orElseGet(RateNotice.Unlimited::new);
+    RateLimitNotice rate =
+        limit.<RateLimitNotice>map(RateLimitNotice.Limited::new).orElseGet(RateLimitNotice.Unlimited::new);
     node.submit(
         new RelayEvent.Noticed(
-            cluster.nowNanos(), upstream.life(), sentAt, new UpstreamNotice(false, 0, rate)));
+            cluster.nowNanos(), upstream.incarnation(), sentAt, new UpstreamNotice(false, 0, rate)));
   }
 
   /** Forgets that a node received a limit, because its process has ended. */
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimCluster.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimCluster.java
@@ -33,7 +33,7 @@
 import org.larkkeel.lib.Incarnation;
 import org.larkkeel.lib.RequestId;
 import org.larkkeel.lib.RuleName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.lib.WorkspaceName;
 import org.larkkeel.quota.QuotaTolerance;
@@ -56,7 +56,7 @@
 import org.larkkeel.relay.RelayWorkspace;
 import org.larkkeel.relay.RelayWorkspace.QuotaUnit;
 import org.larkkeel.relay.RequestIdentity;
-import org.larkkeel.relay.RoomKeeping;
+import org.larkkeel.relay.ReservationMode;
 import org.larkkeel.relay.ServiceBounds;
 import org.larkkeel.relay.ServiceName;
 import org.larkkeel.relay.Stage;
@@ -127,7 +127,7 @@
       all.put(
           id,
           new RelayUpstream(
-              UpstreamLife.unknownStart(id), MODEL, "10.0.0.1:80", DATA_CENTRE, 32, stage, false));
+              UpstreamIncarnation.unknown(id), MODEL, "10.0.0.1:80", DATA_CENTRE, 32, stage, false));
     }
     for (int i = 0; i < APPS; i++) {
       UpstreamName id = new UpstreamName("app-" + i);
@@ -135,7 +135,7 @@
       all.put(
           id,
           new RelayUpstream(
-              UpstreamLife.unknownStart(id),
+              UpstreamIncarnation.unknown(id),
               APP,
               "10.0.0.2:80",
               DATA_CENTRE,
@@ -163,10 +163,10 @@
     RelayUpstream old = upstreams.get(engine);
     RelayUpstream started =
         new RelayUpstream(
-            new UpstreamLife(engine, new Incarnation(incarnation)),
+            new UpstreamIncarnation(engine, new Incarnation(incarnation)),
             old.service(),
             old.address(),
-            old.place(),
+            old.dataCentre(),
             old.slots(),
             old.stage(),
             false);
@@ -274,7 +274,7 @@
     List<Node> all =
         nodes.stream()
             .filter(n -> n.up && !n.isSuspended())
-            .filter(n -> n.sharing.reservationMode() == RoomKeeping.KEEP)
+            .filter(n -> n.sharing.reservationMode() == ReservationMode.KEEP)
             .toList();
     if (all.size() != 1) {
       throw new AssertionError(all.size() + " coordinators, expected one");
@@ -480,7 +480,7 @@
         router.apply(pendingEvents.removeFirst(), this::handleEffect);
       }
       applying = false;
-      sharing.tell(router.loads(), router.lapsing(nowNanos), router.asks(nowNanos));
+      sharing.tell(router.loads(), router.losingHandles(nowNanos), router.reservationRequests(nowNanos));
     }
 
     @Override
@@ -496,17 +496,17 @@
           cancelled++;
           dropRun(c.attempt());
         }
-        case RelayEffect.GrantRoom g -> sharing.grant(g);
+        case RelayEffect.GrantReservation g -> sharing.grant(g);
         case RelayEffect.Probe p -> probe(p.upstream());
-        case RelayEffect.TellSuspect t -> sharing.tellSuspect(t);
+        case RelayEffect.ReportSuspect t -> sharing.tellSuspect(t);
         default -> {}
       }
     }
 
     private void probe(RelayUpstream upstream) {
-      ProbeResult result = down.contains(upstream.id()) ? ProbeResult.REFUSES : ProbeResult.LISTENS;
+      ProbeResult result = down.contains(upstream.name()) ? ProbeResult.REFUSES : ProbeResult.LISTENS;
       after(
-          NANOS_PER_MILLI, () -> submit(new RelayEvent.Probed(nowNanos, upstream.life(), result)));
+          NANOS_PER_MILLI, () -> submit(new RelayEvent.Probed(nowNanos, upstream.incarnation(), result)));
     }
 
     private void refuse(RelayEffect.Refuse refusal) {
@@ -517,7 +517,7 @@
     }
 
     private void handleSend(RelayEffect.Send send) {
-      UpstreamName target = send.upstream().id();
+      UpstreamName target = send.upstream().name();
       if (down.contains(target)) {
         after(
             NANOS_PER_MILLI,
@@ -534,12 +534,12 @@
         return;
       }
       if (send.upstream().service().equals(APP)) {
-        apps.get(send.upstream().id()).accept(this, send.attempt(), send.upstream());
+        apps.get(send.upstream().name()).accept(this, send.attempt(), send.upstream());
         return;
       }
       placed++;
       maxWaitNanos = Math.max(maxWaitNanos, nowNanos - arrivalNanos.get(send.call()));
-      UpstreamName engine = send.upstream().id();
+      UpstreamName engine = send.upstream().name();
       running.merge(engine, 1, Integer::sum);
       maxRunning.merge(engine, running.get(engine), Math::max);
       runs.put(send.attempt(), engine);
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/StageControllerTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/StageControllerTest.java
@@ -27,7 +27,7 @@
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.Incarnation;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.relay.RelayUpstream;
 import org.larkkeel.relay.ServiceName;
@@ -141,7 +141,7 @@
               (u, stage, holder, fencing, allowed) -> {
                 assertTrue(allowed.getAsBoolean());
                 lastAllowed = allowed;
-                orders.add(u.id() + " " + stage + " " + holder + " " + fencing);
+                orders.add(u.name() + " " + stage + " " + holder + " " + fencing);
                 return CompletableFuture.completedFuture(202);
               },
               () -> rank);
@@ -157,7 +157,7 @@
         all.put(
             name,
             new RelayUpstream(
-                new UpstreamLife(name, new Incarnation(incarnation)),
+                new UpstreamIncarnation(name, new Incarnation(incarnation)),
                 new ServiceName("model"),
                 "10.0.0.1:80",
                 new DataCentreName("dc-1"),
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/UpstreamEntriesTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/UpstreamEntriesTest.java
@@ -24,7 +24,7 @@
 import java.util.stream.Stream;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.Incarnation;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.relay.RelayUpstream;
 import org.larkkeel.relay.ServiceName;
@@ -58,7 +58,7 @@
       }
       return new Reading.Readable<>(
           new RelayUpstream(
-              new UpstreamLife(
+              new UpstreamIncarnation(
                   new UpstreamName(o.key().name()),
                   new Incarnation(o.spec().path("start").asLong())),
               new ServiceName(service),
@@ -90,7 +90,7 @@
     }
 
     long incarnation(String name) {
-      return followed.get(new UpstreamName(name)).life().start().value();
+      return followed.get(new UpstreamName(name)).incarnation().incarnation().value();
     }
 
     StoredObject entry(String name, String service, long start) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/FactLog.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/FactLog.java
@@ -37,7 +37,7 @@
               f.rule(),
               f.withinTargets(),
               f.firstNanos(),
-              f.betweenNanos(),
+              f.interTokenNanos(),
               f.tokens());
       case Fact.Refused f -> log.info("event=refused request={} kind={}", f.request(), f.kind());
       case Fact.Placed f ->
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/IncarnationHistory.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/IncarnationHistory.java
@@ -11,7 +11,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayUpstream;
 
 /**
@@ -29,8 +29,8 @@
    */
   private static final long RETENTION_NANOS = 60_000_000_000L;
 
-  private final Map<UpstreamLife, Long> ended = new HashMap<>();
-  private final Set<UpstreamLife> leaving = new HashSet<>();
+  private final Map<UpstreamIncarnation, Long> ended = new HashMap<>();
+  private final Set<UpstreamIncarnation> leaving = new HashSet<>();
 
   /**
    * Records that the store was restored from a backup.
@@ -38,7 +38,7 @@
    * @param known the upstreams that were known until then
    */
   void restored(Collection<RelayUpstream> known) {
-    known.stream().filter(RelayUpstream::leaving).map(RelayUpstream::life).forEach(leaving::add);
+    known.stream().filter(RelayUpstream::leaving).map(RelayUpstream::incarnation).forEach(leaving::add);
   }
 
   /**
@@ -49,8 +49,8 @@
   void ended(long nowNanos, RelayUpstream removed) {
     if (removed != null) {
       dropExpired(nowNanos);
-      ended.put(removed.life(), nowNanos);
-      leaving.remove(removed.life());
+      ended.put(removed.incarnation(), nowNanos);
+      leaving.remove(removed.incarnation());
     }
   }
 
@@ -64,14 +64,14 @@
    * @param previous the previous upstream of the entry; null if there was none
    */
   void replaced(long nowNanos, RelayUpstream previous, RelayUpstream current) {
-    if (previous != null && !previous.life().equals(current.life())) {
+    if (previous != null && !previous.incarnation().equals(current.incarnation())) {
       ended(nowNanos, previous);
     }
-    ended.remove(current.life());
+    ended.remove(current.incarnation());
   }
 
   /** Returns whether an incarnation was observed to end. */
-  boolean isEnded(long nowNanos, UpstreamLife incarnation) {
+  boolean isEnded(long nowNanos, UpstreamIncarnation incarnation) {
     Long endedNanos = ended.get(incarnation);
     return endedNanos != null && nowNanos - endedNanos <= RETENTION_NANOS;
   }
@@ -80,6 +80,6 @@
    * Returns a listed upstream, marked as leaving if it was leaving before the store was restored.
    */
   RelayUpstream withObservedState(RelayUpstream listed) {
-    return leaving.contains(listed.life()) ? listed.withLeaving() : listed;
+    return leaving.contains(listed.incarnation()) ? listed.withLeaving() : listed;
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LimitAdmin.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LimitAdmin.java
@@ -15,7 +15,7 @@
 import org.larkkeel.http.operator.LimitStatus;
 import org.larkkeel.http.operator.OperatorCodec;
 import org.larkkeel.http.relay.RelayLoop;
-import org.larkkeel.relay.RateUse;
+import org.larkkeel.relay.RateLimitUsage;
 import org.larkkeel.relay.RelayRouter;
 
 /**
@@ -36,16 +36,16 @@
   @Override
   public void handleRequest(HttpServerExchange exchange) {
     List<LimitStatus.Entry> limits =
-        router.rateUses(loop.now()).stream().map(LimitAdmin::entry).toList();
+        router.rateLimitUsages(loop.now()).stream().map(LimitAdmin::entry).toList();
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     byte[] body = OperatorCodec.write(new LimitStatus(limits));
     exchange.getResponseSender().send(ByteBuffer.wrap(body));
   }
 
-  private static LimitStatus.Entry entry(RateUse use) {
+  private static LimitStatus.Entry entry(RateLimitUsage use) {
     return new LimitStatus.Entry(
-        use.life().name().value(),
-        use.life().start().value(),
+        use.upstream().name().value(),
+        use.upstream().incarnation().value(),
         use.limit().perSecond(),
         TimeUnit.NANOSECONDS.toMillis(use.ageNanos()),
         use.sent());
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadChange.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadChange.java
@@ -8,7 +8,7 @@
 
 import com.google.common.collect.ImmutableMap;
 import com.google.common.collect.ImmutableSet;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 
 /**
  * The current load of this node and the load that it reported last.
@@ -22,15 +22,15 @@
   private static final long LARGE_REQUEST_CHANGE = 3;
   private static final long LARGE_TOKEN_CHANGE = 1_500;
 
-  private ImmutableMap<UpstreamLife, Long> loads = ImmutableMap.of();
-  private ImmutableMap<UpstreamLife, Long> reported = ImmutableMap.of();
-  private ImmutableSet<UpstreamLife> expiringUpstreams = ImmutableSet.of();
+  private ImmutableMap<UpstreamIncarnation, Long> loads = ImmutableMap.of();
+  private ImmutableMap<UpstreamIncarnation, Long> reported = ImmutableMap.of();
+  private ImmutableSet<UpstreamIncarnation> expiringUpstreams = ImmutableSet.of();
 
-  ImmutableMap<UpstreamLife, Long> loads() {
+  ImmutableMap<UpstreamIncarnation, Long> loads() {
     return loads;
   }
 
-  ImmutableSet<UpstreamLife> expiringUpstreams() {
+  ImmutableSet<UpstreamIncarnation> expiringUpstreams() {
     return expiringUpstreams;
   }
 
@@ -39,7 +39,7 @@
    *
    * @return whether the change must be reported before the next period
    */
-  boolean update(ImmutableMap<UpstreamLife, Long> current, ImmutableSet<UpstreamLife> expiring) {
+  boolean update(ImmutableMap<UpstreamIncarnation, Long> current, ImmutableSet<UpstreamIncarnation> expiring) {
     boolean isUrgent = !expiringUpstreams.containsAll(expiring);
     loads = current;
     expiringUpstreams = expiring;
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadExchange.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadExchange.java
@@ -18,12 +18,12 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.larkkeel.http.relay.RelayLoop;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayRouter;
-import org.larkkeel.relay.RoomAsk;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.ReservationRequest;
+import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.time.BootClock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -136,19 +136,19 @@
    * LoadSharing#update}.
    */
   void update(
-      ImmutableMap<UpstreamLife, Long> loads,
-      ImmutableSet<UpstreamLife> expiringUpstreams,
-      ImmutableList<RoomAsk> requests) {
+      ImmutableMap<UpstreamIncarnation, Long> loads,
+      ImmutableSet<UpstreamIncarnation> expiringUpstreams,
+      ImmutableList<ReservationRequest> requests) {
     sharing.tell(loads, expiringUpstreams, requests);
   }
 
   /** Adds a grant for a call of another node. */
-  void grant(RelayEffect.GrantRoom grant) {
+  void grant(RelayEffect.GrantReservation grant) {
     sharing.grant(grant);
   }
 
   /** Sets the source of the suspect requests that are known here. */
-  void suspects(Supplier<ImmutableList<Suspect>> known) {
+  void suspects(Supplier<ImmutableList<SuspectRequest>> known) {
     sharing.suspects(known);
   }
 
@@ -158,7 +158,7 @@
   }
 
   /** Reports news of a suspect request to the peers. */
-  void reportSuspect(RelayEffect.TellSuspect news) {
+  void reportSuspect(RelayEffect.ReportSuspect news) {
     sharing.tellSuspect(news);
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
@@ -21,15 +21,15 @@
 import java.util.stream.Stream;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.quota.QuotaMessage;
-import org.larkkeel.relay.RateWord;
+import org.larkkeel.relay.RateLimitReport;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayRouter;
-import org.larkkeel.relay.RoomAsk;
-import org.larkkeel.relay.RoomKeeping;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.ReservationRequest;
+import org.larkkeel.relay.ReservationMode;
+import org.larkkeel.relay.SuspectRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -92,7 +92,7 @@
   private ImmutableList<PeerTable.Coordinator> coordinators = ImmutableList.of();
 
   /** The total load of the other nodes, as reported by the coordinator. */
-  private final Map<UpstreamLife, Long> totalLoads = new HashMap<>();
+  private final Map<UpstreamIncarnation, Long> totalLoads = new HashMap<>();
 
   /** The node that sent the last complete report of total loads; empty before the first. */
   private Optional<HostName> totalLoadsSource = Optional.empty();
@@ -103,7 +103,7 @@
    */
   private ImmutableSet<PeerTable.Peer> reportReceivers = ImmutableSet.of();
 
-  private RoomKeeping reservationMode = RoomKeeping.EACH;
+  private ReservationMode reservationMode = ReservationMode.EACH;
   private boolean largeCluster;
   private boolean leaving;
   private boolean reportScheduled;
@@ -113,7 +113,7 @@
   private long lastFailureNanos = Long.MIN_VALUE;
   private long localModeUntilNanos = Long.MIN_VALUE;
   private Supplier<FeedChanges> storeVersions = () -> FeedChanges.NONE;
-  private Supplier<ImmutableList<RateWord>> rateLimits = ImmutableList::of;
+  private Supplier<ImmutableList<RateLimitReport>> rateLimits = ImmutableList::of;
   private Consumer<FeedChanges> peerVersionsListener = c -> {};
 
   /** The callbacks that load sharing needs from its owner. */
@@ -164,13 +164,13 @@
   }
 
   /** Sets the source of the suspect requests that are known here. */
-  public void suspects(Supplier<ImmutableList<Suspect>> known) {
+  public void suspects(Supplier<ImmutableList<SuspectRequest>> known) {
     suspects.knownSuspects(known);
   }
 
   /** Sets the router whose quotas and rate limits of upstreams are shared with the peers. */
   public void quotas(RelayRouter router) {
-    rateLimits = () -> router.rates(environment.now());
+    rateLimits = () -> router.rateLimitReports(environment.now());
     quotas.router(router);
   }
 
@@ -188,11 +188,11 @@
   }
 
   /** Reports news of a suspect request to the peers. */
-  public void tellSuspect(RelayEffect.TellSuspect news) {
+  public void tellSuspect(RelayEffect.ReportSuspect news) {
     suspects.report(news.suspect());
   }
 
-  private void sendSuspects(PeerTable.Peer to, ImmutableList<Suspect> batch) {
+  private void sendSuspects(PeerTable.Peer to, ImmutableList<SuspectRequest> batch) {
     send(to, message(PeerMessage.Kind.SUSPECTS).withSuspects(batch));
   }
 
@@ -224,7 +224,7 @@
   }
 
   /** Returns the current reservation mode. */
-  public RoomKeeping reservationMode() {
+  public ReservationMode reservationMode() {
     return reservationMode;
   }
 
@@ -260,9 +260,9 @@
    * @param requests the pending reservations
    */
   public void tell(
-      ImmutableMap<UpstreamLife, Long> loads,
-      ImmutableSet<UpstreamLife> expiringUpstreams,
-      ImmutableList<RoomAsk> requests) {
+      ImmutableMap<UpstreamIncarnation, Long> loads,
+      ImmutableSet<UpstreamIncarnation> expiringUpstreams,
+      ImmutableList<ReservationRequest> requests) {
     boolean isUrgent = loadChange.update(loads, expiringUpstreams);
     isUrgent |= client.updateRequests(requests);
     server.ownLoads(loads);
@@ -366,7 +366,7 @@
   }
 
   /** Adds a grant for a call of another node, which is sent with the next {@link #update}. */
-  public void grant(RelayEffect.GrantRoom grant) {
+  public void grant(RelayEffect.GrantReservation grant) {
     server.grant(grant);
   }
 
@@ -441,9 +441,9 @@
     reportReceivers = reportReceivers();
     Optional<PeerTable.Peer> coordinator =
         coordinators.stream().findFirst().flatMap(PeerTable.Coordinator::peer);
-    RoomKeeping newMode = RoomKeeping.EACH;
+    ReservationMode newMode = ReservationMode.EACH;
     if (!coordinators.isEmpty()) {
-      newMode = coordinator.isPresent() ? RoomKeeping.ASK : RoomKeeping.KEEP;
+      newMode = coordinator.isPresent() ? ReservationMode.ASK : ReservationMode.KEEP;
     }
     client.setCoordinator(coordinator);
     if (!firstName(previous).equals(firstName(coordinators))) {
@@ -456,7 +456,7 @@
     }
     if (newMode != reservationMode) {
       reservationMode = newMode;
-      if (newMode == RoomKeeping.KEEP) {
+      if (newMode == ReservationMode.KEEP) {
         environment.after(ReservationServer.TOTALS_NANOS, this::sendTotalLoads);
       }
       environment.submit(new RelayEvent.KeepingChanged(environment.now(), newMode));
@@ -467,7 +467,7 @@
   }
 
   private void sendTotalLoads() {
-    if (reservationMode == RoomKeeping.KEEP) {
+    if (reservationMode == ReservationMode.KEEP) {
       server.sendTotalLoads();
       environment.after(ReservationServer.TOTALS_NANOS, this::sendTotalLoads);
     }
@@ -557,10 +557,10 @@
   private void receivedReport(PeerTable.Peer from, PeerMessage m) {
     server.received(m);
     submitLoad(m);
-    if (!m.requests().isEmpty() && reservationMode == RoomKeeping.ASK) {
+    if (!m.requests().isEmpty() && reservationMode == ReservationMode.ASK) {
       requestedFromStandby();
     }
-    if (reservationMode != RoomKeeping.KEEP) {
+    if (reservationMode != ReservationMode.KEEP) {
       return;
     }
     PeerMessage.Sender s = m.sender();
@@ -590,7 +590,7 @@
             m.expiringUpstreams()));
   }
 
-  private void setTotalLoad(UpstreamLife incarnation, long units) {
+  private void setTotalLoad(UpstreamIncarnation incarnation, long units) {
     if (units == 0) {
       totalLoads.remove(incarnation);
     } else {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/NodeRegistry.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/NodeRegistry.java
@@ -20,7 +20,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.store.Backoff;
 import org.larkkeel.store.EntryProblem;
 import org.larkkeel.store.EntryProblem.Reason;
@@ -58,7 +58,7 @@
   private final ObjectKey key;
   private final InetSocketAddress address;
   private final Consumer<InetSocketAddress> peerListener;
-  private final Consumer<ImmutableList<Suspect>> suspectListener;
+  private final Consumer<ImmutableList<SuspectRequest>> suspectListener;
   private final SplittableRandom random;
   private final Backoff backoff;
   private final QuarantineEntries quarantine = new QuarantineEntries();
@@ -71,7 +71,7 @@
       HostName self,
       InetSocketAddress address,
       Consumer<InetSocketAddress> peerListener,
-      Consumer<ImmutableList<Suspect>> suspectListener,
+      Consumer<ImmutableList<SuspectRequest>> suspectListener,
       BiConsumer<String, Reason> unreadable) {
     this.problems = new UnreadableEntries("nodes", scheduler::nanoTime, unreadable);
     this.store = store;
@@ -104,7 +104,7 @@
   }
 
   /** Stores what this node has found about a request, if it is or was quarantined. */
-  void storeSuspect(Suspect suspect) {
+  void storeSuspect(SuspectRequest suspect) {
     if (quarantine.update(suspect, scheduler.wallMillis())) {
       store.get(key).whenComplete(this::found);
     }
@@ -146,7 +146,7 @@
   private void restoreSuspects(StoredObject present) {
     long wallMillis = scheduler.wallMillis();
     if (QuarantineEntries.read(present.spec(), wallMillis)
-        instanceof Reading.Readable<ImmutableList<Suspect>> r) {
+        instanceof Reading.Readable<ImmutableList<SuspectRequest>> r) {
       r.value().forEach(s -> quarantine.restore(s, wallMillis));
     }
   }
@@ -200,8 +200,8 @@
     page.unreadable().forEach(u -> unreadable.put(u.name(), u.problem()));
     for (StoredObject node : page.items()) {
       switch (QuarantineEntries.read(node.spec(), scheduler.wallMillis())) {
-        case Reading.Readable<ImmutableList<Suspect>> r -> notifySuspects(r.value());
-        case Reading.Unreadable<ImmutableList<Suspect>> u ->
+        case Reading.Readable<ImmutableList<SuspectRequest>> r -> notifySuspects(r.value());
+        case Reading.Unreadable<ImmutableList<SuspectRequest>> u ->
             unreadable.put(node.key().name(), u.problem());
       }
       if (!node.key().equals(key)) {
@@ -215,7 +215,7 @@
     problems.update(unreadable);
   }
 
-  private void notifySuspects(ImmutableList<Suspect> suspects) {
+  private void notifySuspects(ImmutableList<SuspectRequest> suspects) {
     if (!suspects.isEmpty()) {
       suspectListener.accept(suspects);
     }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessage.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessage.java
@@ -12,11 +12,11 @@
 import java.util.Optional;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.quota.QuotaMessage;
-import org.larkkeel.relay.RateWord;
-import org.larkkeel.relay.RoomAsk;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.RateLimitReport;
+import org.larkkeel.relay.ReservationRequest;
+import org.larkkeel.relay.SuspectRequest;
 
 /**
  * A message between two nodes; {@link PeerMessageCodec} encodes it.
@@ -36,11 +36,11 @@
 record PeerMessage(
     Kind kind,
     Sender sender,
-    ImmutableMap<UpstreamLife, Long> loads,
-    ImmutableSet<UpstreamLife> expiringUpstreams,
-    ImmutableList<RoomAsk> requests,
+    ImmutableMap<UpstreamIncarnation, Long> loads,
+    ImmutableSet<UpstreamIncarnation> expiringUpstreams,
+    ImmutableList<ReservationRequest> requests,
     ImmutableList<ReservationGrant> grants,
-    ImmutableList<Suspect> suspects,
+    ImmutableList<SuspectRequest> suspects,
     Optional<QuotaMessage> quota) {
 
   /** The purpose of a message. Ordinals are sent, so the order of the constants must not change. */
@@ -87,7 +87,7 @@
       DataCentreName dataCentre,
       NodeState state,
       FeedChanges changes,
-      ImmutableList<RateWord> rateLimits) {}
+      ImmutableList<RateLimitReport> rateLimits) {}
 
   /** Returns a message without any content but its sender. */
   static PeerMessage of(Kind kind, Sender sender) {
@@ -104,12 +104,12 @@
 
   /** Returns this message with loads. */
   PeerMessage withLoads(
-      ImmutableMap<UpstreamLife, Long> newLoads, ImmutableSet<UpstreamLife> newExpiring) {
+      ImmutableMap<UpstreamIncarnation, Long> newLoads, ImmutableSet<UpstreamIncarnation> newExpiring) {
     return new PeerMessage(kind, sender, newLoads, newExpiring, requests, grants, suspects, quota);
   }
 
   /** Returns this message with pending reservations. */
-  PeerMessage withRequests(ImmutableList<RoomAsk> newRequests) {
+  PeerMessage withRequests(ImmutableList<ReservationRequest> newRequests) {
     return new PeerMessage(
         kind, sender, loads, expiringUpstreams, newRequests, grants, suspects, quota);
   }
@@ -121,7 +121,7 @@
   }
 
   /** Returns this message with suspect requests. */
-  PeerMessage withSuspects(ImmutableList<Suspect> newSuspects) {
+  PeerMessage withSuspects(ImmutableList<SuspectRequest> newSuspects) {
     return new PeerMessage(
         kind, sender, loads, expiringUpstreams, requests, grants, newSuspects, quota);
   }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessageCodec.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessageCodec.java
@@ -22,14 +22,14 @@
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.Incarnation;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.relay.PromptKey;
-import org.larkkeel.relay.RateWord;
+import org.larkkeel.relay.RateLimitReport;
 import org.larkkeel.relay.RequestRate;
-import org.larkkeel.relay.RoomAsk;
+import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.ServiceName;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.store.StoreVersion;
 
 /**
@@ -79,8 +79,8 @@
     writeVersion(out, sender.changes().configurations());
     writeVersion(out, sender.changes().upstreams());
     out.writeListBegin(new TList(TType.STRUCT, sender.rateLimits().size()));
-    for (RateWord rateLimit : sender.rateLimits()) {
-      writeIncarnation(out, rateLimit.life());
+    for (RateLimitReport rateLimit : sender.rateLimits()) {
+      writeIncarnation(out, rateLimit.upstream());
       out.writeI64(rateLimit.limit().map(RequestRate::thousandths).orElse(0L));
       out.writeI64(rateLimit.ageNanos());
     }
@@ -91,7 +91,7 @@
     }
     writeIncarnations(out, m.expiringUpstreams());
     out.writeListBegin(new TList(TType.STRUCT, m.requests().size()));
-    for (RoomAsk request : m.requests()) {
+    for (ReservationRequest request : m.requests()) {
       writeRequest(out, request);
     }
     out.writeListBegin(new TList(TType.STRUCT, m.grants().size()));
@@ -101,48 +101,48 @@
       writeIncarnations(out, grant.prefillUpstream().stream().toList());
     }
     out.writeListBegin(new TList(TType.STRUCT, m.suspects().size()));
-    for (Suspect suspect : m.suspects()) {
+    for (SuspectRequest suspect : m.suspects()) {
       writeSuspect(out, suspect);
     }
     QuotaCodec.write(out, m.quota());
   }
 
-  private static void writeSuspect(TCompactProtocol out, Suspect suspect) throws TException {
+  private static void writeSuspect(TCompactProtocol out, SuspectRequest suspect) throws TException {
     out.writeI64(suspect.request().high());
     out.writeI64(suspect.request().low());
-    out.writeI32(suspect.epoch());
-    out.writeListBegin(new TList(TType.STRUCT, suspect.ends().size()));
-    for (var end : suspect.ends().entrySet()) {
+    out.writeI32(suspect.clearanceEpoch());
+    out.writeListBegin(new TList(TType.STRUCT, suspect.crashes().size()));
+    for (var end : suspect.crashes().entrySet()) {
       writeIncarnation(out, end.getKey());
       out.writeI64(end.getValue());
     }
   }
 
-  private static void writeIncarnations(TCompactProtocol out, Collection<UpstreamLife> incarnations)
+  private static void writeIncarnations(TCompactProtocol out, Collection<UpstreamIncarnation> incarnations)
       throws TException {
     out.writeListBegin(new TList(TType.STRUCT, incarnations.size()));
-    for (UpstreamLife incarnation : incarnations) {
+    for (UpstreamIncarnation incarnation : incarnations) {
       writeIncarnation(out, incarnation);
     }
   }
 
-  static void writeIncarnation(TCompactProtocol out, UpstreamLife incarnation) throws TException {
+  static void writeIncarnation(TCompactProtocol out, UpstreamIncarnation incarnation) throws TException {
     out.writeString(incarnation.name().value());
-    out.writeI64(incarnation.start().value());
+    out.writeI64(incarnation.incarnation().value());
   }
 
-  private static void writeRequest(TCompactProtocol out, RoomAsk request) throws TException {
+  private static void writeRequest(TCompactProtocol out, ReservationRequest request) throws TException {
     out.writeI64(request.call().value());
     out.writeString(request.wireId());
     out.writeString(request.service().value());
     out.writeI64(request.units());
     out.writeI64(request.prompt());
-    out.writeBool(request.fresh());
-    out.writeBool(request.begun());
+    out.writeBool(request.firstTry());
+    out.writeBool(request.streaming());
     out.writeI64(request.waitedMillis());
     out.writeI64(request.targetMillis());
-    out.writeString(request.key().value());
-    writeIncarnations(out, request.without());
+    out.writeString(request.promptKey().value());
+    writeIncarnations(out, request.excluded());
   }
 
   private static PeerMessage read(TCompactProtocol in) throws TException {
@@ -151,17 +151,17 @@
     final DataCentreName dataCentre = new DataCentreName(in.readString());
     final NodeState state = constant(NodeState.values(), in.readByte());
     final FeedChanges changes = new FeedChanges(readVersion(in), readVersion(in));
-    ImmutableList.Builder<RateWord> rateLimits = ImmutableList.builder();
+    ImmutableList.Builder<RateLimitReport> rateLimits = ImmutableList.builder();
     for (int i = size(in); i > 0; i--) {
       rateLimits.add(readRateLimit(in));
     }
-    ImmutableMap.Builder<UpstreamLife, Long> loads = ImmutableMap.builder();
+    ImmutableMap.Builder<UpstreamIncarnation, Long> loads = ImmutableMap.builder();
     for (int i = size(in); i > 0; i--) {
-      UpstreamLife upstream = readIncarnation(in);
+      UpstreamIncarnation upstream = readIncarnation(in);
       loads.put(upstream, Math.max(0, in.readI64()));
     }
-    final ImmutableSet<UpstreamLife> expiringUpstreams = readIncarnations(in);
-    ImmutableList.Builder<RoomAsk> requests = ImmutableList.builder();
+    final ImmutableSet<UpstreamIncarnation> expiringUpstreams = readIncarnations(in);
+    ImmutableList.Builder<ReservationRequest> requests = ImmutableList.builder();
     for (int i = size(in); i > 0; i--) {
       requests.add(readRequest(in));
     }
@@ -169,7 +169,7 @@
     for (int i = size(in); i > 0; i--) {
       grants.add(readGrant(in));
     }
-    ImmutableList.Builder<Suspect> suspects = ImmutableList.builder();
+    ImmutableList.Builder<SuspectRequest> suspects = ImmutableList.builder();
     for (int i = size(in); i > 0; i--) {
       suspects.add(readSuspect(in));
     }
@@ -184,15 +184,15 @@
         QuotaCodec.read(in));
   }
 
-  private static Suspect readSuspect(TCompactProtocol in) throws TException {
+  private static SuspectRequest readSuspect(TCompactProtocol in) throws TException {
     final Fingerprint request = new Fingerprint(in.readI64(), in.readI64());
     final int epoch = in.readI32();
-    ImmutableMap.Builder<UpstreamLife, Long> ends = ImmutableMap.builder();
+    ImmutableMap.Builder<UpstreamIncarnation, Long> ends = ImmutableMap.builder();
     for (int i = size(in); i > 0; i--) {
-      UpstreamLife incarnation = readIncarnation(in);
+      UpstreamIncarnation incarnation = readIncarnation(in);
       ends.put(incarnation, in.readI64());
     }
-    return new Suspect(request, epoch, ends.buildKeepingLast());
+    return new SuspectRequest(request, epoch, ends.buildKeepingLast());
   }
 
   private static <T> T constant(T[] values, byte ordinal) {
@@ -211,18 +211,18 @@
     return size;
   }
 
-  private static ImmutableSet<UpstreamLife> readIncarnations(TCompactProtocol in)
+  private static ImmutableSet<UpstreamIncarnation> readIncarnations(TCompactProtocol in)
       throws TException {
-    ImmutableSet.Builder<UpstreamLife> incarnations = ImmutableSet.builder();
+    ImmutableSet.Builder<UpstreamIncarnation> incarnations = ImmutableSet.builder();
     for (int i = size(in); i > 0; i--) {
       incarnations.add(readIncarnation(in));
     }
     return incarnations.build();
   }
 
-  static UpstreamLife readIncarnation(TCompactProtocol in) throws TException {
+  static UpstreamIncarnation readIncarnation(TCompactProtocol in) throws TException {
     UpstreamName name = new UpstreamName(in.readString());
-    return new UpstreamLife(name, new Incarnation(in.readI64()));
+    return new UpstreamIncarnation(name, new Incarnation(in.readI64()));
   }
 
   private static void writeVersion(TCompactProtocol out, StoreVersion version) throws TException {
@@ -234,16 +234,16 @@
     return new StoreVersion(in.readI64(), in.readI64());
   }
 
-  private static RateWord readRateLimit(TCompactProtocol in) throws TException {
-    UpstreamLife incarnation = readIncarnation(in);
+  private static RateLimitReport readRateLimit(TCompactProtocol in) throws TException {
+    UpstreamIncarnation incarnation = readIncarnation(in);
     long thousandths = in.readI64();
     Optional<RequestRate> limit =
         thousandths > 0 ? Optional.of(new RequestRate(thousandths)) : Optional.empty();
-    return new RateWord(incarnation, limit, Math.max(0, in.readI64()));
+    return new RateLimitReport(incarnation, limit, Math.max(0, in.readI64()));
   }
 
-  private static RoomAsk readRequest(TCompactProtocol in) throws TException {
-    return new RoomAsk(
+  private static ReservationRequest readRequest(TCompactProtocol in) throws TException {
+    return new ReservationRequest(
         new RequestId(in.readI64()),
         in.readString(),
         new ServiceName(in.readString()),
@@ -259,7 +259,7 @@
 
   private static ReservationGrant readGrant(TCompactProtocol in) throws TException {
     RequestId call = new RequestId(in.readI64());
-    UpstreamLife reservedUpstream = readIncarnation(in);
+    UpstreamIncarnation reservedUpstream = readIncarnation(in);
     return new ReservationGrant(call, reservedUpstream, readIncarnations(in).stream().findFirst());
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineAdmin.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineAdmin.java
@@ -26,7 +26,7 @@
 import org.larkkeel.lib.Fingerprint;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayRouter;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 
 /**
  * Operator endpoint that lists the requests in progress when upstreams crashed, and releases one
@@ -61,18 +61,18 @@
     long now = loop.now();
     List<QuarantineStatus.Entry> requests =
         router.suspects(now).stream()
-            .filter(s -> !s.ends().isEmpty())
-            .map(s -> entry(s, router.quarantinedNanos(now, s.request())))
+            .filter(s -> !s.crashes().isEmpty())
+            .map(s -> entry(s, router.remainingQuarantineNanos(now, s.request())))
             .toList();
     answer(exchange, StatusCodes.OK, JSON, OperatorCodec.write(new QuarantineStatus(requests)));
   }
 
-  private static QuarantineStatus.Entry entry(Suspect s, long remainingNanos) {
+  private static QuarantineStatus.Entry entry(SuspectRequest s, long remainingNanos) {
     return new QuarantineStatus.Entry(
         s.request().toString(),
         TimeUnit.NANOSECONDS.toMillis(remainingNanos),
-        TimeUnit.NANOSECONDS.toMillis(Collections.min(s.ends().values())),
-        s.ends().keySet().stream().map(Object::toString).collect(ImmutableList.toImmutableList()));
+        TimeUnit.NANOSECONDS.toMillis(Collections.min(s.crashes().values())),
+        s.crashes().keySet().stream().map(Object::toString).collect(ImmutableList.toImmutableList()));
   }
 
   private void release(HttpServerExchange exchange, String text) {
@@ -89,7 +89,7 @@
 
   private boolean isKnown(Fingerprint request) {
     return router.suspects(loop.now()).stream()
-        .anyMatch(s -> s.request().equals(request) && !s.ends().isEmpty());
+        .anyMatch(s -> s.request().equals(request) && !s.crashes().isEmpty());
   }
 
   private static Optional<Fingerprint> parse(String text) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineEntries.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineEntries.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import org.larkkeel.lib.Fingerprint;
 import org.larkkeel.lib.Incarnation;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.store.EntryProblem;
 import org.larkkeel.store.EntryProblem.Reason;
 import org.larkkeel.store.Reading;
@@ -46,14 +46,14 @@
   /** In order of their last change. */
   private final Map<Fingerprint, StoredSuspect> entries = new LinkedHashMap<>();
 
-  private record StoredSuspect(Suspect suspect, long wallMillis) {}
+  private record StoredSuspect(SuspectRequest suspect, long wallMillis) {}
 
   /**
    * Updates the known state of a request.
    *
    * @return whether the node's entry must be written
    */
-  boolean update(Suspect suspect, long wallMillis) {
+  boolean update(SuspectRequest suspect, long wallMillis) {
     if (!suspect.isQuarantined() && !entries.containsKey(suspect.request())) {
       return false;
     }
@@ -66,8 +66,8 @@
   }
 
   /** Adds a suspect read from the node's stored entry, unless the request is known already. */
-  void restore(Suspect suspect, long wallMillis) {
-    boolean isOld = suspect.ends().values().stream().allMatch(age -> age > MAX_AGE_NANOS);
+  void restore(SuspectRequest suspect, long wallMillis) {
+    boolean isOld = suspect.crashes().values().stream().allMatch(age -> age > MAX_AGE_NANOS);
     if (entries.size() < MAX_REQUESTS && !isOld) {
       entries.putIfAbsent(suspect.request(), new StoredSuspect(suspect, wallMillis));
     }
@@ -81,22 +81,22 @@
     ArrayNode all = entry.putArray(FIELD);
     for (StoredSuspect stored : entries.values()) {
       ObjectNode item = all.addObject();
-      item.put(REQUEST, stored.suspect().request().toString()).put(EPOCH, stored.suspect().epoch());
+      item.put(REQUEST, stored.suspect().request().toString()).put(EPOCH, stored.suspect().clearanceEpoch());
       ArrayNode ends = item.putArray(ENDS);
       stored
           .suspect()
-          .ends()
+          .crashes()
           .forEach(
               (incarnation, age) ->
                   ends.addObject()
                       .put(UPSTREAM, incarnation.name().value())
-                      .put(START, incarnation.start().value())
+                      .put(START, incarnation.incarnation().value())
                       .put(AT, stored.wallMillis() - TimeUnit.NANOSECONDS.toMillis(age)));
     }
   }
 
   /** Reads the requests of an entry, which may come from another writer and be malformed. */
-  static Reading<ImmutableList<Suspect>> read(JsonNode entry, long wallMillis) {
+  static Reading<ImmutableList<SuspectRequest>> read(JsonNode entry, long wallMillis) {
     JsonNode all = entry.path(FIELD);
     if (all.isMissingNode()) {
       return new Reading.Readable<>(ImmutableList.of());
@@ -104,7 +104,7 @@
     if (!all.isArray() || all.size() > MAX_REQUESTS) {
       return unreadable(all);
     }
-    ImmutableList.Builder<Suspect> suspects = ImmutableList.builder();
+    ImmutableList.Builder<SuspectRequest> suspects = ImmutableList.builder();
     try {
       for (JsonNode item : all) {
         suspects.add(suspect(item, wallMillis));
@@ -115,17 +115,17 @@
     return new Reading.Readable<>(suspects.build());
   }
 
-  private static Suspect suspect(JsonNode item, long wallMillis) {
-    ImmutableMap.Builder<UpstreamLife, Long> ends = ImmutableMap.builder();
+  private static SuspectRequest suspect(JsonNode item, long wallMillis) {
+    ImmutableMap.Builder<UpstreamIncarnation, Long> ends = ImmutableMap.builder();
     for (JsonNode end : item.path(ENDS)) {
       UpstreamName name = new UpstreamName(end.path(UPSTREAM).asText());
       long age = Math.max(0, wallMillis - integer(end.path(AT)));
       ends.put(
-          new UpstreamLife(name, new Incarnation(integer(end.path(START)))),
+          new UpstreamIncarnation(name, new Incarnation(integer(end.path(START)))),
           TimeUnit.MILLISECONDS.toNanos(age));
     }
     Fingerprint request = Fingerprint.parse(item.path(REQUEST).asText());
-    return new Suspect(request, (int) integer(item.path(EPOCH)), ends.buildKeepingLast());
+    return new SuspectRequest(request, (int) integer(item.path(EPOCH)), ends.buildKeepingLast());
   }
 
   private static long integer(JsonNode number) {
@@ -135,7 +135,7 @@
     return number.longValue();
   }
 
-  private static Reading<ImmutableList<Suspect>> unreadable(JsonNode found) {
+  private static Reading<ImmutableList<SuspectRequest>> unreadable(JsonNode found) {
     return new Reading.Unreadable<>(
         new EntryProblem(Reason.MALFORMED, FIELD, found.toString(), "requests with their ends"));
   }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaCodec.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaCodec.java
@@ -14,7 +14,7 @@
 import org.apache.thrift.protocol.TList;
 import org.apache.thrift.protocol.TType;
 import org.larkkeel.lib.WorkspaceName;
-import org.larkkeel.quota.QuotaAsk;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.quota.QuotaLevels;
@@ -36,7 +36,7 @@
   static void write(TCompactProtocol out, Optional<QuotaMessage> message) throws TException {
     switch (message.orElse(null)) {
       case null -> out.writeByte(NOTHING);
-      case QuotaAsk request -> {
+      case QuotaRequest request -> {
         out.writeByte(REQUEST);
         write(out, request);
       }
@@ -51,16 +51,16 @@
     }
   }
 
-  private static void write(TCompactProtocol out, QuotaAsk request) throws TException {
+  private static void write(TCompactProtocol out, QuotaRequest request) throws TException {
     out.writeI64(request.epoch());
     out.writeI64(request.sequence());
     out.writeI64(request.lentNanos());
     out.writeI32(request.nodes());
-    out.writeListBegin(new TList(TType.STRUCT, request.wants().size()));
-    for (QuotaAsk.Want want : request.wants()) {
+    out.writeListBegin(new TList(TType.STRUCT, request.demands().size()));
+    for (QuotaRequest.Demand want : request.demands()) {
       writeKey(out, want.key());
       out.writeI64(want.needed());
-      out.writeI64(want.least());
+      out.writeI64(want.minUseful());
       out.writeI64(want.ahead());
       out.writeI64(want.returned());
     }
@@ -97,19 +97,19 @@
     };
   }
 
-  private static QuotaAsk readRequest(TCompactProtocol in) throws TException {
+  private static QuotaRequest readRequest(TCompactProtocol in) throws TException {
     final long epoch = in.readI64();
     final long sequence = in.readI64();
     final long lent = in.readI64();
     final int nodes = in.readI32();
-    ImmutableList.Builder<QuotaAsk.Want> wants = ImmutableList.builder();
+    ImmutableList.Builder<QuotaRequest.Demand> wants = ImmutableList.builder();
     for (int i = PeerMessageCodec.size(in); i > 0; i--) {
       QuotaKey key = readKey(in);
       wants.add(
-          new QuotaAsk.Want(
+          new QuotaRequest.Demand(
               key, nonNegative(in), nonNegative(in), nonNegative(in), nonNegative(in)));
     }
-    return new QuotaAsk(epoch, sequence, lent, nodes, wants.build());
+    return new QuotaRequest(epoch, sequence, lent, nodes, wants.build());
   }
 
   private static QuotaGrant readGrant(TCompactProtocol in) throws TException {
@@ -140,7 +140,7 @@
       }
       case QuotaKey.OfUpstream u -> {
         out.writeBool(false);
-        PeerMessageCodec.writeIncarnation(out, u.life());
+        PeerMessageCodec.writeIncarnation(out, u.upstream());
       }
     }
   }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaSharing.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 import java.util.Optional;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.quota.QuotaAsk;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaHolder;
 import org.larkkeel.quota.QuotaLevels;
 import org.larkkeel.quota.QuotaMessage;
-import org.larkkeel.quota.QuotaPool;
+import org.larkkeel.quota.QuotaCoordinator;
 import org.larkkeel.quota.QuotaTolerance;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayRouter;
@@ -52,7 +52,7 @@
   private final PeerTable peers;
   private final LoadSharing.Surroundings environment;
   private final Channel channel;
-  private QuotaPool localCoordinator = new QuotaPool(QuotaTolerance.NONE);
+  private QuotaCoordinator localCoordinator = new QuotaCoordinator(QuotaTolerance.NONE);
   private final Map<HostName, Long> unansweredNanos = new HashMap<>();
   private Optional<RelayRouter> router = Optional.empty();
   private Optional<PeerTable.Coordinator> coordinator = Optional.empty();
@@ -82,7 +82,7 @@
   /** Sets the router whose quotas are shared; before that, nothing is requested or granted. */
   void router(RelayRouter newRouter) {
     router = Optional.of(newRouter);
-    localCoordinator = new QuotaPool(newRouter.quotaTolerance());
+    localCoordinator = new QuotaCoordinator(newRouter.quotaTolerance());
   }
 
   /** Requests the quota that is needed now, if any. */
@@ -119,10 +119,10 @@
   /** Handles a quota message from a peer. */
   void received(PeerTable.Peer from, QuotaMessage message) {
     switch (message) {
-      case QuotaAsk request -> receivedRequest(from, request);
+      case QuotaRequest request -> receivedRequest(from, request);
       case QuotaGrant grant ->
           environment.submit(new RelayEvent.QuotaGranted(environment.now(), grant));
-      case QuotaLevels levels -> localCoordinator.heard(environment.now(), levels);
+      case QuotaLevels levels -> localCoordinator.levelsReceived(environment.now(), levels);
     }
   }
 
@@ -130,13 +130,13 @@
     if (router.isEmpty()) {
       return;
     }
-    router.get().quotaAsk(environment.now(), heartbeat).ifPresent(this::send);
+    router.get().quotaRequest(environment.now(), heartbeat).ifPresent(this::send);
     if (router.get().awaitsQuota()) {
       scheduleRequest();
     }
   }
 
-  private void send(QuotaAsk request) {
+  private void send(QuotaRequest request) {
     sendCount = request.sequence() == lastSequence ? sendCount + 1 : 1;
     lastSequence = request.sequence();
     if (sendCount > MAX_SENDS) {
@@ -209,16 +209,16 @@
     return answers;
   }
 
-  private void receivedRequest(PeerTable.Peer from, QuotaAsk request) {
+  private void receivedRequest(PeerTable.Peer from, QuotaRequest request) {
     if (router.isPresent()) {
       channel.send(from, grant(from.name, request));
     }
   }
 
-  private QuotaGrant grant(HostName node, QuotaAsk request) {
+  private QuotaGrant grant(HostName node, QuotaRequest request) {
     lastRequestNanos = environment.now();
-    return localCoordinator.ask(
-        lastRequestNanos, node, request, peers.size() + 1, router.orElseThrow()::limit);
+    return localCoordinator.grant(
+        lastRequestNanos, node, request, peers.size() + 1, router.orElseThrow()::quotaLimit);
   }
 
   /** Discards the coordinator's state after the machine was suspended, because it is outdated. */
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFactLog.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFactLog.java
@@ -40,10 +40,10 @@
               f.revision(),
               f.leftMillis(),
               f.size().prompt(),
-              f.size().mostOutput(),
-              f.size().likelyOutput(),
+              f.size().maxOutput(),
+              f.size().expectedOutput(),
               f.resumes());
-      case RelayFact.RoomTaken f ->
+      case RelayFact.ReservationMade f ->
           log.info(
               "event=room_taken call={} upstream={} need={} load={} memory={} nodes_heard={}"
                   + " waited_ms={}",
@@ -54,14 +54,14 @@
               f.memory(),
               f.nodes(),
               millis(f.waitedNanos()));
-      case RelayFact.RoomGiven f ->
+      case RelayFact.ReservationGranted f ->
           log.info(
               "event=room_given call={} node={} upstream={} reader={} need={} load={} memory={}"
                   + " waited_ms={}",
               id(f.call()),
               f.node(),
               f.upstream(),
-              f.reader(),
+              f.prefillUpstream(),
               f.units(),
               f.load(),
               f.memory(),
@@ -78,7 +78,7 @@
               "event=waiting call={} service={} need={} waiting={}",
               id(f.call()),
               f.service(),
-              f.need(),
+              f.units(),
               f.waiting());
       case RelayFact.Placed f ->
           log.info(
@@ -91,7 +91,7 @@
               round(f.cost()),
               f.runnerUp(),
               round(f.runnerUpCost()),
-              f.sends(),
+              f.attemptNumber(),
               f.candidates());
       case RelayFact.AttemptFailed f ->
           log.warn(
@@ -108,23 +108,23 @@
               id(f.call()),
               f.attempt(),
               f.upstream().name(),
-              f.upstream().start(),
+              f.upstream().incarnation(),
               f.request(),
-              millis(f.sentNanos()),
-              f.begunNanos() < 0 ? "none" : millis(f.begunNanos()),
-              f.others());
+              millis(f.sinceSentNanos()),
+              f.sinceFirstEventNanos() < 0 ? "none" : millis(f.sinceFirstEventNanos()),
+              f.otherAttempts());
       case RelayFact.UpstreamEnded f ->
           log.warn(
               "event=upstream_ended upstream={} start={} proof={} requests={}",
               f.upstream().name(),
-              f.upstream().start(),
+              f.upstream().incarnation(),
               f.proof(),
               f.requests());
       case RelayFact.Suspected f ->
           log.warn(
               "event=suspected request={} ends={} left_ms={} source={}",
               f.request(),
-              f.ends(),
+              f.crashes(),
               millis(f.remainingNanos()),
               f.source());
       case RelayFact.Quarantined f ->
@@ -132,7 +132,7 @@
               "event=quarantined call={} request={} ends={} left_ms={}",
               id(f.call()),
               f.request(),
-              f.ends(),
+              f.crashes(),
               millis(f.remainingNanos()));
       case RelayFact.Cleared f ->
           log.info("event=cleared request={} cause={}", f.request(), f.cause());
@@ -173,12 +173,12 @@
       case RelayFact.Refused f ->
           log.warn(
               "event={} call={} rule={} kind={} detail=\"{}\" sends={} runs={} ms={}",
-              f.began() ? "cut" : "refused",
+              f.streaming() ? "cut" : "refused",
               id(f.call()),
               f.rule(),
               f.kind().slug(),
               text(f.detail()),
-              f.sends(),
+              f.attempts(),
               f.runs(),
               millis(f.nanos()));
       case RelayFact.QuotaDecided f ->
@@ -190,7 +190,7 @@
               f.revision(),
               f.tokens(),
               f.outcome(),
-              f.left(),
+              f.tokensLeft(),
               millis(f.ageNanos()),
               millis(f.waitNanos()));
       case RelayFact.CallerLeft f ->
@@ -213,25 +213,25 @@
       case RelayFact.UpstreamChanged f ->
           log.info(
               "event=upstream_changed upstream={} start={} service={} address={} change={}",
-              f.life().name(),
-              f.life().start(),
+              f.upstream().name(),
+              f.upstream().incarnation(),
               f.service(),
               f.address(),
               f.change());
-      case RelayFact.Rests f ->
+      case RelayFact.BackoffRequested f ->
           log.warn("event=rests upstream={} for_ms={}", f.upstream(), millis(f.forNanos()));
       case RelayFact.PermitAwaited f ->
           log.info(
               "event=permit_awaited call={} service={} longest_ms={}",
               id(f.call()),
               f.service(),
-              millis(f.longestNanos()));
+              millis(f.maxWaitNanos()));
       case RelayFact.RateLimit f ->
           log.warn(
               "event=rate_limit upstream={} start={} change={} before={} per_second={} source={}"
                   + " age_ms={}",
               f.upstream().name(),
-              f.upstream().start(),
+              f.upstream().incarnation(),
               f.change(),
               rate(f.before()),
               rate(f.now()),
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayMeters.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayMeters.java
@@ -80,7 +80,7 @@
       case RelayFact.AttemptBroken f ->
           registry
               .counter(
-                  "larkkeel.relay.attempts.broken", "begun", String.valueOf(f.begunNanos() >= 0))
+                  "larkkeel.relay.attempts.broken", "begun", String.valueOf(f.sinceFirstEventNanos() >= 0))
               .increment();
       case RelayFact.UpstreamEnded f ->
           registry.counter("larkkeel.relay.upstream.ends", "proof", f.proof()).increment();
@@ -118,7 +118,7 @@
           registry.counter("larkkeel.relay.prompt.wasted.tokens").increment(f.tokens());
       case RelayFact.BudgetSpent f ->
           registry.counter("larkkeel.relay.budget.spent", "service", f.service()).increment();
-      case RelayFact.Rests f -> registry.counter("larkkeel.relay.rests").increment();
+      case RelayFact.BackoffRequested f -> registry.counter("larkkeel.relay.rests").increment();
       case RelayFact.PermitAwaited f ->
           registry.counter("larkkeel.relay.permits.awaited", "service", f.service()).increment();
       case RelayFact.RateLimit f ->
@@ -141,9 +141,9 @@
       }
       case RelayFact.Waiting f ->
           registry.counter("larkkeel.relay.waiting", "service", f.service()).increment();
-      case RelayFact.RoomTaken f ->
+      case RelayFact.ReservationMade f ->
           latency("larkkeel.relay.room", "all").record(f.waitedNanos(), TimeUnit.NANOSECONDS);
-      case RelayFact.RoomGiven f ->
+      case RelayFact.ReservationGranted f ->
           latency("larkkeel.relay.room.given", "all").record(f.waitedNanos(), TimeUnit.NANOSECONDS);
       case RelayFact.Began f -> {}
       case RelayFact.Admitted f -> {}
@@ -187,7 +187,7 @@
 
   private void refused(RelayFact.Refused f) {
     ErrorKind kind = f.kind();
-    String outcome = f.began() ? "cut_" + kind.slug() : kind.slug();
+    String outcome = f.streaming() ? "cut_" + kind.slug() : kind.slug();
     calls(f.rule().isEmpty() ? "none" : f.rule(), outcome).increment();
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNode.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNode.java
@@ -24,7 +24,7 @@
 import org.larkkeel.http.upstream.UpstreamClient;
 import org.larkkeel.http.upstream.UpstreamClientSettings;
 import org.larkkeel.lib.Closer;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayRouter;
@@ -175,7 +175,7 @@
   }
 
   /** Reports a suspect request to the peers and stores it for nodes that start later. */
-  private void reportSuspect(RelayEffect.TellSuspect news) {
+  private void reportSuspect(RelayEffect.ReportSuspect news) {
     loadExchange.reportSuspect(news);
     scheduler.execute(() -> registry.storeSuspect(news.suspect()));
   }
@@ -188,14 +188,14 @@
     return (upstream, stage, holder, fencing, allowed) -> {
       loop.submit(
           new RelayEvent.Ordered(
-              loop.now(), upstream.life(), StageController.MAX_ORDER_TIME.toNanos()));
+              loop.now(), upstream.incarnation(), StageController.MAX_ORDER_TIME.toNanos()));
       return sender
           .send(upstream, stage, holder, fencing, allowed)
-          .whenComplete((status, failure) -> refusedOrder(upstream.life(), status));
+          .whenComplete((status, failure) -> refusedOrder(upstream.incarnation(), status));
     };
   }
 
-  private void refusedOrder(UpstreamLife upstream, Integer status) {
+  private void refusedOrder(UpstreamIncarnation upstream, Integer status) {
     if (status != null && status >= StatusCodes.BAD_REQUEST) {
       loop.submit(new RelayEvent.OrderRefused(loop.now(), upstream));
     }
@@ -235,9 +235,9 @@
   }
 
   private void observe() {
-    upstreams = router.upstreams();
+    upstreams = router.upstreamCount();
     long nowNanos = loop.now();
-    loadExchange.update(router.loads(), router.lapsing(nowNanos), router.asks(nowNanos));
+    loadExchange.update(router.loads(), router.losingHandles(nowNanos), router.reservationRequests(nowNanos));
     inProgress = router.inProgress();
     boolean isReady = router.isReady();
     if (isReady != ready) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationClient.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationClient.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.function.LongSupplier;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.relay.RoomAsk;
+import org.larkkeel.relay.ReservationRequest;
 
 /**
  * The client side of reservations: sends the pending reservations to the coordinator until they are
@@ -40,7 +40,7 @@
   private final Runnable sendReport;
   private final FailureListener failureListener;
   private Optional<PeerTable.Peer> coordinator = Optional.empty();
-  private ImmutableList<RoomAsk> requests = ImmutableList.of();
+  private ImmutableList<ReservationRequest> requests = ImmutableList.of();
   private ImmutableSet<RequestId> reported = ImmutableSet.of();
   private long lastReceivedNanos;
   private long unansweredSinceNanos = Long.MAX_VALUE;
@@ -81,7 +81,7 @@
   }
 
   /** Returns the pending reservations. */
-  ImmutableList<RoomAsk> requests() {
+  ImmutableList<ReservationRequest> requests() {
     return requests;
   }
 
@@ -90,13 +90,13 @@
    *
    * @return whether the coordinator must be notified, because a request is new or no longer pending
    */
-  boolean updateRequests(ImmutableList<RoomAsk> current) {
+  boolean updateRequests(ImmutableList<ReservationRequest> current) {
     requests = current;
     return coordinator.isPresent() && !requestIds().equals(reported);
   }
 
   private ImmutableSet<RequestId> requestIds() {
-    return requests.stream().map(RoomAsk::call).collect(ImmutableSet.toImmutableSet());
+    return requests.stream().map(ReservationRequest::call).collect(ImmutableSet.toImmutableSet());
   }
 
   /** Records that the pending reservations were sent to the coordinator. */
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationGrant.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationGrant.java
@@ -8,7 +8,7 @@
 
 import java.util.Optional;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 
 /**
  * A granted reservation for a call of the node that receives it.
@@ -21,4 +21,4 @@
  *     so itself
  */
 record ReservationGrant(
-    RequestId call, UpstreamLife reservedUpstream, Optional<UpstreamLife> prefillUpstream) {}
+    RequestId call, UpstreamIncarnation reservedUpstream, Optional<UpstreamIncarnation> prefillUpstream) {}
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
@@ -18,7 +18,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect;
 
 /**
@@ -63,15 +63,15 @@
       new LinkedHashMap<>();
 
   /** The total load of all nodes by their last reports. */
-  private final Map<UpstreamLife, Long> totalLoads = new HashMap<>();
+  private final Map<UpstreamIncarnation, Long> totalLoads = new HashMap<>();
 
   /** The total load by the last report that was sent to the nodes. */
-  private final Map<UpstreamLife, Long> reportedLoads = new HashMap<>();
+  private final Map<UpstreamIncarnation, Long> reportedLoads = new HashMap<>();
 
   /** The upstreams whose total load has changed since the last report. */
-  private final Set<UpstreamLife> changedUpstreams = new LinkedHashSet<>();
+  private final Set<UpstreamIncarnation> changedUpstreams = new LinkedHashSet<>();
 
-  private ImmutableMap<UpstreamLife, Long> ownLoads = ImmutableMap.of();
+  private ImmutableMap<UpstreamIncarnation, Long> ownLoads = ImmutableMap.of();
   private long lastSentNanos;
   private long lastChangesNanos;
   private long lastCompleteNanos;
@@ -88,8 +88,8 @@
      * @param isComplete true if {@code loads} covers all upstreams, false if it holds changes only
      */
     record TotalLoads(
-        ImmutableMap<UpstreamLife, Long> loads,
-        ImmutableSet<UpstreamLife> expiringUpstreams,
+        ImmutableMap<UpstreamIncarnation, Long> loads,
+        ImmutableSet<UpstreamIncarnation> expiringUpstreams,
         boolean isComplete)
         implements Answer {}
 
@@ -105,7 +105,7 @@
   }
 
   /** Updates the load of this node. */
-  void ownLoads(ImmutableMap<UpstreamLife, Long> loads) {
+  void ownLoads(ImmutableMap<UpstreamIncarnation, Long> loads) {
     if (loads != ownLoads) {
       updateTotals(ownLoads, loads);
       ownLoads = loads;
@@ -121,7 +121,7 @@
   }
 
   /** Replaces one node's previous load by its current load in the totals. */
-  private void updateTotals(Map<UpstreamLife, Long> previous, Map<UpstreamLife, Long> current) {
+  private void updateTotals(Map<UpstreamIncarnation, Long> previous, Map<UpstreamIncarnation, Long> current) {
     current.forEach(
         (incarnation, units) -> add(incarnation, units - previous.getOrDefault(incarnation, 0L)));
     previous.forEach(
@@ -132,7 +132,7 @@
         });
   }
 
-  private void add(UpstreamLife incarnation, long units) {
+  private void add(UpstreamIncarnation incarnation, long units) {
     if (units == 0) {
       return;
     }
@@ -146,7 +146,7 @@
 
   /** Returns the number of upstream incarnations for which state is kept. */
   int trackedIncarnations() {
-    Set<UpstreamLife> all = new LinkedHashSet<>(changedUpstreams);
+    Set<UpstreamIncarnation> all = new LinkedHashSet<>(changedUpstreams);
     all.addAll(totalLoads.keySet());
     all.addAll(reportedLoads.keySet());
     return all.size();
@@ -170,10 +170,10 @@
   }
 
   /** Adds the grant of a reservation, which is sent with the next {@link #sendGrants}. */
-  void grant(RelayEffect.GrantRoom grant) {
+  void grant(RelayEffect.GrantReservation grant) {
     grants
         .computeIfAbsent(grant.node(), n -> ImmutableList.builder())
-        .add(new ReservationGrant(grant.call(), grant.home(), grant.reader()));
+        .add(new ReservationGrant(grant.call(), grant.reservedUpstream(), grant.prefillUpstream()));
   }
 
   /**
@@ -215,16 +215,16 @@
       lastChangesNanos = nowNanos;
       sendChanged(ImmutableSet.copyOf(changedUpstreams));
     } else {
-      ImmutableSet<UpstreamLife> changedRequests = changedRequestLoads();
+      ImmutableSet<UpstreamIncarnation> changedRequests = changedRequestLoads();
       if (changedRequests.stream().mapToLong(this::difference).sum() >= MIN_REPORTED_CHANGE) {
         sendChanged(changedRequests);
       }
     }
   }
 
-  private void sendChanged(ImmutableSet<UpstreamLife> selected) {
+  private void sendChanged(ImmutableSet<UpstreamIncarnation> selected) {
     sendLoads(selected, false);
-    for (UpstreamLife incarnation : selected) {
+    for (UpstreamIncarnation incarnation : selected) {
       reportedLoads.put(incarnation, totalLoads.getOrDefault(incarnation, 0L));
       changedUpstreams.remove(incarnation);
     }
@@ -234,7 +234,7 @@
    * Returns the changed upstreams whose load is counted in requests. Memory is reserved by this
    * node, so the others need not know changes of memory loads at once.
    */
-  private ImmutableSet<UpstreamLife> changedRequestLoads() {
+  private ImmutableSet<UpstreamIncarnation> changedRequestLoads() {
     return changedUpstreams.stream()
         .filter(
             incarnation -> totalLoads.getOrDefault(incarnation, 0L) < LoadChange.MIN_TOKEN_UNITS)
@@ -243,30 +243,30 @@
         .collect(ImmutableSet.toImmutableSet());
   }
 
-  private long difference(UpstreamLife incarnation) {
+  private long difference(UpstreamIncarnation incarnation) {
     return Math.abs(
         totalLoads.getOrDefault(incarnation, 0L) - reportedLoads.getOrDefault(incarnation, 0L));
   }
 
-  private void sendLoads(Set<UpstreamLife> selected, boolean isComplete) {
+  private void sendLoads(Set<UpstreamIncarnation> selected, boolean isComplete) {
     lastSentNanos = clock.getAsLong();
-    ImmutableSet.Builder<UpstreamLife> expiring = ImmutableSet.builder();
+    ImmutableSet.Builder<UpstreamIncarnation> expiring = ImmutableSet.builder();
     reports.values().forEach(r -> expiring.addAll(r.message().expiringUpstreams()));
-    final ImmutableSet<UpstreamLife> expiringUpstreams = expiring.build();
+    final ImmutableSet<UpstreamIncarnation> expiringUpstreams = expiring.build();
     for (Report r : reports.values()) {
-      ImmutableMap<UpstreamLife, Long> loads =
+      ImmutableMap<UpstreamIncarnation, Long> loads =
           loadsOfOthers(selected, r.message().loads(), isComplete);
       sender.accept(
           r.message().sender().node(), new Answer.TotalLoads(loads, expiringUpstreams, isComplete));
     }
   }
 
-  private ImmutableMap<UpstreamLife, Long> loadsOfOthers(
-      Set<UpstreamLife> selected,
-      ImmutableMap<UpstreamLife, Long> ownLoadsOfReceiver,
+  private ImmutableMap<UpstreamIncarnation, Long> loadsOfOthers(
+      Set<UpstreamIncarnation> selected,
+      ImmutableMap<UpstreamIncarnation, Long> ownLoadsOfReceiver,
       boolean isComplete) {
-    ImmutableMap.Builder<UpstreamLife, Long> loads = ImmutableMap.builder();
-    for (UpstreamLife incarnation : selected) {
+    ImmutableMap.Builder<UpstreamIncarnation, Long> loads = ImmutableMap.builder();
+    for (UpstreamIncarnation incarnation : selected) {
       long units =
           totalLoads.getOrDefault(incarnation, 0L)
               - ownLoadsOfReceiver.getOrDefault(incarnation, 0L);
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StageController.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StageController.java
@@ -23,7 +23,7 @@
 import java.util.stream.Collectors;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.Incarnation;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.relay.RelayUpstream;
 import org.larkkeel.relay.ServiceName;
@@ -95,7 +95,7 @@
   private final Orders orders;
   private final IntSupplier rank;
   private final Lease lease;
-  private final Map<UpstreamLife, Long> orderNanos = new HashMap<>();
+  private final Map<UpstreamIncarnation, Long> orderNanos = new HashMap<>();
 
   /** Also read on other threads, right before an order is sent. */
   private final ConcurrentMap<UpstreamName, RelayUpstream> upstreams = new ConcurrentHashMap<>();
@@ -235,17 +235,17 @@
   }
 
   private boolean mayBeOrdered(RelayUpstream u, long nowNanos) {
-    return nowNanos - orderNanos.getOrDefault(u.life(), nowNanos - REORDER_TIME.toNanos())
+    return nowNanos - orderNanos.getOrDefault(u.incarnation(), nowNanos - REORDER_TIME.toNanos())
         >= REORDER_TIME.toNanos();
   }
 
   private static Comparator<RelayUpstream> byRunnerCount(List<RelayUpstream> all) {
     return Comparator.comparingLong((RelayUpstream u) -> runnerCount(all, u))
-        .thenComparing(RelayUpstream::id);
+        .thenComparing(RelayUpstream::name);
   }
 
   private static long runnerCount(List<RelayUpstream> all, RelayUpstream near) {
-    return all.stream().filter(u -> u.place().equals(near.place()) && u.stage().runs()).count();
+    return all.stream().filter(u -> u.dataCentre().equals(near.dataCentre()) && u.stage().runsCalls()).count();
   }
 
   private void order(long nowNanos, Change change, Tenure term) {
@@ -255,12 +255,12 @@
     lastOrderNanos = nowNanos;
     RelayUpstream upstream = change.upstream();
     orderNanos.values().removeIf(at -> nowNanos - at >= REORDER_TIME.toNanos());
-    orderNanos.put(upstream.life(), nowNanos);
+    orderNanos.put(upstream.incarnation(), nowNanos);
     long fencing = term.fencing().value();
     log.info(
         "event=ordered upstream={} start={} stage={} fencing={} upstreams={}",
-        upstream.id(),
-        upstream.life().start(),
+        upstream.name(),
+        upstream.incarnation().incarnation(),
         change.stage(),
         fencing,
         upstreams.size());
@@ -270,19 +270,19 @@
             change.stage(),
             self.value(),
             fencing,
-            () -> term.isHeld(scheduler.nanoTime()) && isCurrent(upstream.life()))
+            () -> term.isHeld(scheduler.nanoTime()) && isCurrent(upstream.incarnation()))
         .whenComplete(
             (status, failure) ->
                 log.info(
                     "event=order_answered upstream={} fencing={} outcome={}",
-                    upstream.id(),
+                    upstream.name(),
                     fencing,
                     failure == null ? status : failure.getMessage()));
   }
 
-  private boolean isCurrent(UpstreamLife incarnation) {
+  private boolean isCurrent(UpstreamIncarnation incarnation) {
     RelayUpstream current = upstreams.get(incarnation.name());
-    return current != null && current.life().equals(incarnation);
+    return current != null && current.incarnation().equals(incarnation);
   }
 
   @Override
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/SuspectSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/SuspectSharing.java
@@ -18,7 +18,7 @@
 import java.util.function.Supplier;
 import org.larkkeel.lib.Fingerprint;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 
 /**
  * Shares suspect requests, which were in progress at upstreams that crashed, with the peers.
@@ -59,9 +59,9 @@
   private final HostName self;
   private final PeerTable peers;
   private final LoadSharing.Surroundings environment;
-  private final BiConsumer<PeerTable.Peer, ImmutableList<Suspect>> sender;
+  private final BiConsumer<PeerTable.Peer, ImmutableList<SuspectRequest>> sender;
   private final Map<Fingerprint, Extent> reportedToAll = new HashMap<>();
-  private Supplier<ImmutableList<Suspect>> knownSuspects = ImmutableList::of;
+  private Supplier<ImmutableList<SuspectRequest>> knownSuspects = ImmutableList::of;
   private int periods;
   private int nextPeer;
 
@@ -69,8 +69,8 @@
    * The amount of knowledge about a request: its clearance epoch and the number of crashes in it.
    */
   private record Extent(int epoch, int ends) {
-    static Extent of(Suspect s) {
-      return new Extent(s.epoch(), s.ends().size());
+    static Extent of(SuspectRequest s) {
+      return new Extent(s.clearanceEpoch(), s.crashes().size());
     }
   }
 
@@ -86,7 +86,7 @@
       HostName self,
       PeerTable peers,
       LoadSharing.Surroundings environment,
-      BiConsumer<PeerTable.Peer, ImmutableList<Suspect>> sender) {
+      BiConsumer<PeerTable.Peer, ImmutableList<SuspectRequest>> sender) {
     this.self = self;
     this.peers = peers;
     this.environment = environment;
@@ -95,12 +95,12 @@
   }
 
   /** Sets the source of all known suspects. */
-  void knownSuspects(Supplier<ImmutableList<Suspect>> supplier) {
+  void knownSuspects(Supplier<ImmutableList<SuspectRequest>> supplier) {
     knownSuspects = supplier;
   }
 
   /** Reports a finding of this node to the peers. */
-  void report(Suspect suspect) {
+  void report(SuspectRequest suspect) {
     if (peers.size() <= MAX_PEERS_FOR_BROADCAST || needsBroadcast(suspect)) {
       broadcast(suspect);
     } else {
@@ -114,11 +114,11 @@
    * of a request than the peer reported, crashes from several nodes have been merged here, and a
    * collector reports the request to all.
    */
-  void received(ImmutableList<Suspect> suspects) {
+  void received(ImmutableList<SuspectRequest> suspects) {
     if (peers.size() <= MAX_PEERS_FOR_BROADCAST) {
       return;
     }
-    for (Suspect fromPeer : suspects) {
+    for (SuspectRequest fromPeer : suspects) {
       find(fromPeer.request())
           .filter(s -> !Extent.of(s).equals(Extent.of(fromPeer)))
           .filter(s -> isCollector(s.request()) && needsBroadcast(s))
@@ -130,12 +130,12 @@
    * Returns whether a request must be reported to all peers: it has several crashes or was reported
    * to all before, and its state has changed since.
    */
-  private boolean needsBroadcast(Suspect s) {
+  private boolean needsBroadcast(SuspectRequest s) {
     Extent previous = reportedToAll.get(s.request());
-    return !Extent.of(s).equals(previous) && (s.ends().size() > 1 || previous != null);
+    return !Extent.of(s).equals(previous) && (s.crashes().size() > 1 || previous != null);
   }
 
-  private void broadcast(Suspect suspect) {
+  private void broadcast(SuspectRequest suspect) {
     if (reportedToAll.size() >= MAX_REMEMBERED) {
       reportedToAll.clear();
     }
@@ -144,17 +144,17 @@
     scheduleResends(suspect, now -> peers.all().forEach(p -> sendTo(p, now)));
   }
 
-  private void sendTo(PeerTable.Peer peer, Suspect suspect) {
+  private void sendTo(PeerTable.Peer peer, SuspectRequest suspect) {
     sender.accept(peer, ImmutableList.of(suspect));
   }
 
-  private void scheduleResends(Suspect suspect, Consumer<Suspect> resend) {
+  private void scheduleResends(SuspectRequest suspect, Consumer<SuspectRequest> resend) {
     for (long nanos : RESEND_DELAYS_NANOS) {
       environment.after(nanos, () -> find(suspect.request()).ifPresent(resend));
     }
   }
 
-  private Optional<Suspect> find(Fingerprint request) {
+  private Optional<SuspectRequest> find(Fingerprint request) {
     return knownSuspects.get().stream().filter(s -> s.request().equals(request)).findFirst();
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/UpstreamEntries.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/UpstreamEntries.java
@@ -128,7 +128,7 @@
 
   private boolean hasEnded(long nowNanos, StoredObject o) {
     return parser.apply(o) instanceof Reading.Readable<RelayUpstream> r
-        && history.isEnded(nowNanos, r.value().life());
+        && history.isEnded(nowNanos, r.value().incarnation());
   }
 
   /**
@@ -159,7 +159,7 @@
       case Reading.Readable<RelayUpstream> r -> {
         history.replaced(nowNanos, previous, r.value());
         readable.put(name, history.withObservedState(r.value()));
-        if (!r.value().life().hasStart()) {
+        if (!r.value().incarnation().isKnown()) {
           withoutIncarnation.add(name);
         }
       }
@@ -187,9 +187,9 @@
       }
       if (current != null) {
         activate(name, current);
-        changed.put(current.id(), current);
+        changed.put(current.name(), current);
       } else {
-        removed.add(previous.id());
+        removed.add(previous.name());
       }
     }
     return new Difference(changed.buildOrThrow(), removed.build());
@@ -201,13 +201,13 @@
 
   private void activate(String name, RelayUpstream u) {
     active.put(name, u);
-    byService.computeIfAbsent(u.service(), s -> new HashSet<>()).add(u.id());
+    byService.computeIfAbsent(u.service(), s -> new HashSet<>()).add(u.name());
   }
 
   private void deactivate(String name, RelayUpstream u) {
     active.remove(name);
     Set<UpstreamName> others = byService.get(u.service());
-    others.remove(u.id());
+    others.remove(u.name());
     if (others.isEmpty()) {
       byService.remove(u.service());
     }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/metrics/FactMeters.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/metrics/FactMeters.java
@@ -76,7 +76,7 @@
       counter("answer.tokens", "rule", rule).increment(f.tokens());
     }
     if (f.tokens() > 1) {
-      timer("request.between", rule).record(f.betweenNanos(), TimeUnit.NANOSECONDS);
+      timer("request.between", rule).record(f.interTokenNanos(), TimeUnit.NANOSECONDS);
     }
   }
 
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
@@ -92,7 +92,7 @@
         new WholeAnswer(
             MAX_ANSWER_BYTES,
             answer -> {
-              notices.read(upstream.life(), sentAt, answer);
+              notices.read(upstream.incarnation(), sentAt, answer);
               done.accept(answer);
             },
             failed));
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/NoticeReader.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/NoticeReader.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.function.Function;
 import org.larkkeel.http.upstream.WholeAnswer;
-import org.larkkeel.lib.UpstreamLife;
-import org.larkkeel.relay.RateNotice;
+import org.larkkeel.lib.UpstreamIncarnation;
+import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.UpstreamNotice;
 
@@ -49,7 +49,7 @@
    *     shows, by naming no rate limit, that the limit has ended
    */
   void read(
-      UpstreamLife upstream,
+      UpstreamIncarnation upstream,
       long sentAt,
       int status,
       Function<HttpString, List<String>> headers,
@@ -58,7 +58,7 @@
       return;
     }
     UpstreamNotice parsed = dialect.notice(status, headers);
-    UpstreamNotice notice = isOwn ? parsed : parsed.withoutEndOfLimit();
+    UpstreamNotice notice = isOwn ? parsed : parsed.withoutLimitEnd();
     if (!notice.isEmpty() || (endsLimit(notice) && loop.isRateLimited(upstream))) {
       loop.submit(new RelayEvent.Noticed(loop.now(), upstream, sentAt, notice));
     }
@@ -68,11 +68,11 @@
    * Reads the head of the answer to a control call. That it names no rate limit does not show that
    * requests have none.
    */
-  void read(UpstreamLife upstream, long sentAt, WholeAnswer.Answer answer) {
+  void read(UpstreamIncarnation upstream, long sentAt, WholeAnswer.Answer answer) {
     read(upstream, sentAt, answer.status(), name -> answer.headers().get(name), false);
   }
 
   private static boolean endsLimit(UpstreamNotice notice) {
-    return notice.rate() instanceof RateNotice.Unlimited;
+    return notice.rate() instanceof RateLimitNotice.Unlimited;
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/OrderSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/OrderSender.java
@@ -65,7 +65,7 @@
         upstream,
         dialect.order(stage, holder, fencing),
         TIMEOUT.toNanos(),
-        () -> mayBeWritten.getAsBoolean() && !loop.isRateLimited(upstream.life()),
+        () -> mayBeWritten.getAsBoolean() && !loop.isRateLimited(upstream.incarnation()),
         answer -> answered.complete(answer.status()),
         failure ->
             answered.completeExceptionally(
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
@@ -23,7 +23,7 @@
 import org.larkkeel.http.upstream.ResponseHandler;
 import org.larkkeel.http.upstream.UpstreamFailure;
 import org.larkkeel.lib.AttemptId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.AnswerGrade;
 import org.larkkeel.relay.AttemptProgress;
 import org.larkkeel.relay.RefusalCause;
@@ -47,7 +47,7 @@
   private final RelayDialect dialect;
   private final NoticeReader notices;
   private final AttemptId id;
-  private final UpstreamLife upstream;
+  private final UpstreamIncarnation upstream;
   private final RelayRequest request;
   private final Purpose purpose;
   private final int maxAnswerBytes;
@@ -79,7 +79,7 @@
     this.dialect = dialect;
     this.notices = notices;
     this.id = send.attempt();
-    this.upstream = send.upstream().life();
+    this.upstream = send.upstream().incarnation();
     this.request = request;
     this.purpose = send.purpose();
     this.maxAnswerBytes = maxAnswerBytes;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayExecutor.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayExecutor.java
@@ -65,8 +65,8 @@
   private final Consumer<RelayFact> facts;
   private final Map<RequestId, RelayRequest> requests = new HashMap<>();
   private final Map<AttemptId, RelayAttempt> attempts = new HashMap<>();
-  private Consumer<RelayEffect.GrantRoom> grantSender = e -> {};
-  private Consumer<RelayEffect.TellSuspect> suspectReporter = e -> {};
+  private Consumer<RelayEffect.GrantReservation> grantSender = e -> {};
+  private Consumer<RelayEffect.ReportSuspect> suspectReporter = e -> {};
 
   /**
    * Creates an executor.
@@ -103,7 +103,7 @@
    * @param suspects reports a suspect request
    */
   public void tells(
-      Consumer<RelayEffect.GrantRoom> grants, Consumer<RelayEffect.TellSuspect> suspects) {
+      Consumer<RelayEffect.GrantReservation> grants, Consumer<RelayEffect.ReportSuspect> suspects) {
     grantSender = grants;
     suspectReporter = suspects;
   }
@@ -130,13 +130,13 @@
       case RelayEffect.Cancel e -> cancel(e.attempt());
       case RelayEffect.Move e -> move(e);
       case RelayEffect.Free e -> free(e.source(), e.handle());
-      case RelayEffect.Follow e -> startForwarding(e);
+      case RelayEffect.ForwardStream e -> startForwarding(e);
       case RelayEffect.Deliver e -> deliver(e);
       case RelayEffect.Refuse e -> refuse(e);
       case RelayEffect.Cut e -> dropCaller(e);
-      case RelayEffect.GrantRoom e -> grantSender.accept(e);
+      case RelayEffect.GrantReservation e -> grantSender.accept(e);
       case RelayEffect.Probe e -> probe(e.upstream());
-      case RelayEffect.TellSuspect e -> suspectReporter.accept(e);
+      case RelayEffect.ReportSuspect e -> suspectReporter.accept(e);
       case RelayEffect.Report e -> facts.accept(e.fact());
     }
   }
@@ -161,10 +161,10 @@
     RelayAttempt attempt =
         new RelayAttempt(loop, dialect, notices, e, request, settings.maxAnswerBytes());
     attempts.put(e.attempt(), attempt);
-    long leftNanos = Math.max(NANOS_PER_MILLI, e.until() - loop.now());
+    long leftNanos = Math.max(NANOS_PER_MILLI, e.deadline() - loop.now());
     AnswerTimeout timeout =
-        e.silenceNanos() > 0
-            ? AnswerTimeout.silence(e.silenceNanos())
+        e.idleTimeoutNanos() > 0
+            ? AnswerTimeout.silence(e.idleTimeoutNanos())
             : AnswerTimeout.whole(leftNanos + ANSWER_MARGIN_NANOS);
     UpstreamRequest wire =
         new UpstreamRequest(
@@ -207,7 +207,7 @@
    * limits their rate; there the handle expires soon.
    */
   private void free(RelayUpstream source, String handle) {
-    if (!loop.acceptsRequests(source.life()) || loop.isRateLimited(source.life())) {
+    if (!loop.acceptsRequests(source.incarnation()) || loop.isRateLimited(source.incarnation())) {
       return;
     }
     final long sentAt = loop.now();
@@ -221,7 +221,7 @@
         ConnectionUse.CONTROL,
         new WholeAnswer(
             MAX_FREE_ANSWER_BYTES,
-            answer -> notices.read(source.life(), sentAt, answer),
+            answer -> notices.read(source.incarnation(), sentAt, answer),
             failure -> {}));
   }
 
@@ -259,10 +259,10 @@
   private void probe(RelayUpstream upstream) {
     probe.start(
         UpstreamAddress.parse(upstream.address()).address(),
-        result -> loop.submit(new RelayEvent.Probed(loop.now(), upstream.life(), result)));
+        result -> loop.submit(new RelayEvent.Probed(loop.now(), upstream.incarnation(), result)));
   }
 
-  private void startForwarding(RelayEffect.Follow e) {
+  private void startForwarding(RelayEffect.ForwardStream e) {
     RelayAttempt attempt = attempts.get(e.attempt());
     if (attempt != null) {
       attempt.startForwarding();
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayLoop.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayLoop.java
@@ -10,7 +10,7 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayRouter;
@@ -70,15 +70,15 @@
    * Returns whether an incarnation of an upstream accepts requests now. Must be called on the
    * loop's thread.
    */
-  boolean acceptsRequests(UpstreamLife upstream) {
-    return router.mayReach(now(), upstream);
+  boolean acceptsRequests(UpstreamIncarnation upstream) {
+    return router.acceptsRequests(now(), upstream);
   }
 
   /**
    * Returns whether an incarnation of an upstream has a rate limit. Must be called on the loop's
    * thread.
    */
-  boolean isRateLimited(UpstreamLife upstream) {
+  boolean isRateLimited(UpstreamIncarnation upstream) {
     return router.isRateLimited(upstream);
   }
 
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/FairBucket.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/FairBucket.java
@@ -53,7 +53,7 @@
   }
 
   void release(long units, long now) {
-    bucket.giveBack(Math.max(0, units), now);
+    bucket.refund(Math.max(0, units), now);
   }
 
   /** Returns the nanoseconds until the given number of units is available. */
--- a/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaCluster.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaCluster.java
@@ -54,7 +54,7 @@
     final int index;
     final HostName name;
     QuotaHolder holder;
-    QuotaPool quotaCoordinator;
+    QuotaCoordinator quotaCoordinator;
 
     /**
      * The index of the node whose coordinator it uses, 0 or 1; the other one if that does not
@@ -82,7 +82,7 @@
     void start() {
       holder = new QuotaHolder(tolerance, now, now);
       holder.nodes(now, Math.max(1, nodes.size()));
-      quotaCoordinator = new QuotaPool(tolerance);
+      quotaCoordinator = new QuotaCoordinator(tolerance);
       waiting.clear();
     }
 
@@ -109,7 +109,7 @@
           refused++;
           refusedTokens += tokens;
         }
-        case QuotaHolder.Decision.Waits w ->
+        case QuotaHolder.Decision.Pending w ->
             waiting.add(new Waiting(id, tokens, now + QuotaHolder.WAIT_NANOS));
       }
     }
@@ -127,7 +127,7 @@
         if (w.until() <= now) {
           waiting.remove(w);
           holder
-              .decideNow(now, w.call(), WORKSPACE)
+              .decideWaiting(now, w.call(), WORKSPACE)
               .ifPresent(d -> decided(w.call(), w.tokens(), d));
         }
       }
@@ -136,17 +136,17 @@
         heartbeatAt = now + HEARTBEAT;
         reportLevels();
       }
-      holder.ask(now, heartbeat).ifPresent(this::send);
+      holder.nextRequest(now, heartbeat).ifPresent(this::send);
     }
 
     private void reportLevels() {
       if (index == 0 && !quotaCoordinator.levels().left().isEmpty() && !isLost()) {
         QuotaLevels levels = quotaCoordinator.levels();
-        messages.add(() -> nodes.get(1).quotaCoordinator.heard(now, levels));
+        messages.add(() -> nodes.get(1).quotaCoordinator.levelsReceived(now, levels));
       }
     }
 
-    private void send(QuotaAsk request) {
+    private void send(QuotaRequest request) {
       attempts = request.sequence() == sequence ? attempts + 1 : 1;
       sequence = request.sequence();
       if (attempts > 3) {
@@ -172,12 +172,12 @@
       return fallbackUntil > 0 ? nodes.get(1 - coordinator) : first;
     }
 
-    private void receive(Node from, QuotaAsk request) {
+    private void receive(Node from, QuotaRequest request) {
       if (isSuspended()) {
         return;
       }
       QuotaGrant grant =
-          quotaCoordinator.ask(now, from.name, request, nodes.size(), w -> Optional.of(limit));
+          quotaCoordinator.grant(now, from.name, request, nodes.size(), w -> Optional.of(limit));
       if (!isLost()) {
         messages.add(() -> from.granted(grant));
       }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaClusterTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaClusterTest.java
@@ -218,8 +218,8 @@
 
     @Test
     public void requestGetsTheSameGrant() {
-      QuotaPool coordinator = new QuotaPool(QuotaTolerance.NONE);
-      QuotaAsk request = request(1, 1_000_000_000L);
+      QuotaCoordinator coordinator = new QuotaCoordinator(QuotaTolerance.NONE);
+      QuotaRequest request = request(1, 1_000_000_000L);
       QuotaGrant first = grant(coordinator, request);
       assertEquals(first.shares().getFirst().tokens(), 500);
       assertEquals(grant(coordinator, request), first);
@@ -228,13 +228,13 @@
 
     @Test
     public void requestThatComesMuchLaterCountsOnce() {
-      QuotaPool coordinator = new QuotaPool(QuotaTolerance.NONE);
-      QuotaAsk request = request(1, 100_000_000L);
+      QuotaCoordinator coordinator = new QuotaCoordinator(QuotaTolerance.NONE);
+      QuotaRequest request = request(1, 100_000_000L);
       QuotaGrant first = grant(coordinator, request);
       long later = 5_000_000_000L;
       HostName other = new HostName("node-2");
-      coordinator.ask(later, other, request(1, 0), 1, w -> Optional.of(SMALL));
-      assertEquals(coordinator.ask(later, NODE, request, 1, w -> Optional.of(SMALL)), first);
+      coordinator.grant(later, other, request(1, 0), 1, w -> Optional.of(SMALL));
+      assertEquals(coordinator.grant(later, NODE, request, 1, w -> Optional.of(SMALL)), first);
     }
 
     @Test
@@ -243,23 +243,23 @@
       holder.take(0, new RequestId(1), QuotaCluster.WORKSPACE, SMALL, 500, 0);
       QuotaGrant grant =
           grant(
-              new QuotaPool(QuotaTolerance.NONE), holder.ask(1_000_000_000L, false).orElseThrow());
+              new QuotaCoordinator(QuotaTolerance.NONE), holder.nextRequest(1_000_000_000L, false).orElseThrow());
       assertEquals(holder.granted(1_000_000_000L, grant).size(), 1);
       assertEquals(holder.granted(1_000_000_000L, grant).size(), 0);
       assertEquals(holder.held(QuotaCluster.WORKSPACE), 0);
     }
 
-    private static QuotaAsk request(long sequence, long lent) {
-      return new QuotaAsk(
+    private static QuotaRequest request(long sequence, long lent) {
+      return new QuotaRequest(
           1,
           sequence,
           lent,
           1,
-          ImmutableList.of(new QuotaAsk.Want(QuotaCluster.WORKSPACE, 500, 500, 0, 0)));
+          ImmutableList.of(new QuotaRequest.Demand(QuotaCluster.WORKSPACE, 500, 500, 0, 0)));
     }
 
-    private static QuotaGrant grant(QuotaPool coordinator, QuotaAsk request) {
-      return coordinator.ask(0, NODE, request, 1, w -> Optional.of(SMALL));
+    private static QuotaGrant grant(QuotaCoordinator coordinator, QuotaRequest request) {
+      return coordinator.grant(0, NODE, request, 1, w -> Optional.of(SMALL));
     }
   }
 }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/BrokenStreamsTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/BrokenStreamsTest.java
@@ -15,7 +15,7 @@
 import com.google.common.collect.ImmutableSet;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
@@ -54,11 +54,11 @@
 
     @Test
     public void areNotAllSentToOneEngine() {
-      ImmutableSet.Builder<UpstreamLife> engines = ImmutableSet.builder();
+      ImmutableSet.Builder<UpstreamIncarnation> engines = ImmutableSet.builder();
       for (int i = 0; i < PROMPTS; i++) {
         RelayWorld w = RelayWorld.withDefaults();
         w.arrive("/resume/a", 10_000, SIZE, prompt(i), true);
-        engines.add(w.sent().upstream().life());
+        engines.add(w.sent().upstream().incarnation());
       }
       assertEquals(engines.build().size(), 2);
     }
@@ -68,7 +68,7 @@
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/resume/a", 10_000, SIZE, prompt(1), true);
       final RelayUpstream first = w.sent().upstream();
-      reportFull(w, first.life());
+      reportFull(w, first.incarnation());
       w.arrive("/resume/a", 10_000, SIZE, prompt(1), true);
       assertNotEquals(w.sent().upstream(), first);
       assertEquals(w.sent().purpose(), new Purpose.Fetch(first));
@@ -90,8 +90,8 @@
       final RequestId streaming = w.arrive("/resume/a", 14_000, SIZE);
       w.promptRead();
       w.began();
-      UpstreamLife lost = w.sent().upstream().life();
-      UpstreamLife other = other(lost);
+      UpstreamIncarnation lost = w.sent().upstream().incarnation();
+      UpstreamIncarnation other = other(lost);
       reportFull(w, other);
       w.lost();
       final int before = w.sendCount();
@@ -112,7 +112,7 @@
       w.arrive("/resume/a", 14_000, SIZE);
       w.promptRead();
       w.began();
-      reportFull(w, other(w.sent().upstream().life()));
+      reportFull(w, other(w.sent().upstream().incarnation()));
       w.lost();
       final int before = w.sendCount();
       for (int i = 0; i < 3; i++) {
@@ -131,18 +131,18 @@
       w.began();
       w.lost();
       assertTrue(w.sent().purpose() instanceof Purpose.Fetch);
-      assertEquals(((Purpose.Fetch) w.sent().purpose()).source().id().value(), "read-1");
+      assertEquals(((Purpose.Fetch) w.sent().purpose()).source().name().value(), "read-1");
     }
   }
 
-  private static UpstreamLife other(UpstreamLife one) {
+  private static UpstreamIncarnation other(UpstreamIncarnation one) {
     return RelayWorld.incarnation(one.name().value().equals("run-1") ? "run-2" : "run-1");
   }
 
   /** Receives a report of another node that its load fills the engines. */
-  private static void reportFull(RelayWorld w, UpstreamLife... engines) {
-    ImmutableMap.Builder<UpstreamLife, Long> loads = ImmutableMap.builder();
-    for (UpstreamLife engine : engines) {
+  private static void reportFull(RelayWorld w, UpstreamIncarnation... engines) {
+    ImmutableMap.Builder<UpstreamIncarnation, Long> loads = ImmutableMap.builder();
+    for (UpstreamIncarnation engine : engines) {
       loads.put(engine, RelayWorld.MEMORY);
     }
     w.apply(new RelayEvent.LoadHeard(w.now(), OTHER, loads.buildOrThrow(), ImmutableSet.of()));
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/CrashingRequestsTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/CrashingRequestsTest.java
@@ -16,7 +16,7 @@
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.event.FailureCause;
 import org.larkkeel.lib.Fingerprint;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.testng.annotations.Test;
 
 /**
@@ -39,7 +39,7 @@
   private static void crash(RelayWorld w, String path, long incarnation) {
     w.arriveWithBody(path, SMALL, BODY);
     w.promptRead();
-    String crashed = w.sent().upstream().id().value();
+    String crashed = w.sent().upstream().name().value();
     w.lost();
     w.restart(crashed, incarnation);
     w.pass(1_000);
@@ -93,7 +93,7 @@
   /** Answers the last probe. */
   private static void answerProbe(RelayWorld w, ProbeResult result) {
     RelayEffect.Probe probe = w.of(RelayEffect.Probe.class).getLast();
-    w.apply(new RelayEvent.Probed(w.now(), probe.upstream().life(), result));
+    w.apply(new RelayEvent.Probed(w.now(), probe.upstream().incarnation(), result));
   }
 
   /** Breaks the connection of the request at an upstream and answers the probe of that upstream. */
@@ -113,11 +113,11 @@
 
   /** Receives another node's report of crashes some time ago. */
   private static void receiveReport(RelayWorld w, int epoch, long ageMillis, String... crashed) {
-    ImmutableMap.Builder<UpstreamLife, Long> ends = ImmutableMap.builder();
+    ImmutableMap.Builder<UpstreamIncarnation, Long> ends = ImmutableMap.builder();
     for (String name : crashed) {
       ends.put(RelayWorld.incarnation(name), ageMillis * RelayWorld.MILLI);
     }
-    Suspect report = new Suspect(fingerprint(), epoch, ends.buildOrThrow());
+    SuspectRequest report = new SuspectRequest(fingerprint(), epoch, ends.buildOrThrow());
     w.apply(new RelayEvent.SuspectsHeard(w.now(), ImmutableList.of(report)));
   }
 
@@ -149,7 +149,7 @@
         w.promptRead();
         RelayEffect.Send sent = w.sent();
         w.apply(new RelayEvent.Lost(w.now(), sent.attempt(), FailureCause.TIMED_OUT));
-        w.restart(sent.upstream().id().value(), i + 1);
+        w.restart(sent.upstream().name().value(), i + 1);
         w.pass(9_000);
       }
       assertTrue(isSent(w));
@@ -163,7 +163,7 @@
         w.promptRead();
         w.began();
         w.pass(1_100);
-        String ended = w.sent().upstream().id().value();
+        String ended = w.sent().upstream().name().value();
         w.lost();
         w.restart(ended, i);
         w.pass(9_000);
@@ -179,7 +179,7 @@
         w.promptRead();
         w.began();
         w.pass(200);
-        String ended = w.sent().upstream().id().value();
+        String ended = w.sent().upstream().name().value();
         w.lost();
         w.restart(ended, i);
         w.pass(9_000);
@@ -194,7 +194,7 @@
         w.add("new-" + i, RelayWorld.MODEL, Stage.DECODE);
         w.arriveWithBody("/stream/a", SMALL, BODY);
         w.promptRead();
-        String leaving = w.sent().upstream().id().value();
+        String leaving = w.sent().upstream().name().value();
         w.leave(leaving);
         w.lost();
         w.remove(leaving);
@@ -264,19 +264,19 @@
       RelayWorld w = world();
       receiveReport(w, 0, 500, "a", "b", "c");
       w.pass(1_000);
-      Suspect report = w.router.suspects(w.now()).getFirst();
+      SuspectRequest report = w.router.suspects(w.now()).getFirst();
       assertEquals(
-          report.ends().get(RelayWorld.incarnation("a")), Long.valueOf(1_500 * RelayWorld.MILLI));
+          report.crashes().get(RelayWorld.incarnation("a")), Long.valueOf(1_500 * RelayWorld.MILLI));
     }
 
     @Test
     public void reportsOwnObservationsOnce() {
       RelayWorld w = world();
       crash(w, "/stream/a", 1);
-      assertEquals(w.of(RelayEffect.TellSuspect.class).size(), 1);
+      assertEquals(w.of(RelayEffect.ReportSuspect.class).size(), 1);
       receiveReport(w, 0, 500, "a");
       assertEquals(
-          w.of(RelayEffect.TellSuspect.class).size(),
+          w.of(RelayEffect.ReportSuspect.class).size(),
           1,
           "the report of another node is not forwarded");
     }
@@ -303,8 +303,8 @@
       receiveReport(w, 0, 500, "a", "b", "c");
       w.apply(new RelayEvent.Released(w.now(), fingerprint()));
       assertTrue(isSent(w));
-      Suspect report = w.of(RelayEffect.TellSuspect.class).getLast().suspect();
-      assertEquals(report, new Suspect(fingerprint(), 1, ImmutableMap.of()));
+      SuspectRequest report = w.of(RelayEffect.ReportSuspect.class).getLast().suspect();
+      assertEquals(report, new SuspectRequest(fingerprint(), 1, ImmutableMap.of()));
     }
 
     @Test
@@ -348,8 +348,8 @@
       RelayWorld w = world();
       receiveReport(w, 0, 0, "a", "b", "c");
       for (int i = 0; i < 2_000; i++) {
-        Suspect other =
-            new Suspect(
+        SuspectRequest other =
+            new SuspectRequest(
                 Fingerprint.of("made up " + i),
                 0,
                 ImmutableMap.of(RelayWorld.incarnation("a"), 0L));
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/LeavingAndBackoffTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/LeavingAndBackoffTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
@@ -29,11 +29,11 @@
   private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
   private static final long SECOND = 1_000 * RelayWorld.MILLI;
 
-  private static void receiveLeaving(RelayWorld w, UpstreamLife upstream) {
+  private static void receiveLeaving(RelayWorld w, UpstreamIncarnation upstream) {
     w.apply(new RelayEvent.Noticed(w.now(), upstream, w.now(), new UpstreamNotice(true, 0)));
   }
 
-  private static void receiveBackoff(RelayWorld w, UpstreamLife upstream, long seconds) {
+  private static void receiveBackoff(RelayWorld w, UpstreamIncarnation upstream, long seconds) {
     w.apply(
         new RelayEvent.Noticed(
             w.now(), upstream, w.now(), new UpstreamNotice(false, seconds * SECOND)));
@@ -44,7 +44,7 @@
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 20; i++) {
       w.arrive("/once/a");
-      used.add(w.sent().upstream().id().value());
+      used.add(w.sent().upstream().name().value());
     }
     return used;
   }
@@ -91,17 +91,17 @@
       w.arrive("/stream/a", 14_000, SMALL);
       receiveLeaving(w, RelayWorld.incarnation("run-1"));
       w.promptRead();
-      assertEquals(w.sent().upstream().life(), RelayWorld.incarnation("run-2"));
+      assertEquals(w.sent().upstream().incarnation(), RelayWorld.incarnation("run-2"));
     }
 
     @Test
     public void areNotUsedEvenIfTheCoordinatorGrantsThem() {
       RelayWorld w = RelayWorld.withDefaults();
-      w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.ASK));
+      w.apply(new RelayEvent.KeepingChanged(w.now(), ReservationMode.ASK));
       receiveLeaving(w, RelayWorld.incarnation("run-1"));
       var call = w.arrive("/stream/a", 14_000, SMALL);
       assertEquals(
-          w.router.asks(w.now()).getFirst().without(),
+          w.router.reservationRequests(w.now()).getFirst().excluded(),
           ImmutableSet.of(RelayWorld.incarnation("run-1")));
       w.apply(
           new RelayEvent.RoomGranted(
@@ -115,7 +115,7 @@
       w.arrive("/resume/a", 14_000, SMALL);
       w.promptRead();
       w.began();
-      receiveLeaving(w, w.sent().upstream().life());
+      receiveLeaving(w, w.sent().upstream().incarnation());
       w.pass(1_300);
       assertEquals(w.of(RelayEffect.Move.class).size(), 1);
     }
@@ -126,10 +126,10 @@
       w.arrive("/resume/a", 14_000, SMALL);
       w.promptRead();
       w.began();
-      w.leave(w.sent().upstream().id().value());
+      w.leave(w.sent().upstream().name().value());
       w.pass(1_300);
       w.moved(new MoveResult.Copied("first"));
-      receiveLeaving(w, w.of(RelayEffect.Move.class).getLast().destination().life());
+      receiveLeaving(w, w.of(RelayEffect.Move.class).getLast().destination().incarnation());
       w.moved(new MoveResult.Copied("last"));
       final int sends = w.sendCount();
       w.lost();
@@ -142,9 +142,9 @@
     @Test
     public void acceptNoRequestsThatWaitForConnections() {
       RelayWorld w = RelayWorld.withDefaults();
-      assertTrue(w.router.mayReach(w.now(), RelayWorld.incarnation("app-1")));
+      assertTrue(w.router.acceptsRequests(w.now(), RelayWorld.incarnation("app-1")));
       receiveLeaving(w, RelayWorld.incarnation("app-1"));
-      assertFalse(w.router.mayReach(w.now(), RelayWorld.incarnation("app-1")));
+      assertFalse(w.router.acceptsRequests(w.now(), RelayWorld.incarnation("app-1")));
     }
   }
 
@@ -265,10 +265,10 @@
     @Test
     public void areExcludedFromReservationRequests() {
       RelayWorld w = world("run-1");
-      w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.ASK));
+      w.apply(new RelayEvent.KeepingChanged(w.now(), ReservationMode.ASK));
       w.arrive("/stream/a", 14_000, SMALL);
-      RoomAsk ask = w.router.asks(w.now()).getFirst();
-      assertEquals(ask.without(), ImmutableSet.of(RelayWorld.incarnation("run-1")));
+      ReservationRequest ask = w.router.reservationRequests(w.now()).getFirst();
+      assertEquals(ask.excluded(), ImmutableSet.of(RelayWorld.incarnation("run-1")));
     }
 
     @Test
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/MemoryReservationTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/MemoryReservationTest.java
@@ -17,7 +17,7 @@
 import java.util.Optional;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
@@ -25,18 +25,18 @@
 public class MemoryReservationTest {
   private static final CallSize SMALL = new CallSize(2_000, 1_000, 1_000);
   private static final HostName OTHER = new HostName("node-2");
-  private static final UpstreamLife RUN_1 = RelayWorld.incarnation("run-1");
-  private static final UpstreamLife READ_1 = RelayWorld.incarnation("read-1");
+  private static final UpstreamIncarnation RUN_1 = RelayWorld.incarnation("run-1");
+  private static final UpstreamIncarnation READ_1 = RelayWorld.incarnation("read-1");
   private static final long PROMPT = 5_000;
 
-  private static RelayWorld world(RoomKeeping mode) {
+  private static RelayWorld world(ReservationMode mode) {
     RelayWorld w = RelayWorld.withDefaults();
     w.apply(new RelayEvent.KeepingChanged(w.now(), mode));
     return w;
   }
 
-  private static RoomAsk request(long call, long units, UpstreamLife... without) {
-    return new RoomAsk(
+  private static ReservationRequest request(long call, long units, UpstreamIncarnation... without) {
+    return new ReservationRequest(
         new RequestId(call),
         "wire-" + call,
         RelayWorld.MODEL,
@@ -50,13 +50,13 @@
         ImmutableSet.copyOf(without));
   }
 
-  private static void receiveRequests(RelayWorld w, RoomAsk... requests) {
+  private static void receiveRequests(RelayWorld w, ReservationRequest... requests) {
     w.apply(
         new RelayEvent.RoomAsked(w.now(), OTHER, RelayWorld.HERE, ImmutableList.copyOf(requests)));
   }
 
-  private static List<RelayEffect.GrantRoom> grants(RelayWorld w) {
-    return w.of(RelayEffect.GrantRoom.class);
+  private static List<RelayEffect.GrantReservation> grants(RelayWorld w) {
+    return w.of(RelayEffect.GrantReservation.class);
   }
 
   private static RelayEvent.RoomGranted grant(RelayWorld w, RequestId call) {
@@ -67,10 +67,10 @@
   public static class RequestingNode {
     @Test
     public void sendsNothingBeforeTheGrant() {
-      RelayWorld w = world(RoomKeeping.ASK);
+      RelayWorld w = world(ReservationMode.ASK);
       RequestId call = w.arrive("/stream/a", 0, SMALL);
       assertEquals(w.sendCount(), 0);
-      RoomAsk request = w.router.asks(w.now()).getFirst();
+      ReservationRequest request = w.router.reservationRequests(w.now()).getFirst();
       assertEquals(request.call(), call);
       assertEquals(request.prompt(), SMALL.prompt());
       assertTrue(request.units() >= SMALL.prompt());
@@ -78,19 +78,19 @@
 
     @Test
     public void prefillsAtTheGrantedUpstream() {
-      RelayWorld w = world(RoomKeeping.ASK);
+      RelayWorld w = world(ReservationMode.ASK);
       RequestId call = w.arrive("/stream/a", 0, SMALL);
       w.apply(grant(w, call));
-      assertEquals(w.sent().upstream().life(), READ_1);
+      assertEquals(w.sent().upstream().incarnation(), READ_1);
       assertTrue(w.sent().purpose() instanceof Purpose.ReadPrompt);
       w.promptRead();
-      assertEquals(w.sent().upstream().life(), RUN_1);
-      assertTrue(w.router.asks(w.now()).isEmpty());
+      assertEquals(w.sent().upstream().incarnation(), RUN_1);
+      assertTrue(w.router.reservationRequests(w.now()).isEmpty());
     }
 
     @Test
     public void appliesEachGrantOnce() {
-      RelayWorld w = world(RoomKeeping.ASK);
+      RelayWorld w = world(ReservationMode.ASK);
       RequestId call = w.arrive("/stream/a", 0, SMALL);
       w.apply(grant(w, call));
       w.apply(grant(w, call));
@@ -99,42 +99,42 @@
 
     @Test
     public void ignoresGrantsOfLeavingUpstreams() {
-      RelayWorld w = world(RoomKeeping.ASK);
+      RelayWorld w = world(ReservationMode.ASK);
       RequestId call = w.arrive("/stream/a", 0, SMALL);
       w.leave(RUN_1.name().value());
       w.apply(grant(w, call));
       assertEquals(w.sendCount(), 0);
-      assertFalse(w.router.asks(w.now()).isEmpty());
+      assertFalse(w.router.reservationRequests(w.now()).isEmpty());
     }
 
     @Test
     public void refusesInTimeWithoutGrant() {
-      RelayWorld w = world(RoomKeeping.ASK);
+      RelayWorld w = world(ReservationMode.ASK);
       w.arrive("/stream/a", 0, SMALL);
       w.pass(300);
       assertTrue(w.isRefused());
       assertTrue(w.refused().retryAfterMillis() > 0);
-      assertTrue(w.router.asks(w.now()).isEmpty());
+      assertTrue(w.router.reservationRequests(w.now()).isEmpty());
     }
 
     @Test
     public void reservesLocallyWithoutCoordinator() {
-      RelayWorld w = world(RoomKeeping.ASK);
+      RelayWorld w = world(ReservationMode.ASK);
       w.arrive("/stream/a", 0, SMALL);
-      w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.EACH));
+      w.apply(new RelayEvent.KeepingChanged(w.now(), ReservationMode.EACH));
       assertEquals(w.sendCount(), 1);
     }
 
     @Test
     public void reportsExcludedUpstreams() {
-      RelayWorld w = world(RoomKeeping.EACH);
+      RelayWorld w = world(ReservationMode.EACH);
       w.arrive("/stream/a", 0, SMALL);
       w.promptRead();
-      UpstreamLife declined = w.sent().upstream().life();
+      UpstreamIncarnation declined = w.sent().upstream().incarnation();
       w.declined();
-      w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.ASK));
+      w.apply(new RelayEvent.KeepingChanged(w.now(), ReservationMode.ASK));
       w.arrive("/stream/a", 0, SMALL);
-      assertTrue(w.router.asks(w.now()).getLast().without().contains(declined));
+      assertTrue(w.router.reservationRequests(w.now()).getLast().excluded().contains(declined));
     }
   }
 
@@ -142,17 +142,17 @@
   public static class CoordinatingNode {
     @Test
     public void grantsReservationAndPrefillUpstreamTogether() {
-      RelayWorld w = world(RoomKeeping.KEEP);
+      RelayWorld w = world(ReservationMode.KEEP);
       receiveRequests(w, request(5, PROMPT));
-      RelayEffect.GrantRoom grant = grants(w).getFirst();
+      RelayEffect.GrantReservation grant = grants(w).getFirst();
       assertEquals(grant.node(), OTHER);
       assertEquals(grant.call(), new RequestId(5));
-      assertEquals(grant.reader(), Optional.of(READ_1));
+      assertEquals(grant.prefillUpstream(), Optional.of(READ_1));
     }
 
     @Test
     public void grantsNoMoreThanTheCapacity() {
-      RelayWorld w = world(RoomKeeping.KEEP);
+      RelayWorld w = world(ReservationMode.KEEP);
       long half = RelayWorld.MEMORY / 2;
       receiveRequests(w, request(1, half), request(2, half), request(3, half));
       assertEquals(grants(w).size(), 2);
@@ -160,7 +160,7 @@
 
     @Test
     public void repeatsGrantsThatTheNodeHasNotReceived() {
-      RelayWorld w = world(RoomKeeping.KEEP);
+      RelayWorld w = world(ReservationMode.KEEP);
       receiveRequests(w, request(5, PROMPT));
       receiveRequests(w, request(5, PROMPT));
       assertEquals(grants(w).size(), 2);
@@ -169,7 +169,7 @@
 
     @Test
     public void reusesMemoryThatIsNoLongerRequested() {
-      RelayWorld w = world(RoomKeeping.KEEP);
+      RelayWorld w = world(ReservationMode.KEEP);
       long large = (long) (0.9 * RelayWorld.MEMORY);
       receiveRequests(w, request(1, large), request(2, large), request(3, large));
       assertEquals(grants(w).size(), 2);
@@ -179,11 +179,11 @@
 
     @Test
     public void countsGrantedMemoryByTheLoadReportsOfTheNode() {
-      RelayWorld w = world(RoomKeeping.KEEP);
+      RelayWorld w = world(ReservationMode.KEEP);
       long large = (long) (0.9 * RelayWorld.MEMORY);
       receiveRequests(w, request(1, large), request(2, large));
-      ImmutableMap<UpstreamLife, Long> both =
-          ImmutableMap.of(grants(w).get(0).home(), large, grants(w).get(1).home(), large);
+      ImmutableMap<UpstreamIncarnation, Long> both =
+          ImmutableMap.of(grants(w).get(0).reservedUpstream(), large, grants(w).get(1).reservedUpstream(), large);
       w.apply(new RelayEvent.LoadHeard(w.now(), OTHER, both, ImmutableSet.of()));
       receiveRequests(w, request(3, large));
       assertEquals(grants(w).size(), 2);
@@ -193,17 +193,17 @@
 
     @Test
     public void grantsAnotherUpstreamThanTheExcludedOne() {
-      RelayWorld w = world(RoomKeeping.KEEP);
+      RelayWorld w = world(ReservationMode.KEEP);
       receiveRequests(w, request(5, PROMPT));
-      UpstreamLife first = grants(w).getFirst().home();
+      UpstreamIncarnation first = grants(w).getFirst().reservedUpstream();
       receiveRequests(w, request(5, PROMPT, first));
       assertEquals(grants(w).size(), 2);
-      assertFalse(grants(w).getLast().home().equals(first));
+      assertFalse(grants(w).getLast().reservedUpstream().equals(first));
     }
 
     @Test
     public void dropsUnresponsiveNodes() {
-      RelayWorld w = world(RoomKeeping.KEEP);
+      RelayWorld w = world(ReservationMode.KEEP);
       long large = (long) (0.9 * RelayWorld.MEMORY);
       receiveRequests(w, request(1, large), request(2, large));
       w.pass(1_600);
@@ -213,7 +213,7 @@
 
     @Test
     public void servesLocalAndRemoteCallsInOneOrder() {
-      RelayWorld w = world(RoomKeeping.KEEP);
+      RelayWorld w = world(ReservationMode.KEEP);
       long large = (long) (0.9 * RelayWorld.MEMORY);
       receiveRequests(w, request(1, large), request(2, large), request(3, large));
       w.arrive("/stream/a", 0, new CallSize((int) large, 10, 10));
@@ -226,9 +226,9 @@
 
     @Test
     public void ignoresRequestsForUnknownServices() {
-      RelayWorld w = world(RoomKeeping.KEEP);
-      RoomAsk unknown =
-          new RoomAsk(
+      RelayWorld w = world(ReservationMode.KEEP);
+      ReservationRequest unknown =
+          new ReservationRequest(
               new RequestId(1),
               "wire-1",
               new ServiceName("strange"),
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RateLimitTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RateLimitTest.java
@@ -24,7 +24,7 @@
 
   private static List<RelayEffect.Send> sends(RelayWorld w, String upstream) {
     return w.of(RelayEffect.Send.class).stream()
-        .filter(s -> s.upstream().id().value().equals(upstream))
+        .filter(s -> s.upstream().name().value().equals(upstream))
         .toList();
   }
 
@@ -72,7 +72,7 @@
       w.arrive("/stream/a", 14_000, SMALL);
       w.receiveRateLimit("run-1", 0.01);
       w.promptRead();
-      assertEquals(w.sent().upstream().id().value(), "run-2");
+      assertEquals(w.sent().upstream().name().value(), "run-2");
     }
 
     @Test
@@ -81,7 +81,7 @@
       w.arrive("/resume/a", 14_000, SMALL);
       w.promptRead();
       w.began();
-      String reserved = w.sent().upstream().id().value();
+      String reserved = w.sent().upstream().name().value();
       w.receiveRateLimit(reserved, 0.01);
       w.leave(reserved);
       w.pass(3_000);
@@ -92,7 +92,7 @@
     public void areAcceptedOnceTheyHaveTheirPermit() {
       RelayWorld w = RelayWorld.withDefaults();
       w.receiveRateLimit("app-1", 2);
-      assertTrue(w.router.mayReach(w.now(), RelayWorld.incarnation("app-1")));
+      assertTrue(w.router.acceptsRequests(w.now(), RelayWorld.incarnation("app-1")));
     }
   }
 
@@ -125,7 +125,7 @@
               w.now(),
               RelayWorld.incarnation("app-1"),
               w.now(),
-              new UpstreamNotice(false, 0, new RateNotice.Unlimited())));
+              new UpstreamNotice(false, 0, new RateLimitNotice.Unlimited())));
       assertEquals(w.sendCount(), 1);
     }
 
@@ -154,8 +154,8 @@
   /** The exchange of rate limits between nodes. */
   public static class Reports extends RateLimitTest {
     private static void receive(RelayWorld w, Optional<RequestRate> limit, long ageMillis) {
-      RateWord report =
-          new RateWord(RelayWorld.incarnation("app-1"), limit, ageMillis * RelayWorld.MILLI);
+      RateLimitReport report =
+          new RateLimitReport(RelayWorld.incarnation("app-1"), limit, ageMillis * RelayWorld.MILLI);
       w.apply(new RelayEvent.RatesHeard(w.now(), ImmutableList.of(report)));
     }
 
@@ -168,7 +168,7 @@
       RelayWorld w = RelayWorld.withDefaults();
       receive(w, Optional.of(RequestRate.perSecond(1)), 20);
       w.arrive("/once/a");
-      assertEquals(w.sent().upstream().id().value(), "app-2");
+      assertEquals(w.sent().upstream().name().value(), "app-2");
     }
 
     @Test
@@ -176,7 +176,7 @@
       RelayWorld w = RelayWorld.withDefaults();
       receive(w, Optional.of(RequestRate.perSecond(1)), 20);
       w.pass(100);
-      RateWord report = w.router.rates(w.now()).getFirst();
+      RateLimitReport report = w.router.rateLimitReports(w.now()).getFirst();
       assertEquals(report.limit(), Optional.of(RequestRate.perSecond(1)));
       assertEquals(report.ageNanos(), 120 * RelayWorld.MILLI);
     }
@@ -191,9 +191,9 @@
               w.now(),
               RelayWorld.incarnation("app-1"),
               w.now(),
-              new UpstreamNotice(false, 0, new RateNotice.Unlimited())));
+              new UpstreamNotice(false, 0, new RateLimitNotice.Unlimited())));
       receive(w, Optional.of(RequestRate.perSecond(1)), 50);
-      assertEquals(w.router.rates(w.now()).getFirst().limit(), Optional.empty());
+      assertEquals(w.router.rateLimitReports(w.now()).getFirst().limit(), Optional.empty());
     }
 
     @Test
@@ -205,7 +205,7 @@
       assertTrue(isLimited(w));
       w.pass(400);
       receive(w, Optional.empty(), 0);
-      assertEquals(w.router.rates(w.now()).getFirst().limit(), Optional.empty());
+      assertEquals(w.router.rateLimitReports(w.now()).getFirst().limit(), Optional.empty());
     }
 
     @Test
@@ -213,7 +213,7 @@
       RelayWorld w = RelayWorld.withDefaults();
       w.receiveRateLimit("app-1", 1);
       w.restart("app-1", 5);
-      assertEquals(w.router.rates(w.now()), ImmutableList.of());
+      assertEquals(w.router.rateLimitReports(w.now()), ImmutableList.of());
     }
   }
 }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayEvacuationTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayEvacuationTest.java
@@ -31,7 +31,7 @@
     w.arrive(path, 14_000, SMALL);
     w.promptRead();
     w.began();
-    w.leave(w.sent().upstream().id().value());
+    w.leave(w.sent().upstream().name().value());
     assertEquals(moves(w), 0, "short runs end before they need to be moved");
     w.pass(1_250);
     assertEquals(moves(w), 1);
@@ -49,7 +49,7 @@
   @Test
   public void continuesAtAnotherUpstreamWithItsMemory() {
     RelayWorld w = leaving("/stream/a");
-    final UpstreamName source = w.sent().upstream().id();
+    final UpstreamName source = w.sent().upstream().name();
     assertEquals(step(w), MoveStep.COPY);
     w.moved(COPIED);
     assertEquals(step(w), MoveStep.STOP);
@@ -58,7 +58,7 @@
     w.moved(new MoveResult.Copied("last"));
     assertEquals(w.sendCount(), 3);
     assertTrue(w.sent().purpose() instanceof Purpose.Continue c && c.handle().equals("last"));
-    assertNotEquals(w.sent().upstream().id(), source);
+    assertNotEquals(w.sent().upstream().name(), source);
     w.began();
     w.answered(AnswerGrade.GOOD);
     assertEquals(w.of(RelayEffect.Deliver.class).size(), 1);
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayRouterTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayRouterTest.java
@@ -20,7 +20,7 @@
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
@@ -45,10 +45,10 @@
     public void isSentToAnotherUpstreamWhenItHasNotRun() {
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
-      UpstreamLife first = w.sent().upstream().life();
+      UpstreamIncarnation first = w.sent().upstream().incarnation();
       w.declined();
       assertEquals(w.sendCount(), 2);
-      assertNotEquals(w.sent().upstream().life(), first);
+      assertNotEquals(w.sent().upstream().incarnation(), first);
     }
 
     @Test
@@ -87,9 +87,9 @@
     public void isRetriedWithinItsMaximumRuns() {
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/safe/a");
-      UpstreamLife first = w.sent().upstream().life();
+      UpstreamIncarnation first = w.sent().upstream().incarnation();
       w.answered(AnswerGrade.FAILED);
-      assertNotEquals(w.sent().upstream().life(), first);
+      assertNotEquals(w.sent().upstream().incarnation(), first);
       w.answered(AnswerGrade.FAILED);
       assertEquals(w.sendCount(), 2);
       assertEquals(w.of(RelayEffect.Deliver.class).size(), 1);
@@ -99,10 +99,10 @@
     public void isSentToAnotherUpstreamAfterTimeout() {
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/safe/a");
-      UpstreamLife first = w.sent().upstream().life();
+      UpstreamIncarnation first = w.sent().upstream().incarnation();
       w.pass(600);
       assertEquals(w.of(RelayEffect.Cancel.class).size(), 1);
-      assertNotEquals(w.sent().upstream().life(), first);
+      assertNotEquals(w.sent().upstream().incarnation(), first);
     }
 
     @Test
@@ -158,7 +158,7 @@
       w.leave("app-1");
       for (int i = 0; i < 20; i++) {
         w.arrive("/safe/a");
-        assertEquals(w.sent().upstream().id().value(), "app-2");
+        assertEquals(w.sent().upstream().name().value(), "app-2");
         w.answered(AnswerGrade.GOOD);
       }
     }
@@ -180,12 +180,12 @@
     public void ejectsUnreachableUpstreams() {
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/safe/a");
-      UpstreamLife unreachable = w.sent().upstream().life();
+      UpstreamIncarnation unreachable = w.sent().upstream().incarnation();
       w.notSent();
       w.answered(AnswerGrade.GOOD);
       for (int i = 0; i < 10; i++) {
         w.arrive("/safe/a");
-        assertNotEquals(w.sent().upstream().life(), unreachable);
+        assertNotEquals(w.sent().upstream().incarnation(), unreachable);
         w.answered(AnswerGrade.GOOD);
       }
     }
@@ -194,14 +194,14 @@
     public void ejectsUpstreamsWhoseAddressAnotherIncarnationHas() {
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/once/a");
-      final UpstreamLife replaced = w.sent().upstream().life();
+      final UpstreamIncarnation replaced = w.sent().upstream().incarnation();
       w.apply(new RelayEvent.Refused(w.now(), w.sent().attempt(), RefusalCause.WRONG_UPSTREAM));
       w.answered(AnswerGrade.GOOD);
       w.pass(4_000);
       for (int i = 0; i < 40; i++) {
         w.arrive("/once/a");
         assertNotEquals(
-            w.sent().upstream().life(), replaced, "even if the other upstream has more load");
+            w.sent().upstream().incarnation(), replaced, "even if the other upstream has more load");
       }
     }
 
@@ -273,7 +273,7 @@
     public void prefillsThePromptThenHandsItOver() {
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
-      assertEquals(w.sent().upstream().id().value(), "read-1");
+      assertEquals(w.sent().upstream().name().value(), "read-1");
       assertEquals(w.sent().purpose(), new Purpose.ReadPrompt());
       w.promptRead();
       assertTrue(w.sent().purpose() instanceof Purpose.TakeOver);
@@ -353,7 +353,7 @@
               ImmutableSet.of()));
       w.arrive("/stream/a", 14_000, LARGE);
       w.promptRead();
-      assertEquals(w.sent().upstream().id().value(), "run-2");
+      assertEquals(w.sent().upstream().name().value(), "run-2");
     }
 
     @Test
@@ -381,7 +381,7 @@
     @Test
     public void reservesMemoryThatOtherNodesSeeAfterRandomDelay() {
       RelayWorld w = RelayWorld.withDefaults();
-      ImmutableMap<UpstreamLife, Long> full =
+      ImmutableMap<UpstreamIncarnation, Long> full =
           ImmutableMap.of(
               RelayWorld.incarnation("run-1"), 17_000L, RelayWorld.incarnation("run-2"), 17_000L);
       w.apply(new RelayEvent.LoadHeard(w.now(), new HostName("other"), full, ImmutableSet.of()));
@@ -417,14 +417,14 @@
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
-      UpstreamLife first = w.sent().upstream().life();
+      UpstreamIncarnation first = w.sent().upstream().incarnation();
       w.declined();
       assertTrue(w.sent().purpose() instanceof Purpose.TakeOver);
-      assertNotEquals(w.sent().upstream().life(), first);
-      UpstreamLife second = w.sent().upstream().life();
+      assertNotEquals(w.sent().upstream().incarnation(), first);
+      UpstreamIncarnation second = w.sent().upstream().incarnation();
       w.declined();
       assertEquals(w.sent().purpose(), w.fetch("read-1"));
-      assertEquals(w.sent().upstream().life(), second);
+      assertEquals(w.sent().upstream().incarnation(), second);
     }
 
     @Test
@@ -439,7 +439,7 @@
       w.arrive("/stream/a", 14_000, SMALL);
       assertEquals(w.sent().purpose(), new Purpose.Run());
       assertEquals(
-          w.router.lapsing(w.now()),
+          w.router.losingHandles(w.now()),
           ImmutableSet.of(),
           "only losses that this node found are reported");
     }
@@ -451,11 +451,11 @@
       w.promptRead();
       w.declined();
       w.declined();
-      assertEquals(w.router.lapsing(w.now()), ImmutableSet.of());
+      assertEquals(w.router.losingHandles(w.now()), ImmutableSet.of());
       w.began();
-      assertEquals(w.router.lapsing(w.now()), ImmutableSet.of(RelayWorld.incarnation("read-1")));
+      assertEquals(w.router.losingHandles(w.now()), ImmutableSet.of(RelayWorld.incarnation("read-1")));
       w.pass(2_000);
-      assertEquals(w.router.lapsing(w.now()), ImmutableSet.of());
+      assertEquals(w.router.losingHandles(w.now()), ImmutableSet.of());
     }
 
     @Test
@@ -466,7 +466,7 @@
       w.declined();
       w.declined();
       w.declined();
-      assertEquals(w.router.lapsing(w.now()), ImmutableSet.of());
+      assertEquals(w.router.losingHandles(w.now()), ImmutableSet.of());
       // Upstreams that declined are treated as full for 250 ms; a lost prompt would count for 2 s.
       w.pass(300);
       w.arrive("/stream/b", 14_000, SMALL);
@@ -537,7 +537,7 @@
     @Test
     public void placesNothingOnUpstreamsOrderedToChangeStage() {
       RelayWorld w = RelayWorld.withDefaults();
-      UpstreamLife ordered = RelayWorld.incarnation("run-1");
+      UpstreamIncarnation ordered = RelayWorld.incarnation("run-1");
       w.apply(new RelayEvent.Ordered(w.now(), ordered, 15_000 * RelayWorld.MILLI));
       assertEquals(
           w.router.loads(),
@@ -546,11 +546,11 @@
       CallSize tiny = new CallSize(100, 1_000, 1_000);
       for (int i = 0; i < 10; i++) {
         w.arrive("/stream/a", 14_000, tiny);
-        assertNotEquals(w.sent().upstream().life(), ordered);
+        assertNotEquals(w.sent().upstream().incarnation(), ordered);
       }
       w.apply(new RelayEvent.OrderRefused(w.now(), ordered));
       w.arrive("/stream/b", 14_000, tiny);
-      assertEquals(w.sent().upstream().life(), ordered);
+      assertEquals(w.sent().upstream().incarnation(), ordered);
     }
 
     @Test
@@ -585,7 +585,7 @@
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
-      final UpstreamLife unreachable = w.sent().upstream().life();
+      final UpstreamIncarnation unreachable = w.sent().upstream().incarnation();
       w.notSent();
       w.arrive("/stream/b", 14_000, LARGE);
       final int before = w.sendCount();
@@ -595,7 +595,7 @@
       assertTrue(
           w.of(RelayEffect.Send.class).stream()
               .skip(2)
-              .noneMatch(s -> s.upstream().life().equals(unreachable)));
+              .noneMatch(s -> s.upstream().incarnation().equals(unreachable)));
     }
 
     @Test
@@ -620,14 +620,14 @@
       CallSize tiny = new CallSize(100, 1_000, 1_000);
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, tiny);
-      final UpstreamLife full = w.sent().upstream().life();
+      final UpstreamIncarnation full = w.sent().upstream().incarnation();
       w.declined();
       w.arrive("/stream/b", 14_000, LARGE);
       w.arrive("/stream/c", 14_000, tiny);
-      assertNotEquals(w.sent().upstream().life(), full, "even though its known load is lower");
+      assertNotEquals(w.sent().upstream().incarnation(), full, "even though its known load is lower");
       w.pass(300);
       w.arrive("/stream/d", 14_000, tiny);
-      assertEquals(w.sent().upstream().life(), full);
+      assertEquals(w.sent().upstream().incarnation(), full);
     }
 
     @Test
@@ -636,7 +636,7 @@
       w.arrive("/stream/a", 14_000, SMALL);
       w.promptRead();
       w.began();
-      UpstreamLife upstream = w.sent().upstream().life();
+      UpstreamIncarnation upstream = w.sent().upstream().incarnation();
       final long before = w.router.loads().get(upstream);
       w.apply(new RelayEvent.Progressed(w.now(), w.sent().attempt(), 90));
       assertTrue(w.router.loads().get(upstream) > before);
@@ -651,9 +651,9 @@
       w.arrive("/resume/a", 14_000, SMALL);
       w.promptRead();
       w.began();
-      UpstreamLife first = w.sent().upstream().life();
+      UpstreamIncarnation first = w.sent().upstream().incarnation();
       w.lost();
-      assertNotEquals(w.sent().upstream().life(), first);
+      assertNotEquals(w.sent().upstream().incarnation(), first);
       w.began();
       w.answered(AnswerGrade.GOOD);
       assertEquals(w.of(RelayEffect.Cut.class).size(), 0);
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayWorld.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayWorld.java
@@ -23,9 +23,9 @@
 import org.larkkeel.lib.Incarnation;
 import org.larkkeel.lib.RequestId;
 import org.larkkeel.lib.RuleName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.quota.QuotaPool;
+import org.larkkeel.quota.QuotaCoordinator;
 import org.larkkeel.quota.QuotaTolerance;
 
 /**
@@ -47,7 +47,7 @@
   private ImmutableSet<UpstreamName> listed = ImmutableSet.of();
   private long now = 1_000_000 * MILLI;
   private long lastCall;
-  private final QuotaPool quotaCoordinator = new QuotaPool(QuotaTolerance.NONE);
+  private final QuotaCoordinator quotaCoordinator = new QuotaCoordinator(QuotaTolerance.NONE);
 
   RelayWorld() {
     this(20);
@@ -123,13 +123,13 @@
   }
 
   /** Returns the incarnation of an upstream that was added and has not restarted. */
-  static UpstreamLife incarnation(String id) {
-    return UpstreamLife.unknownStart(new UpstreamName(id));
+  static UpstreamIncarnation incarnation(String id) {
+    return UpstreamIncarnation.unknown(new UpstreamName(id));
   }
 
   /** Returns the incarnation of an upstream that {@link #restart} has started. */
-  static UpstreamLife incarnation(String id, long start) {
-    return new UpstreamLife(new UpstreamName(id), new Incarnation(start));
+  static UpstreamIncarnation incarnation(String id, long start) {
+    return new UpstreamIncarnation(new UpstreamName(id), new Incarnation(start));
   }
 
   void add(String id, ServiceName service, Stage stage) {
@@ -143,7 +143,7 @@
         new UpstreamName(id),
         (name, u) ->
             new RelayUpstream(
-                u.life(), u.service(), u.address(), u.place(), u.slots(), u.stage(), true));
+                u.incarnation(), u.service(), u.address(), u.dataCentre(), u.slots(), u.stage(), true));
     applyDiscoveryList();
   }
 
@@ -156,7 +156,7 @@
                 incarnation(id, start),
                 u.service(),
                 u.address(),
-                u.place(),
+                u.dataCentre(),
                 u.slots(),
                 u.stage(),
                 u.leaving()));
@@ -183,7 +183,7 @@
 
   /** Receives an answer that announces a rate limit, to a request that was sent now. */
   void receiveRateLimit(String upstream, double perSecond) {
-    RateNotice rate = new RateNotice.Limited(RequestRate.perSecond(perSecond));
+    RateLimitNotice rate = new RateLimitNotice.Limited(RequestRate.perSecond(perSecond));
     apply(
         new RelayEvent.Noticed(
             now, incarnation(upstream), now, new UpstreamNotice(false, 0, rate)));
@@ -192,13 +192,13 @@
   /** Answers the node's quota request, if one is due, as this node is the quota coordinator. */
   void answerQuotaRequest() {
     router
-        .quotaAsk(now, true)
+        .quotaRequest(now, true)
         .ifPresent(
             ask ->
                 apply(
                     new RelayEvent.QuotaGranted(
                         now,
-                        quotaCoordinator.ask(now, new HostName("node-1"), ask, 1, router::limit))));
+                        quotaCoordinator.grant(now, new HostName("node-1"), ask, 1, router::quotaLimit))));
   }
 
   /** Advances the time tick by tick. */
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RunCopiesTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RunCopiesTest.java
@@ -39,7 +39,7 @@
     w.arrive(path, 14_000, SMALL);
     w.promptRead();
     w.began();
-    w.leave(w.sent().upstream().id().value());
+    w.leave(w.sent().upstream().name().value());
     w.pass(1_250);
     assertEquals(w.of(RelayEffect.Move.class).size(), 1);
     return w;
@@ -62,11 +62,11 @@
   }
 
   private static String source(RelayWorld w) {
-    return w.of(RelayEffect.Move.class).getLast().source().id().value();
+    return w.of(RelayEffect.Move.class).getLast().source().name().value();
   }
 
   private static String destination(RelayWorld w) {
-    return w.of(RelayEffect.Move.class).getLast().destination().id().value();
+    return w.of(RelayEffect.Move.class).getLast().destination().name().value();
   }
 
   private static List<String> handles(RelayWorld w) {
@@ -133,7 +133,7 @@
     public void areFreedAtTheSource() {
       RelayWorld w = continued();
       w.declined();
-      assertEquals(w.of(RelayEffect.Free.class).getLast().source().id().value(), source(w));
+      assertEquals(w.of(RelayEffect.Free.class).getLast().source().name().value(), source(w));
     }
 
     @Test
@@ -295,11 +295,11 @@
     public void areNotFreedAtTheRestartedSourceThatWasMissingBefore() {
       RelayWorld w = continued();
       RelayEffect.Move move = w.of(RelayEffect.Move.class).getLast();
-      w.remove(move.source().id().value());
+      w.remove(move.source().name().value());
       w.pass(2_000);
       w.applyDiscoveryList();
-      w.add(move.source().id().value(), RelayWorld.MODEL, Stage.DECODE);
-      w.restart(move.source().id().value(), LATER_INCARNATION);
+      w.add(move.source().name().value(), RelayWorld.MODEL, Stage.DECODE);
+      w.restart(move.source().name().value(), LATER_INCARNATION);
       w.declined();
       assertEquals(handles(w), List.of());
     }
@@ -379,7 +379,7 @@
         world.promptRead();
         world.began();
       }
-      world.leave(world.sent().upstream().id().value());
+      world.leave(world.sent().upstream().name().value());
       world.pass(1_250);
     }
 
@@ -435,9 +435,9 @@
     }
 
     private void startStream(RelayEffect.Send s) {
-      int before = world.of(RelayEffect.Follow.class).size();
+      int before = world.of(RelayEffect.ForwardStream.class).size();
       world.apply(new RelayEvent.Began(world.now(), s.attempt()));
-      boolean follows = world.of(RelayEffect.Follow.class).size() > before;
+      boolean follows = world.of(RelayEffect.ForwardStream.class).size() > before;
       if (follows && s.purpose() instanceof RelayEffect.Purpose.Continue c) {
         used.add(c.handle());
       }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/UpstreamRestartTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/UpstreamRestartTest.java
@@ -20,7 +20,7 @@
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.testng.annotations.Test;
 
@@ -47,10 +47,10 @@
   }
 
   private static String lastUpstream(RelayWorld w) {
-    return w.sent().upstream().id().value();
+    return w.sent().upstream().name().value();
   }
 
-  private static void receiveLoad(RelayWorld w, UpstreamLife upstream, long units) {
+  private static void receiveLoad(RelayWorld w, UpstreamIncarnation upstream, long units) {
     w.apply(
         new RelayEvent.LoadHeard(
             w.now(), OTHER, ImmutableMap.of(upstream, units), ImmutableSet.of(upstream)));
@@ -61,7 +61,7 @@
         .map(RelayEffect.Report::fact)
         .filter(RelayFact.UpstreamChanged.class::isInstance)
         .map(RelayFact.UpstreamChanged.class::cast)
-        .map(f -> f.life() + " " + f.change())
+        .map(f -> f.upstream() + " " + f.change())
         .toList();
   }
 
@@ -93,7 +93,7 @@
       w.pass(1_600);
       String upstream = lastUpstream(w);
       w.restart(upstream, LATER_INCARNATION);
-      assertEquals(w.sent().upstream().life(), RelayWorld.incarnation(upstream, LATER_INCARNATION));
+      assertEquals(w.sent().upstream().incarnation(), RelayWorld.incarnation(upstream, LATER_INCARNATION));
     }
 
     @Test
@@ -147,7 +147,7 @@
     public void reservationIsDropped() {
       RelayWorld w = RelayWorld.withDefaults();
       w.arrive("/stream/a", 14_000, SMALL);
-      UpstreamLife reservedUpstream =
+      UpstreamIncarnation reservedUpstream =
           w.router.loads().keySet().stream()
               .filter(l -> l.name().value().startsWith("run"))
               .findFirst()
@@ -156,7 +156,7 @@
       assertEquals(w.router.loads().keySet(), ImmutableSet.of(RelayWorld.incarnation("read-1")));
       w.promptRead();
       assertTrue(w.sent().purpose() instanceof Purpose.TakeOver);
-      assertEquals(w.router.loads().keySet(), ImmutableSet.of(w.sent().upstream().life()));
+      assertEquals(w.router.loads().keySet(), ImmutableSet.of(w.sent().upstream().incarnation()));
       w.began();
       w.answered(AnswerGrade.GOOD);
       assertEquals(w.router.loads(), ImmutableMap.of());
@@ -172,7 +172,7 @@
       assertEquals(w.sent().purpose(), new Purpose.Run());
       assertEquals(w.of(RelayEffect.Free.class), List.of(), "its handle may name another's now");
       w.began();
-      assertEquals(w.router.lapsing(w.now()), ImmutableSet.of());
+      assertEquals(w.router.losingHandles(w.now()), ImmutableSet.of());
     }
 
     @Test
@@ -192,10 +192,10 @@
       w.notSent();
       w.add("app-2", RelayWorld.APP, Stage.WHOLE);
       w.restart("app-1", LATER_INCARNATION);
-      ImmutableSet.Builder<UpstreamLife> used = ImmutableSet.builder();
+      ImmutableSet.Builder<UpstreamIncarnation> used = ImmutableSet.builder();
       for (int i = 0; i < 20; i++) {
         w.arrive("/safe/b");
-        used.add(w.sent().upstream().life());
+        used.add(w.sent().upstream().incarnation());
       }
       assertTrue(used.build().contains(RelayWorld.incarnation("app-1", LATER_INCARNATION)));
     }
@@ -239,9 +239,9 @@
     @Test
     public void reservationIsGrantedAgain() {
       RelayWorld w = RelayWorld.withDefaults();
-      w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.KEEP));
-      RoomAsk request =
-          new RoomAsk(
+      w.apply(new RelayEvent.KeepingChanged(w.now(), ReservationMode.KEEP));
+      ReservationRequest request =
+          new ReservationRequest(
               new RequestId(1),
               "wire-1",
               RelayWorld.MODEL,
@@ -256,10 +256,10 @@
       RelayEvent requested =
           new RelayEvent.RoomAsked(w.now(), OTHER, RelayWorld.HERE, ImmutableList.of(request));
       w.apply(requested);
-      UpstreamLife first = w.of(RelayEffect.GrantRoom.class).getLast().home();
+      UpstreamIncarnation first = w.of(RelayEffect.GrantReservation.class).getLast().reservedUpstream();
       w.restart(first.name().value(), LATER_INCARNATION);
-      assertEquals(w.of(RelayEffect.GrantRoom.class).size(), 2);
-      assertNotEquals(w.of(RelayEffect.GrantRoom.class).getLast().home(), first);
+      assertEquals(w.of(RelayEffect.GrantReservation.class).size(), 2);
+      assertNotEquals(w.of(RelayEffect.GrantReservation.class).getLast().reservedUpstream(), first);
     }
 
     @Test
@@ -309,7 +309,7 @@
       w.apply(
           new RelayEvent.Ordered(w.now(), RelayWorld.incarnation("run-1"), 15_000 * 1_000_000L));
       w.restart("run-1", LATER_INCARNATION);
-      UpstreamLife now = RelayWorld.incarnation("run-1", LATER_INCARNATION);
+      UpstreamIncarnation now = RelayWorld.incarnation("run-1", LATER_INCARNATION);
       w.apply(new RelayEvent.Ordered(w.now(), now, 15_000 * 1_000_000L));
       w.apply(new RelayEvent.OrderRefused(w.now(), RelayWorld.incarnation("run-1")));
       assertEquals(w.router.loads(), ImmutableMap.of(now, RelayWorld.MEMORY));
@@ -320,7 +320,7 @@
       RelayWorld w = RelayWorld.withDefaults();
       w.apply(new RelayEvent.Ordered(w.now(), RelayWorld.incarnation("run-1"), 1_000 * 1_000_000L));
       w.restart("run-1", LATER_INCARNATION);
-      UpstreamLife now = RelayWorld.incarnation("run-1", LATER_INCARNATION);
+      UpstreamIncarnation now = RelayWorld.incarnation("run-1", LATER_INCARNATION);
       w.apply(new RelayEvent.Ordered(w.now(), now, 15_000 * 1_000_000L));
       w.pass(2_000);
       assertEquals(w.router.loads(), ImmutableMap.of(now, RelayWorld.MEMORY));
@@ -329,7 +329,7 @@
     @Test
     public void orderToUnknownIncarnationIsIgnored() {
       RelayWorld w = RelayWorld.withDefaults();
-      UpstreamLife unknown = RelayWorld.incarnation("run-1", LATER_INCARNATION);
+      UpstreamIncarnation unknown = RelayWorld.incarnation("run-1", LATER_INCARNATION);
       w.apply(new RelayEvent.Ordered(w.now(), unknown, 15_000 * 1_000_000L));
       assertEquals(w.router.loads(), ImmutableMap.of());
     }
@@ -337,7 +337,7 @@
     @Test
     public void grantAtThePreviousIncarnationIsIgnored() {
       RelayWorld w = RelayWorld.withDefaults();
-      w.apply(new RelayEvent.KeepingChanged(w.now(), RoomKeeping.ASK));
+      w.apply(new RelayEvent.KeepingChanged(w.now(), ReservationMode.ASK));
       RequestId call = w.arrive("/stream/a", 0, SMALL);
       w.restart("run-1", LATER_INCARNATION);
       w.apply(
@@ -350,7 +350,7 @@
               call,
               RelayWorld.incarnation("run-1", LATER_INCARNATION),
               Optional.of(RelayWorld.incarnation("read-1", LATER_INCARNATION))));
-      assertEquals(w.sent().upstream().life(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
+      assertEquals(w.sent().upstream().incarnation(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
     }
 
     @Test
@@ -365,7 +365,7 @@
       w.arrive("/stream/a", 14_000, SMALL);
       assertEquals(lastUpstream(w), "read-1", "its prompts are not considered lost");
       w.promptRead();
-      assertEquals(w.sent().upstream().life(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
+      assertEquals(w.sent().upstream().incarnation(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
     }
 
     @Test
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/WorkspacesTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/WorkspacesTest.java
@@ -16,9 +16,9 @@
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.WorkspaceName;
-import org.larkkeel.quota.QuotaAsk;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
-import org.larkkeel.quota.QuotaPool;
+import org.larkkeel.quota.QuotaCoordinator;
 import org.larkkeel.quota.QuotaTolerance;
 import org.larkkeel.quota.TokenLimit;
 import org.larkkeel.relay.RelayWorkspace.QuotaUnit;
@@ -226,19 +226,19 @@
     private static final HostName NODE = new HostName("node-1");
 
     /** Answers the quota request that is due, as a coordinator. */
-    private static void grant(RelayWorld w, QuotaPool coordinator) {
-      QuotaAsk request = w.router.quotaAsk(w.now(), false).orElseThrow();
-      QuotaGrant grant = coordinator.ask(w.now(), NODE, request, 1, name -> Optional.of(LIMIT));
+    private static void grant(RelayWorld w, QuotaCoordinator coordinator) {
+      QuotaRequest request = w.router.quotaRequest(w.now(), false).orElseThrow();
+      QuotaGrant grant = coordinator.grant(w.now(), NODE, request, 1, name -> Optional.of(LIMIT));
       w.apply(new RelayEvent.QuotaGranted(w.now(), grant));
     }
 
     /** Returns a coordinator to which the node's previous process has lent a second. */
-    private static QuotaPool full(RelayWorld w) {
-      QuotaPool coordinator = new QuotaPool(QuotaTolerance.NONE);
-      coordinator.ask(
+    private static QuotaCoordinator full(RelayWorld w) {
+      QuotaCoordinator coordinator = new QuotaCoordinator(QuotaTolerance.NONE);
+      coordinator.grant(
           w.now(),
           NODE,
-          new QuotaAsk(1, 1, 1_000_000_000L, 1, ImmutableList.of()),
+          new QuotaRequest(1, 1, 1_000_000_000L, 1, ImmutableList.of()),
           1,
           name -> Optional.of(LIMIT));
       return coordinator;
@@ -256,7 +256,7 @@
     @Test
     public void refusesImmediatelyWithTheTimeOfRefill() {
       RelayWorld w = world(LIMIT);
-      QuotaPool coordinator = full(w);
+      QuotaCoordinator coordinator = full(w);
       w.arriveWithKey("/stream/a", new CallSize(1_700, 100, 50), KEY);
       grant(w, coordinator);
       w.arriveWithKey("/stream/b", STREAM, KEY);
@@ -278,15 +278,15 @@
     @Test
     public void isRefundedForCallsThatNoUpstreamRan() {
       RelayWorld w = world(LIMIT);
-      QuotaPool coordinator = full(w);
+      QuotaCoordinator coordinator = full(w);
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
       grant(w, coordinator);
       w.declined();
       w.declined();
       assertEquals(w.refusal(), ErrorKind.NO_UPSTREAM);
       w.pass(100);
-      QuotaAsk request = w.router.quotaAsk(w.now(), false).orElseThrow();
-      assertEquals(request.wants().getFirst().returned(), 200);
+      QuotaRequest request = w.router.quotaRequest(w.now(), false).orElseThrow();
+      assertEquals(request.demands().getFirst().returned(), 200);
     }
 
     @Test
@@ -295,7 +295,7 @@
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
       grant(w, full(w));
       w.lost();
-      assertEquals(w.router.quotaAsk(w.now(), false), Optional.empty());
+      assertEquals(w.router.quotaRequest(w.now(), false), Optional.empty());
     }
 
     @Test
@@ -311,7 +311,7 @@
       RelayWorld w = world(TokenLimit.NONE);
       w.arriveWithKey("/once/a", CallSize.NONE, KEY);
       assertEquals(w.sendCount(), 1);
-      assertEquals(w.router.quotaAsk(w.now(), true), Optional.empty());
+      assertEquals(w.router.quotaRequest(w.now(), true), Optional.empty());
     }
   }
 }
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/internal/RateLimitStateTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/internal/RateLimitStateTest.java
@@ -9,7 +9,7 @@
 import static org.testng.Assert.assertEquals;
 
 import java.util.Optional;
-import org.larkkeel.relay.RateNotice;
+import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RequestRate;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -25,11 +25,11 @@
   }
 
   private void announceLimit(long sentAt, long at, double perSecond) {
-    state.applyNotice(sentAt, at, new RateNotice.Limited(RequestRate.perSecond(perSecond)));
+    state.applyNotice(sentAt, at, new RateLimitNotice.Limited(RequestRate.perSecond(perSecond)));
   }
 
   private void announceNoLimit(long sentAt, long at) {
-    state.applyNotice(sentAt, at, new RateNotice.Unlimited());
+    state.applyNotice(sentAt, at, new RateLimitNotice.Unlimited());
   }
 
   private void assertLimit(double perSecond) {
--- a/org.larkkeel/src/main/java/org/larkkeel/effect/Fact.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/effect/Fact.java
@@ -30,7 +30,7 @@
    * @param rule its rule
    * @param withinTargets true if it met its latency targets
    * @param firstNanos the time from arrival to the first token, or to the answer of a plain call
-   * @param betweenNanos the mean time between tokens; 0 if there was one token
+   * @param interTokenNanos the mean time between tokens; 0 if there was one token
    * @param tokens the number of tokens of the answer
    */
   record Answered(
@@ -38,7 +38,7 @@
       RuleName rule,
       boolean withinTargets,
       long firstNanos,
-      long betweenNanos,
+      long interTokenNanos,
       int tokens)
       implements Fact {}
 
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/TokenBucket.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/TokenBucket.java
@@ -92,7 +92,7 @@
    * @param units the number of units
    * @param now the current time, in nanoseconds
    */
-  public void giveBack(double units, long now) {
+  public void refund(double units, long now) {
     refill(now);
     level = Math.min(capacity, level + units);
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/UpstreamLife.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/UpstreamIncarnation.java
@@ -15,21 +15,21 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param name the name, never null
- * @param start the incarnation, never null; after a clock was set back, a later incarnation can
+ * @param incarnation the incarnation, never null; after a clock was set back, a later incarnation can
  *     have the smaller number, so incarnations are compared only for equality
  * @since 0.1
  */
-public record UpstreamLife(UpstreamName name, Incarnation start) {
+public record UpstreamIncarnation(UpstreamName name, Incarnation incarnation) {
   private static final long UNKNOWN = 0;
 
   /** Returns the incarnation of an upstream that has not announced its number. */
-  public static UpstreamLife unknownStart(UpstreamName name) {
-    return new UpstreamLife(name, new Incarnation(UNKNOWN));
+  public static UpstreamIncarnation unknown(UpstreamName name) {
+    return new UpstreamIncarnation(name, new Incarnation(UNKNOWN));
   }
 
   /** Returns whether the number of the incarnation is known. */
-  public boolean hasStart() {
-    return start.value() != UNKNOWN;
+  public boolean isKnown() {
+    return incarnation.value() != UNKNOWN;
   }
 
   /**
@@ -38,16 +38,16 @@
    */
   @Override
   public boolean equals(Object other) {
-    return other instanceof UpstreamLife o && name.equals(o.name) && start.equals(o.start);
+    return other instanceof UpstreamIncarnation o && name.equals(o.name) && incarnation.equals(o.incarnation);
   }
 
   @Override
   public int hashCode() {
-    return 31 * name.hashCode() + start.hashCode();
+    return 31 * name.hashCode() + incarnation.hashCode();
   }
 
   @Override
   public String toString() {
-    return name + "@" + start;
+    return name + "@" + incarnation;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaPool.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaCoordinator.java
@@ -24,7 +24,7 @@
  *
  * @since 0.1
  */
-public final class QuotaPool {
+public final class QuotaCoordinator {
   private static final double NANOS_PER_SECOND = 1e9;
 
   /** The maximum time that one request can lend; a node's earlier time is out of date. */
@@ -126,7 +126,7 @@
    *
    * @param tolerance the tolerance by which quotas of workspaces may be exceeded
    */
-  public QuotaPool(QuotaTolerance tolerance) {
+  public QuotaCoordinator(QuotaTolerance tolerance) {
     this.tolerance = tolerance;
   }
 
@@ -140,10 +140,10 @@
    * @param limits returns the limit of a quota; empty if it is not known
    * @return the grant; the previous one if the request was received before
    */
-  public QuotaGrant ask(
+  public QuotaGrant grant(
       long at,
       HostName node,
-      QuotaAsk request,
+      QuotaRequest request,
       int nodes,
       Function<QuotaKey, Optional<TokenLimit>> limits) {
     this.nodes = Math.max(1, nodes);
@@ -156,7 +156,7 @@
     answered.put(node, new Answered(at, request.epoch(), request.sequence(), EMPTY_GRANT));
     countLenders(at, last == null);
     ImmutableList.Builder<QuotaGrant.Share> shares = ImmutableList.builder();
-    for (QuotaAsk.Want want : request.wants()) {
+    for (QuotaRequest.Demand want : request.demands()) {
       limits.apply(want.key()).ifPresent(limit -> shares.add(share(at, want, limit)));
     }
     QuotaGrant grant = new QuotaGrant(request.epoch(), request.sequence(), shares.build());
@@ -164,7 +164,7 @@
     return grant;
   }
 
-  private QuotaGrant.Share share(long at, QuotaAsk.Want demand, TokenLimit limit) {
+  private QuotaGrant.Share share(long at, QuotaRequest.Demand demand, TokenLimit limit) {
     if (!limit.isLimited()) {
       return new QuotaGrant.Share(demand.key(), demand.needed(), 0, 0);
     }
@@ -207,12 +207,12 @@
     return Math.max(key.unit(), saved * Math.min(1.0, (double) lenders / nodes));
   }
 
-  private static long granted(Level level, QuotaAsk.Want demand) {
+  private static long granted(Level level, QuotaRequest.Demand demand) {
     long available = level.wholeTokens();
-    return available < demand.least() ? 0 : Math.min(available, demand.needed());
+    return available < demand.minUseful() ? 0 : Math.min(available, demand.needed());
   }
 
-  private long ahead(Level level, QuotaAsk.Want demand, TokenLimit limit) {
+  private long ahead(Level level, QuotaRequest.Demand demand, TokenLimit limit) {
     long unit = demand.key().unit();
     long max = Math.min(demand.ahead(), (long) (AHEAD_FRACTION * level.tokens));
     return level.tokens > AHEAD_FRACTION * maxLevel(demand.key(), limit) ? max - max % unit : 0;
@@ -226,7 +226,7 @@
   }
 
   /** Stores the levels that a coordinator reported, in case this node takes over from it. */
-  public void heard(long at, QuotaLevels levels) {
+  public void levelsReceived(long at, QuotaLevels levels) {
     reportedLevels = levels.left();
     reportedAt = at;
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaGrant.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaGrant.java
@@ -9,7 +9,7 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * The coordinator's answer to a {@link QuotaAsk}.
+ * The coordinator's answer to a {@link QuotaRequest}.
  *
  * <p>Immutable and safe for use by several threads.
  *
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaHolder.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaHolder.java
@@ -65,7 +65,7 @@
   private final Map<QuotaKey, QuotaAccount> accounts = new HashMap<>();
   private int nodes = 1;
   private long sequence;
-  private Optional<QuotaAsk> openRequest = Optional.empty();
+  private Optional<QuotaRequest> openRequest = Optional.empty();
   private long sentAt;
   private long openedAt;
   private long grantedAt;
@@ -86,7 +86,7 @@
     record Granted(long left) implements Decision {}
 
     /** The call waits for the coordinator. */
-    record Waits() implements Decision {}
+    record Pending() implements Decision {}
 
     /**
      * The call exceeds the quota.
@@ -126,7 +126,7 @@
   }
 
   /** Returns the time since the last answer of the coordinator, in nanoseconds. */
-  public long age(long at) {
+  public long ageNanos(long at) {
     return at - grantedAt;
   }
 
@@ -160,7 +160,7 @@
       return new Decision.Refused(a.waitNanos - leftAge);
     }
     a.waiting.add(new QuotaAccount.Waiting(call, tokens, at + maxWaitNanos));
-    return new Decision.Waits();
+    return new Decision.Pending();
   }
 
   /**
@@ -168,7 +168,7 @@
    * requested from the coordinator; meanwhile the caller of this method uses another upstream or
    * waits.
    */
-  public boolean reserve(long at, QuotaKey key, TokenLimit limit, long tokens) {
+  public boolean ensureHeld(long at, QuotaKey key, TokenLimit limit, long tokens) {
     QuotaAccount a = account(at, key, limit);
     a.usedAt = at;
     if (a.held >= tokens) {
@@ -179,7 +179,7 @@
     return false;
   }
 
-  /** Takes tokens that {@link #reserve} has found to be held. */
+  /** Takes tokens that {@link #ensureHeld} has found to be held. */
   public void spend(QuotaKey key, long tokens) {
     QuotaAccount a = accounts.get(key);
     if (a != null) {
@@ -197,7 +197,7 @@
   }
 
   /** Removes a quota that no longer exists. */
-  public void forget(QuotaKey key) {
+  public void remove(QuotaKey key) {
     accounts.remove(key);
   }
 
@@ -222,7 +222,7 @@
    * Decides about a call whose wait has reached its maximum, alone if the coordinator is
    * unresponsive; empty if the call no longer waits.
    */
-  public Optional<Decision> decideNow(long at, RequestId call, QuotaKey key) {
+  public Optional<Decision> decideWaiting(long at, RequestId call, QuotaKey key) {
     QuotaAccount a = accounts.get(key);
     Optional<QuotaAccount.Waiting> found =
         a == null
@@ -232,14 +232,14 @@
         w -> {
           a.waiting.remove(w);
           refill(at, a);
-          return isSilent(at)
+          return isCoordinatorUnresponsive(at)
               ? decideAlone(a, w.tokens())
               : new Decision.Refused(Math.max(1, a.waitNanos));
         });
   }
 
   /** Returns whether the coordinator is unresponsive. */
-  public boolean isSilent(long at) {
+  public boolean isCoordinatorUnresponsive(long at) {
     return isAlone(at) || (openRequest.isPresent() && at - openedAt >= INACTIVITY_NANOS);
   }
 
@@ -257,7 +257,7 @@
   }
 
   /** Adds back the tokens of a call that no upstream has run. */
-  public void giveBack(QuotaKey key, long tokens) {
+  public void refund(QuotaKey key, long tokens) {
     QuotaAccount a = accounts.get(key);
     if (a != null) {
       a.held += tokens;
@@ -328,7 +328,7 @@
    * @param at the current time
    * @param heartbeat true if a request is due in any case
    */
-  public Optional<QuotaAsk> ask(long at, boolean heartbeat) {
+  public Optional<QuotaRequest> nextRequest(long at, boolean heartbeat) {
     if (openRequest.isPresent()) {
       if (at - sentAt < RESEND_NANOS) {
         return Optional.empty();
@@ -336,7 +336,7 @@
       sentAt = at;
       return openRequest;
     }
-    ImmutableList<QuotaAsk.Want> demands = demands(at);
+    ImmutableList<QuotaRequest.Demand> demands = demands(at);
     if (demands.isEmpty() && !heartbeat) {
       return Optional.empty();
     }
@@ -345,12 +345,12 @@
     accountedAt = at;
     sentAt = at;
     openedAt = at;
-    openRequest = Optional.of(new QuotaAsk(epoch, ++sequence, lent, nodes, demands));
+    openRequest = Optional.of(new QuotaRequest(epoch, ++sequence, lent, nodes, demands));
     return openRequest;
   }
 
-  private ImmutableList<QuotaAsk.Want> demands(long at) {
-    ImmutableList.Builder<QuotaAsk.Want> demands = ImmutableList.builder();
+  private ImmutableList<QuotaRequest.Demand> demands(long at) {
+    ImmutableList.Builder<QuotaRequest.Demand> demands = ImmutableList.builder();
     for (Iterator<Map.Entry<QuotaKey, QuotaAccount>> i = accounts.entrySet().iterator();
         i.hasNext(); ) {
       Map.Entry<QuotaKey, QuotaAccount> entry = i.next();
@@ -365,7 +365,7 @@
     return demands.build();
   }
 
-  private Optional<QuotaAsk.Want> demand(long at, QuotaKey key, QuotaAccount a, boolean idle) {
+  private Optional<QuotaRequest.Demand> demand(long at, QuotaKey key, QuotaAccount a, boolean idle) {
     long keep = idle ? 0 : ahead(a);
     boolean inUse =
         !a.waiting.isEmpty() || (isUpstreamQuota(a) && at - a.usedAt <= QuotaAccount.DEMAND_NANOS);
@@ -387,7 +387,7 @@
     a.requestedAt = at;
     a.held -= returned;
     long missingAhead = low ? (long) (keep - Math.max(0, a.held)) : 0;
-    return Optional.of(new QuotaAsk.Want(key, needed, a.minUseful(at), missingAhead, returned));
+    return Optional.of(new QuotaRequest.Demand(key, needed, a.minUseful(at), missingAhead, returned));
   }
 
   /**
@@ -417,7 +417,7 @@
   }
 
   private long openRequestSequence() {
-    return openRequest.map(QuotaAsk::sequence).orElse(0L);
+    return openRequest.map(QuotaRequest::sequence).orElse(0L);
   }
 
   /**
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaKey.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaKey.java
@@ -6,7 +6,7 @@
 
 package org.larkkeel.quota;
 
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.WorkspaceName;
 
 /**
@@ -33,18 +33,18 @@
    * The request rate limit that an incarnation of an upstream announces, in thousandths of a
    * request.
    *
-   * @param life the incarnation, never null
+   * @param upstream the incarnation, never null
    */
-  record OfUpstream(UpstreamLife life) implements QuotaKey {
+  record OfUpstream(UpstreamIncarnation upstream) implements QuotaKey {
     /** The amount that one request takes. */
-    public static final long REQUEST = 1_000;
+    public static final long UNITS_PER_REQUEST = 1_000;
   }
 
   /** Returns the smallest useful amount. */
   default long unit() {
     return switch (this) {
       case OfWorkspace w -> 1;
-      case OfUpstream u -> OfUpstream.REQUEST;
+      case OfUpstream u -> OfUpstream.UNITS_PER_REQUEST;
     };
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaMessage.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaMessage.java
@@ -13,4 +13,4 @@
  *
  * @since 0.1
  */
-public sealed interface QuotaMessage permits QuotaAsk, QuotaGrant, QuotaLevels {}
+public sealed interface QuotaMessage permits QuotaRequest, QuotaGrant, QuotaLevels {}
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaAsk.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaRequest.java
@@ -17,20 +17,20 @@
  * @param sequence increases with each request of an epoch; a repeated request gets the same grant
  * @param lentNanos the node's own time since its last request that it has not spent itself
  * @param nodes the number of nodes as known to this node
- * @param wants the requested tokens by quota
+ * @param demands the requested tokens by quota
  * @since 0.1
  */
-public record QuotaAsk(
-    long epoch, long sequence, long lentNanos, int nodes, ImmutableList<Want> wants)
+public record QuotaRequest(
+    long epoch, long sequence, long lentNanos, int nodes, ImmutableList<Demand> demands)
     implements QuotaMessage {
   /**
    * The tokens requested of one quota.
    *
    * @param key the quota
    * @param needed tokens for waiting calls and debt
-   * @param least the minimum amount that is useful; 0 if no call waits
+   * @param minUseful the minimum amount that is useful; 0 if no call waits
    * @param ahead tokens to hold in advance of demand
    * @param returned tokens that the node returns
    */
-  public record Want(QuotaKey key, long needed, long least, long ahead, long returned) {}
+  public record Demand(QuotaKey key, long needed, long minUseful, long ahead, long returned) {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RateChange.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RateLimitChange.java
@@ -11,7 +11,7 @@
  *
  * @since 0.1
  */
-public enum RateChange {
+public enum RateLimitChange {
   /** The upstream announced a limit; none was known before. */
   NAMED,
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RateNotice.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RateLimitNotice.java
@@ -14,23 +14,23 @@
  *
  * @since 0.1
  */
-public sealed interface RateNotice {
+public sealed interface RateLimitNotice {
   /**
    * No usable information: the answer may come from another upstream, or its rate fields can not be
    * parsed.
    */
-  RateNotice UNSAID = new Unsaid();
+  RateLimitNotice UNKNOWN = new Unknown();
 
   /** No usable information about the limit. */
-  record Unsaid() implements RateNotice {}
+  record Unknown() implements RateLimitNotice {}
 
   /** The upstream has no limit. */
-  record Unlimited() implements RateNotice {}
+  record Unlimited() implements RateLimitNotice {}
 
   /**
    * The upstream has a limit, which holds for as long as its answers announce one.
    *
    * @param rate the limit, never null
    */
-  record Limited(RequestRate rate) implements RateNotice {}
+  record Limited(RequestRate rate) implements RateLimitNotice {}
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RateWord.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RateLimitReport.java
@@ -7,16 +7,16 @@
 package org.larkkeel.relay;
 
 import java.util.Optional;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 
 /**
  * A node's report to its peers about the request rate limit of an upstream.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param life the incarnation of the upstream, never null
+ * @param upstream the incarnation of the upstream, never null
  * @param limit the limit; empty if the limit has ended
  * @param ageNanos an upper bound of the time since the limit was observed; at least 0
  * @since 0.1
  */
-public record RateWord(UpstreamLife life, Optional<RequestRate> limit, long ageNanos) {}
+public record RateLimitReport(UpstreamIncarnation upstream, Optional<RequestRate> limit, long ageNanos) {}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayConfiguration.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayConfiguration.java
@@ -86,7 +86,7 @@
   }
 
   /** Returns the number of rules. */
-  public int size() {
+  public int ruleCount() {
     return byHost.size();
   }
 
@@ -108,7 +108,7 @@
   }
 
   /** Returns whether a rule routes to the service, or limits are configured for it. */
-  public boolean names(ServiceName service) {
+  public boolean isConfigured(ServiceName service) {
     return configuredServices.contains(service);
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEffect.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEffect.java
@@ -11,7 +11,7 @@
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.WorkspaceName;
 
 /**
@@ -50,8 +50,8 @@
    * @param call the call
    * @param upstream the destination
    * @param purpose the purpose of the attempt
-   * @param until the time at which the upstream may stop, in nanoseconds of the events' clock
-   * @param silenceNanos the maximum pause within the answer; 0 for no limit
+   * @param deadline the time at which the upstream may stop, in nanoseconds of the events' clock
+   * @param idleTimeoutNanos the maximum pause within the answer; 0 for no limit
    * @param workspace the workspace that is named to the upstream; empty for an anonymous call
    */
   record Send(
@@ -59,8 +59,8 @@
       RequestId call,
       RelayUpstream upstream,
       Purpose purpose,
-      long until,
-      long silenceNanos,
+      long deadline,
+      long idleTimeoutNanos,
       Optional<WorkspaceName> workspace)
       implements RelayEffect {}
 
@@ -88,7 +88,7 @@
   record Free(RelayUpstream source, String handle) implements RelayEffect {}
 
   /** Forward the stream of the attempt, from the events already received on. */
-  record Follow(RequestId call, AttemptId attempt) implements RelayEffect {}
+  record ForwardStream(RequestId call, AttemptId attempt) implements RelayEffect {}
 
   /** Deliver the complete answer of the attempt, or the end of its stream, to the caller. */
   record Deliver(RequestId call, AttemptId attempt) implements RelayEffect {}
@@ -113,17 +113,17 @@
    *
    * @param node the node that requested the reservation
    * @param call the call of that node
-   * @param home the upstream where the memory is reserved and which will run the call
-   * @param reader the prefill upstream; empty if the reserved upstream prefills the prompt itself
+   * @param reservedUpstream the upstream where the memory is reserved and which will run the call
+   * @param prefillUpstream the prefill upstream; empty if the reserved upstream prefills the prompt itself
    */
-  record GrantRoom(HostName node, RequestId call, UpstreamLife home, Optional<UpstreamLife> reader)
+  record GrantReservation(HostName node, RequestId call, UpstreamIncarnation reservedUpstream, Optional<UpstreamIncarnation> prefillUpstream)
       implements RelayEffect {}
 
   /** Probe whether the upstream's process listens. Answered by {@code RelayEvent.Probed}. */
   record Probe(RelayUpstream upstream) implements RelayEffect {}
 
   /** Report new information about a suspect request to all other nodes. */
-  record TellSuspect(Suspect suspect) implements RelayEffect {}
+  record ReportSuspect(SuspectRequest suspect) implements RelayEffect {}
 
   /** Log and count a fact. */
   record Report(RelayFact fact) implements RelayEffect {}
