--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEvent.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEvent.java
@@ -16,7 +16,7 @@
 import org.larkkeel.lib.Fingerprint;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.quota.QuotaGrant;
 
@@ -97,10 +97,10 @@
    * @param upstream the upstream that is ordered
    * @param maxNanos the maximum time for which the upstream gets no work
    */
-  record Ordered(long at, UpstreamLife upstream, long maxNanos) implements RelayEvent {}
+  record Ordered(long at, UpstreamIncarnation upstream, long maxNanos) implements RelayEvent {}
 
   /** An order was refused, so the upstream continues in its previous stage. */
-  record OrderRefused(long at, UpstreamLife upstream) implements RelayEvent {}
+  record OrderRefused(long at, UpstreamIncarnation upstream) implements RelayEvent {}
 
   /** A configuration was read; it is ignored if it is older than the one in force. */
   record ConfigurationRead(long at, RelayConfiguration configuration) implements RelayEvent {}
@@ -116,8 +116,8 @@
   record LoadHeard(
       long at,
       HostName node,
-      ImmutableMap<UpstreamLife, Long> loads,
-      ImmutableSet<UpstreamLife> losingPrompts)
+      ImmutableMap<UpstreamIncarnation, Long> loads,
+      ImmutableSet<UpstreamIncarnation> losingPrompts)
       implements RelayEvent {}
 
   /**
@@ -129,7 +129,7 @@
    * @param requests the requests, one for each call
    */
   record RoomAsked(
-      long at, HostName node, DataCentreName dataCentre, ImmutableList<RoomAsk> requests)
+      long at, HostName node, DataCentreName dataCentre, ImmutableList<ReservationRequest> requests)
       implements RelayEvent {}
 
   /**
@@ -144,8 +144,8 @@
   record RoomGranted(
       long at,
       RequestId call,
-      UpstreamLife reservedUpstream,
-      Optional<UpstreamLife> prefillUpstream)
+      UpstreamIncarnation reservedUpstream,
+      Optional<UpstreamIncarnation> prefillUpstream)
       implements RelayEvent {}
 
   /**
@@ -156,23 +156,23 @@
    * @param sentAt the time at which the request was sent; the notice is not older than this
    * @param notice the notice
    */
-  record Noticed(long at, UpstreamLife upstream, long sentAt, UpstreamNotice notice)
+  record Noticed(long at, UpstreamIncarnation upstream, long sentAt, UpstreamNotice notice)
       implements RelayEvent {}
 
   /** Another node's report about the rate limits of upstreams was received. */
-  record RatesHeard(long at, ImmutableList<RateWord> reports) implements RelayEvent {}
+  record RatesHeard(long at, ImmutableList<RateLimitReport> reports) implements RelayEvent {}
 
   /** The answer to {@code RelayEffect.Probe}. */
-  record Probed(long at, UpstreamLife upstream, ProbeResult result) implements RelayEvent {}
+  record Probed(long at, UpstreamIncarnation upstream, ProbeResult result) implements RelayEvent {}
 
   /** Another node's report about suspect requests was received. */
-  record SuspectsHeard(long at, ImmutableList<Suspect> suspects) implements RelayEvent {}
+  record SuspectsHeard(long at, ImmutableList<SuspectRequest> suspects) implements RelayEvent {}
 
   /** An operator has released a request from quarantine. */
   record Released(long at, Fingerprint request) implements RelayEvent {}
 
   /** The reservation mode of this node has changed. */
-  record KeepingChanged(long at, RoomKeeping mode) implements RelayEvent {}
+  record KeepingChanged(long at, ReservationMode mode) implements RelayEvent {}
 
   /** The quota coordinator has answered. */
   record QuotaGranted(long at, QuotaGrant grant) implements RelayEvent {}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayFact.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayFact.java
@@ -11,7 +11,7 @@
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.Fingerprint;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.lib.WorkspaceName;
 
@@ -46,7 +46,7 @@
    * @param nodes the number of other nodes whose loads are known
    * @param waitedNanos the time for which the reservation was pending
    */
-  record RoomTaken(
+  record ReservationMade(
       String call,
       UpstreamName upstream,
       long units,
@@ -62,17 +62,17 @@
    * @param call the caller's id of the call
    * @param node the node of the call
    * @param upstream the upstream where the memory is reserved
-   * @param reader the prefill upstream; empty if the reserved upstream prefills the prompt itself
+   * @param prefillUpstream the prefill upstream; empty if the reserved upstream prefills the prompt itself
    * @param units the reserved tokens
    * @param load the total load of the upstream over all nodes, including the call
    * @param memory the memory capacity of the upstream
    * @param waitedNanos the time for which the reservation was pending
    */
-  record RoomGiven(
+  record ReservationGranted(
       String call,
       HostName node,
       UpstreamName upstream,
-      String reader,
+      String prefillUpstream,
       long units,
       long load,
       long memory,
@@ -84,7 +84,7 @@
       implements RelayFact {}
 
   /** A call waits for a memory reservation. */
-  record Waiting(String call, String service, long need, int waiting) implements RelayFact {}
+  record Waiting(String call, String service, long units, int waiting) implements RelayFact {}
 
   /**
    * An attempt was placed.
@@ -96,7 +96,7 @@
    * @param cost the estimated cost of the chosen upstream
    * @param runnerUp the second-best upstream; empty if there was none
    * @param runnerUpCost the estimated cost of the second-best upstream
-   * @param sends the number of the attempt within its call, from 1
+   * @param attemptNumber the number of the attempt within its call, from 1
    * @param candidates the number of upstreams that could have been chosen
    */
   record Placed(
@@ -107,7 +107,7 @@
       double cost,
       String runnerUp,
       double runnerUpCost,
-      int sends,
+      int attemptNumber,
       int candidates)
       implements RelayFact {}
 
@@ -123,18 +123,18 @@
    * @param attempt the attempt
    * @param upstream the incarnation that had the attempt
    * @param request the fingerprint, equal for all calls of the same request
-   * @param sentNanos the time since the attempt was sent
-   * @param begunNanos the time since its first event was received; negative if none was received
-   * @param others the number of other attempts that this node has in progress at the upstream
+   * @param sinceSentNanos the time since the attempt was sent
+   * @param sinceFirstEventNanos the time since its first event was received; negative if none was received
+   * @param otherAttempts the number of other attempts that this node has in progress at the upstream
    */
   record AttemptBroken(
       String call,
       AttemptId attempt,
-      UpstreamLife upstream,
+      UpstreamIncarnation upstream,
       Fingerprint request,
-      long sentNanos,
-      long begunNanos,
-      int others)
+      long sinceSentNanos,
+      long sinceFirstEventNanos,
+      int otherAttempts)
       implements RelayFact {}
 
   /**
@@ -144,17 +144,17 @@
    * @param proof the evidence of the crash
    * @param requests the number of requests that may have caused it
    */
-  record UpstreamEnded(UpstreamLife upstream, String proof, int requests) implements RelayFact {}
+  record UpstreamEnded(UpstreamIncarnation upstream, String proof, int requests) implements RelayFact {}
 
   /**
    * A request is suspected of crashing upstreams.
    *
    * @param request the fingerprint of the request
-   * @param ends the number of upstreams that have crashed while they had the request
+   * @param crashes the number of upstreams that have crashed while they had the request
    * @param remainingNanos the remaining time of the quarantine; 0 if the request is not quarantined
    * @param source the node that detected it: this node or another
    */
-  record Suspected(Fingerprint request, int ends, long remainingNanos, String source)
+  record Suspected(Fingerprint request, int crashes, long remainingNanos, String source)
       implements RelayFact {}
 
   /**
@@ -162,10 +162,10 @@
    *
    * @param call the caller's id of the call
    * @param request the fingerprint of the request
-   * @param ends the number of upstreams that have crashed while they had the request
+   * @param crashes the number of upstreams that have crashed while they had the request
    * @param remainingNanos the remaining time of the quarantine
    */
-  record Quarantined(String call, Fingerprint request, int ends, long remainingNanos)
+  record Quarantined(String call, Fingerprint request, int crashes, long remainingNanos)
       implements RelayFact {}
 
   /** A request was proven harmless by a complete answer, or an operator released it. */
@@ -215,8 +215,8 @@
       String rule,
       ErrorKind kind,
       String detail,
-      boolean began,
-      int sends,
+      boolean streaming,
+      int attempts,
       int runs,
       long nanos)
       implements RelayFact {}
@@ -229,7 +229,7 @@
    * @param revision the configuration revision that defines the quota
    * @param tokens the tokens that the call takes
    * @param outcome the decision
-   * @param left the tokens that this node holds afterwards; negative for a debt
+   * @param tokensLeft the tokens that this node holds afterwards; negative for a debt
    * @param ageNanos the time since the coordinator's last answer
    * @param waitNanos the delay after which a refused call may be retried; 0 if a retry can never
    *     succeed
@@ -240,7 +240,7 @@
       long revision,
       long tokens,
       QuotaOutcome outcome,
-      long left,
+      long tokensLeft,
       long ageNanos,
       long waitNanos)
       implements RelayFact {}
@@ -263,25 +263,25 @@
   /**
    * An upstream was added, changed, restarted or removed.
    *
-   * @param life the incarnation of the upstream; after a restart the new one
+   * @param upstream the incarnation of the upstream; after a restart the new one
    * @param service the service of the upstream
    * @param address the address of the upstream
    * @param change the kind of the change
    */
-  record UpstreamChanged(UpstreamLife life, String service, String address, String change)
+  record UpstreamChanged(UpstreamIncarnation upstream, String service, String address, String change)
       implements RelayFact {}
 
   /** An upstream asked this node to send no requests for a time. */
-  record Rests(UpstreamName upstream, long forNanos) implements RelayFact {}
+  record BackoffRequested(UpstreamName upstream, long forNanos) implements RelayFact {}
 
   /**
    * A call waits because the rate limits of all its upstreams are used up.
    *
    * @param call the caller's id of the call
    * @param service the service of the upstreams
-   * @param longestNanos the maximum time for which the call waits
+   * @param maxWaitNanos the maximum time for which the call waits
    */
-  record PermitAwaited(String call, String service, long longestNanos) implements RelayFact {}
+  record PermitAwaited(String call, String service, long maxWaitNanos) implements RelayFact {}
 
   /**
    * The known limit on the request rate of an upstream has changed.
@@ -295,8 +295,8 @@
    *     the limit
    */
   record RateLimit(
-      UpstreamLife upstream,
-      RateChange change,
+      UpstreamIncarnation upstream,
+      RateLimitChange change,
       Optional<RequestRate> before,
       Optional<RequestRate> now,
       String source,
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.larkkeel.lib.Fingerprint;
-import org.larkkeel.lib.UpstreamLife;
-import org.larkkeel.quota.QuotaAsk;
+import org.larkkeel.lib.UpstreamIncarnation;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.quota.QuotaTolerance;
 import org.larkkeel.quota.TokenLimit;
@@ -96,17 +96,17 @@
    * Returns this node's load in flight at each upstream where it is not 0: tokens at upstreams that
    * prefill prompts or hold memory, requests at others.
    */
-  public ImmutableMap<UpstreamLife, Long> loads() {
+  public ImmutableMap<UpstreamIncarnation, Long> loads() {
     return flow.loads();
   }
 
   /** Returns the upstreams whose prompts this node has found to be lost immediately. */
-  public ImmutableSet<UpstreamLife> lapsing(long at) {
+  public ImmutableSet<UpstreamIncarnation> losingHandles(long at) {
     return flow.lapsing(at);
   }
 
   /** Returns the reservation requests for the coordinator. */
-  public ImmutableList<RoomAsk> asks(long at) {
+  public ImmutableList<ReservationRequest> reservationRequests(long at) {
     return flow.asks(at);
   }
 
@@ -114,34 +114,34 @@
    * Returns whether requests may be sent to an incarnation of an upstream according to its own
    * notices.
    */
-  public boolean mayReach(long at, UpstreamLife upstream) {
+  public boolean acceptsRequests(long at, UpstreamIncarnation upstream) {
     return flow.mayReach(at, upstream);
   }
 
   /** Returns the rate limits of upstreams and this node's usage of each. */
-  public ImmutableList<RateUse> rateUses(long at) {
+  public ImmutableList<RateLimitUsage> rateLimitUsages(long at) {
     return flow.rateUses(at);
   }
 
   /**
    * Returns whether an upstream has a rate limit, so that each of its answers must be evaluated.
    */
-  public boolean isRateLimited(UpstreamLife upstream) {
+  public boolean isRateLimited(UpstreamIncarnation upstream) {
     return flow.isRateLimited(upstream);
   }
 
   /** Returns the report to other nodes about the rate limits of upstreams. */
-  public ImmutableList<RateWord> rates(long at) {
+  public ImmutableList<RateLimitReport> rateLimitReports(long at) {
     return flow.rates(at);
   }
 
   /** Returns the report to other nodes about suspect requests. */
-  public ImmutableList<Suspect> suspects(long at) {
+  public ImmutableList<SuspectRequest> suspects(long at) {
     return flow.suspects(at);
   }
 
   /** Returns the remaining quarantine of a request, in nanoseconds; 0 if it is not quarantined. */
-  public long quarantinedNanos(long at, Fingerprint request) {
+  public long remainingQuarantineNanos(long at, Fingerprint request) {
     return flow.quarantinedNanos(at, request);
   }
 
@@ -151,7 +151,7 @@
    * @param at the current time
    * @param heartbeat true if a request is due in any case while there are quotas
    */
-  public Optional<QuotaAsk> quotaAsk(long at, boolean heartbeat) {
+  public Optional<QuotaRequest> quotaRequest(long at, boolean heartbeat) {
     return flow.quotaAsk(at, heartbeat);
   }
 
@@ -168,12 +168,12 @@
   }
 
   /** Returns the limit of a quota; empty if there is no such workspace or upstream. */
-  public Optional<TokenLimit> limit(QuotaKey key) {
+  public Optional<TokenLimit> quotaLimit(QuotaKey key) {
     return flow.limit(key);
   }
 
   /** Returns the number of known upstreams, including those that are leaving. */
-  public int upstreams() {
+  public int upstreamCount() {
     return flow.upstreamCount();
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelaySettings.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelaySettings.java
@@ -14,7 +14,7 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param place the data centre of this node; upstreams there are preferred
+ * @param dataCentre the data centre of this node; upstreams there are preferred
  * @param repeatShare the retries allowed for each first attempt, over all nodes
  * @param repeatSlack the additional retries of a service in a window, over all nodes
  * @param windowNanos the length of that window
@@ -28,7 +28,7 @@
  * @since 0.1
  */
 public record RelaySettings(
-    DataCentreName place,
+    DataCentreName dataCentre,
     double repeatShare,
     double repeatSlack,
     long windowNanos,
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayUpstream.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayUpstream.java
@@ -7,7 +7,7 @@
 package org.larkkeel.relay;
 
 import org.larkkeel.lib.DataCentreName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 
 /**
@@ -15,30 +15,30 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param life the name and incarnation
+ * @param incarnation the name and incarnation
  * @param service the service that the upstream belongs to
  * @param address IP number and port
- * @param place the data centre of the upstream
+ * @param dataCentre the data centre of the upstream
  * @param slots the number of requests that it serves at once, at least 1
  * @param stage the part of the work that it takes
  * @param leaving true if it has announced that it is leaving and takes no new work
  * @since 0.1
  */
 public record RelayUpstream(
-    UpstreamLife life,
+    UpstreamIncarnation incarnation,
     ServiceName service,
     String address,
-    DataCentreName place,
+    DataCentreName dataCentre,
     int slots,
     Stage stage,
     boolean leaving) {
   /** Returns the name, which is the same for all incarnations of the upstream. */
-  public UpstreamName id() {
-    return life.name();
+  public UpstreamName name() {
+    return incarnation.name();
   }
 
   /** Returns this upstream, marked as leaving. */
   public RelayUpstream withLeaving() {
-    return new RelayUpstream(life, service, address, place, slots, stage, true);
+    return new RelayUpstream(incarnation, service, address, dataCentre, slots, stage, true);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayWorkspace.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayWorkspace.java
@@ -47,7 +47,7 @@
     return switch (unit) {
       case CALLS -> 1;
       case TOKENS -> {
-        long tokens = (long) size.prompt() + size.mostOutput();
+        long tokens = (long) size.prompt() + size.maxOutput();
         yield tokens > 0 ? tokens : plainTokens;
       }
     };
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RoomKeeping.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/ReservationMode.java
@@ -11,7 +11,7 @@
  *
  * @since 0.1
  */
-public enum RoomKeeping {
+public enum ReservationMode {
   /** This node reserves memory itself, based on the load reports of the other nodes. */
   EACH,
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RoomAsk.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/ReservationRequest.java
@@ -8,7 +8,7 @@
 
 import com.google.common.collect.ImmutableSet;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 
 /**
  * A request to the reservation coordinator for memory for a call.
@@ -20,32 +20,32 @@
  * @param service the service whose upstreams may run the call
  * @param units the tokens to reserve, above 0
  * @param prompt the prompt tokens that a prefill upstream reads first; 0 for none
- * @param fresh true if the caller has not been refused before
- * @param begun true if the caller has the beginning of a stream that is to be continued
+ * @param firstTry true if the caller has not been refused before
+ * @param streaming true if the caller has the beginning of a stream that is to be continued
  * @param waitedMillis the time since the call arrived
  * @param targetMillis the latency target, counted from the call's arrival
- * @param key identifies the prompt
- * @param without the excluded upstreams
+ * @param promptKey identifies the prompt
+ * @param excluded the excluded upstreams
  * @since 0.1
  */
-public record RoomAsk(
+public record ReservationRequest(
     RequestId call,
     String wireId,
     ServiceName service,
     long units,
     long prompt,
-    boolean fresh,
-    boolean begun,
+    boolean firstTry,
+    boolean streaming,
     long waitedMillis,
     long targetMillis,
-    PromptKey key,
-    ImmutableSet<UpstreamLife> without) {
+    PromptKey promptKey,
+    ImmutableSet<UpstreamIncarnation> excluded) {
   /**
    * Validates the numbers.
    *
    * @throws IllegalArgumentException if a number is out of range
    */
-  public RoomAsk {
+  public ReservationRequest {
     if (units <= 0 || prompt < 0 || waitedMillis < 0 || targetMillis < 0) {
       throw new IllegalArgumentException(
           "the reservation request for call "
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/Stage.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/Stage.java
@@ -22,7 +22,7 @@
   DECODE;
 
   /** Returns whether an upstream of this stage can run a call. */
-  public boolean runs() {
+  public boolean runsCalls() {
     return this != PREFILL;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/Suspect.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/SuspectRequest.java
@@ -8,7 +8,7 @@
 
 import com.google.common.collect.ImmutableMap;
 import org.larkkeel.lib.Fingerprint;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 
 /**
  * A request that was in progress at upstreams that crashed, as nodes exchange it.
@@ -18,22 +18,22 @@
  * threads.
  *
  * @param request the fingerprint of the request
- * @param epoch the clearance epoch: the number of times the request was proven harmless or
+ * @param clearanceEpoch the clearance epoch: the number of times the request was proven harmless or
  *     released, from 0; only crashes since the last time count
- * @param ends the age of the crash of each upstream incarnation, in nanoseconds
+ * @param crashes the age of the crash of each upstream incarnation, in nanoseconds
  * @since 0.1
  */
-public record Suspect(Fingerprint request, int epoch, ImmutableMap<UpstreamLife, Long> ends) {
+public record SuspectRequest(Fingerprint request, int clearanceEpoch, ImmutableMap<UpstreamIncarnation, Long> crashes) {
   /** The number of crashes from which a request is quarantined; two may be a coincidence. */
-  public static final int ENDS_TO_QUARANTINE = 3;
+  public static final int CRASHES_TO_QUARANTINE = 3;
 
   /**
    * Validates the numbers.
    *
    * @throws IllegalArgumentException if a number is negative
    */
-  public Suspect {
-    if (epoch < 0 || ends.values().stream().anyMatch(age -> age < 0)) {
+  public SuspectRequest {
+    if (clearanceEpoch < 0 || crashes.values().stream().anyMatch(age -> age < 0)) {
       throw new IllegalArgumentException(
           "the suspect request " + request + " has a negative epoch or age: use 0 or more");
     }
@@ -41,6 +41,6 @@
 
   /** Returns whether there are enough crashes for a quarantine, which may have ended. */
   public boolean isQuarantined() {
-    return ends.size() >= ENDS_TO_QUARANTINE;
+    return crashes.size() >= CRASHES_TO_QUARANTINE;
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/Workspaces.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/Workspaces.java
@@ -39,7 +39,7 @@
   }
 
   /** Returns whether callers need a key, except on rules that allow anonymous callers. */
-  public boolean areRequired() {
+  public boolean areKeysRequired() {
     return keysRequired;
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Returns whether any workspace has a limit. */
-  public boolean haveLimits() {
+  public boolean hasLimits() {
     return byName.values().stream().anyMatch(w -> w.limit().isLimited());
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Admission.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Admission.java
@@ -71,7 +71,7 @@
       return;
     }
     configuration = candidate;
-    report(new RelayFact.InForce(candidate.revision(), before, candidate.size()));
+    report(new RelayFact.InForce(candidate.revision(), before, candidate.ruleCount()));
   }
 
   /** Admits a call; returns empty if the call was refused. */
@@ -140,7 +140,7 @@
   }
 
   private boolean allowsAnonymous(RelayRule rule) {
-    return rule.anonymous() || !configuration.workspaces().areRequired();
+    return rule.anonymous() || !configuration.workspaces().areKeysRequired();
   }
 
   private ServiceName drawService(RelayRule rule) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Attempts.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Attempts.java
@@ -92,7 +92,7 @@
         c.call.wireId(),
         a.id(),
         a.purpose().getClass().getSimpleName(),
-        choice.best().upstream().id(),
+        choice.best().upstream().name(),
         choice.cost() / MILLI,
         choice.runnerUp(),
         choice.runnerUpCost() / MILLI,
@@ -132,7 +132,7 @@
             new RelayFact.AttemptFailed(
                 a.call().call.wireId(),
                 a.id(),
-                a.upstream().upstream().id(),
+                a.upstream().upstream().name(),
                 cause,
                 mayHaveRun && a.mayRun())));
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallAdapters.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallAdapters.java
@@ -13,7 +13,7 @@
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.event.FailureCause;
 import org.larkkeel.lib.AttemptId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.quota.QuotaHolder;
 import org.larkkeel.relay.AnswerGrade;
 import org.larkkeel.relay.RelayConfiguration;
@@ -67,12 +67,12 @@
     @Override
     public Optional<UpstreamState> destination(long at, AttemptState a) {
       CallState c = a.call();
-      Set<UpstreamLife> excluded = new HashSet<>(c.excluded);
+      Set<UpstreamIncarnation> excluded = new HashSet<>(c.excluded);
       excluded.add(a.upstream().incarnation());
       CallDemand demand =
           CallDemands.move(c, core.admission.configuration(), core.retryBudget.nodes());
       return core.upstreams
-          .choose(at, c.service, Stage::runs, excluded, a.upstream().upstream().place(), demand)
+          .choose(at, c.service, Stage::runsCalls, excluded, a.upstream().upstream().dataCentre(), demand)
           .map(Choice::best);
     }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallDemand.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallDemand.java
@@ -43,7 +43,7 @@
   /** Returns the cost factor of the load that the upstream already has. */
   double loadFactor(UpstreamState s) {
     if (memoryTokens > 0 && promptKey.isKnown()) {
-      return 1 + RANK_WEIGHT * promptKey.rank(s.upstream().id());
+      return 1 + RANK_WEIGHT * promptKey.rank(s.upstream().name());
     }
     if (memoryTokens > 0) {
       return 1 + 4.0 * (s.totalLoad() + units) / memoryTokens;
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallDemands.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallDemands.java
@@ -78,7 +78,7 @@
   static CallDemand remote(RemoteReservation c, RelayConfiguration configuration, long at) {
     long memory = configuration.bounds(c.service()).memoryTokens();
     return new CallDemand(
-        Integer.MAX_VALUE, c.request().units(), memory, maxFill(c, at), c.request().key());
+        Integer.MAX_VALUE, c.request().units(), memory, maxFill(c, at), c.request().promptKey());
   }
 
   /** Returns the demand of continuing a run at the upstream to which it moves. */
@@ -110,7 +110,7 @@
     CallSize size = c.call.size();
     double expected =
         Math.max(expectedOutput(size) - c.generatedTokens, MIN_REMAINING_SHARE * c.generatedTokens);
-    double maximum = Math.max(0, size.mostOutput() - c.generatedTokens);
+    double maximum = Math.max(0, size.maxOutput() - c.generatedTokens);
     return Math.max(
         1,
         size.prompt()
@@ -119,11 +119,11 @@
   }
 
   private static double expectedOutput(CallSize size) {
-    if (size.likelyOutput() == 0) {
-      return BOUND_WEIGHT_WITHOUT_HINT * size.mostOutput();
+    if (size.expectedOutput() == 0) {
+      return BOUND_WEIGHT_WITHOUT_HINT * size.maxOutput();
     }
-    int hint = Math.min(size.likelyOutput(), size.mostOutput());
-    return HINT_WEIGHT * hint + BOUND_WEIGHT * size.mostOutput();
+    int hint = Math.min(size.expectedOutput(), size.maxOutput());
+    return HINT_WEIGHT * hint + BOUND_WEIGHT * size.maxOutput();
   }
 
   /** Returns the maximum number of requests of a node at one upstream. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallState.java
@@ -9,7 +9,7 @@
 import java.util.HashSet;
 import java.util.Optional;
 import java.util.Set;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.relay.RelayCall;
 import org.larkkeel.relay.RelayEffect.Purpose;
@@ -59,7 +59,7 @@
   long permitWaitUntil;
 
   /** The upstreams to which the call is not sent again. */
-  final Set<UpstreamLife> excluded = new HashSet<>();
+  final Set<UpstreamIncarnation> excluded = new HashSet<>();
 
   /** The attempt in flight; null if there is none. */
   AttemptState attempt;
@@ -88,10 +88,10 @@
   Purpose.TakeOver prefilledPrompt;
 
   /** The upstream that prefilled the prompt; null if none has. */
-  UpstreamLife prefillUpstream;
+  UpstreamIncarnation prefillUpstream;
 
   /** The upstream that may have lost the call's prefilled prompt; null if none may. */
-  UpstreamLife suspectUpstream;
+  UpstreamIncarnation suspectUpstream;
 
   /** The number of upstreams that declined the prefilled prompt. */
   int promptDeclines;
@@ -154,7 +154,7 @@
   }
 
   @Override
-  public Set<UpstreamLife> excluded() {
+  public Set<UpstreamIncarnation> excluded() {
     return excluded;
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashEvidence.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashEvidence.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.larkkeel.lib.Fingerprint;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.ProbeResult;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayFact;
@@ -50,14 +50,14 @@
 
   private static final int MAX_PENDING = 256;
 
-  private final Map<UpstreamLife, Pending> pending = new HashMap<>();
+  private final Map<UpstreamIncarnation, Pending> pending = new HashMap<>();
   private final Consumer<RelayEffect> effects;
   private final EndListener endListener;
 
   /** Is notified of proven ends of incarnations. */
   interface EndListener {
     /** Handles the proven end of an incarnation of an upstream that had these requests. */
-    void incarnationEnded(long at, UpstreamLife incarnation, ImmutableSet<Fingerprint> requests);
+    void incarnationEnded(long at, UpstreamIncarnation incarnation, ImmutableSet<Fingerprint> requests);
   }
 
   /** The requests of one incarnation that wait for a proof of its end. */
@@ -81,7 +81,7 @@
       return;
     }
     pending.values().removeIf(p -> at > p.until);
-    UpstreamLife incarnation = a.upstream().incarnation();
+    UpstreamIncarnation incarnation = a.upstream().incarnation();
     Pending p = pending.get(incarnation);
     if (p == null) {
       if (pending.size() >= MAX_PENDING) {
@@ -114,7 +114,7 @@
   }
 
   /** Handles the result of a probe. */
-  void probed(long at, UpstreamLife incarnation, ProbeResult result) {
+  void probed(long at, UpstreamIncarnation incarnation, ProbeResult result) {
     Pending p = pending.get(incarnation);
     if (result == ProbeResult.REFUSES) {
       incarnationEnded(at, incarnation, "refuses_connections");
@@ -128,7 +128,7 @@
    *
    * @param proof the kind of proof, for the log
    */
-  void incarnationEnded(long at, UpstreamLife incarnation, String proof) {
+  void incarnationEnded(long at, UpstreamIncarnation incarnation, String proof) {
     Pending p = pending.remove(incarnation);
     if (p == null || at > p.until) {
       return;
@@ -137,7 +137,7 @@
   }
 
   private void reportEnd(
-      long at, UpstreamLife incarnation, String proof, ImmutableSet<Fingerprint> requests) {
+      long at, UpstreamIncarnation incarnation, String proof, ImmutableSet<Fingerprint> requests) {
     effects.accept(
         new RelayEffect.Report(new RelayFact.UpstreamEnded(incarnation, proof, requests.size())));
     endListener.incarnationEnded(at, incarnation, requests);
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashGuard.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashGuard.java
@@ -12,12 +12,12 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.larkkeel.lib.Fingerprint;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.ProbeResult;
 import org.larkkeel.relay.RelayCall;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayFact;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 
 /**
  * Keeps requests that crash upstreams from being sent to further upstreams.
@@ -94,23 +94,23 @@
   }
 
   /** Handles the proven end of an incarnation. */
-  void incarnationEnded(long at, UpstreamLife incarnation, String proof) {
+  void incarnationEnded(long at, UpstreamIncarnation incarnation, String proof) {
     evidence.incarnationEnded(at, incarnation, proof);
   }
 
   /** Handles the result of a probe of an upstream. */
-  void probed(long at, UpstreamLife incarnation, ProbeResult result) {
+  void probed(long at, UpstreamIncarnation incarnation, ProbeResult result) {
     evidence.probed(at, incarnation, result);
   }
 
   /** Returns the suspect requests to report to other nodes. */
-  ImmutableList<Suspect> suspects(long at) {
+  ImmutableList<SuspectRequest> suspects(long at) {
     return quarantine.reports(at);
   }
 
   /** Merges the suspect requests that another node reports. */
-  void merge(long at, ImmutableList<Suspect> reports) {
-    for (Suspect s : reports) {
+  void merge(long at, ImmutableList<SuspectRequest> reports) {
+    for (SuspectRequest s : reports) {
       if (quarantine.merge(at, s)) {
         suspected(at, s.request(), "peer");
       }
@@ -124,7 +124,7 @@
     }
   }
 
-  private void crashed(long at, UpstreamLife incarnation, ImmutableSet<Fingerprint> requests) {
+  private void crashed(long at, UpstreamIncarnation incarnation, ImmutableSet<Fingerprint> requests) {
     for (Fingerprint request : requests) {
       if (quarantine.recordCrash(at, request, incarnation)) {
         suspected(at, request, "self");
@@ -139,7 +139,7 @@
   }
 
   private void sendReport(long at, Fingerprint request) {
-    quarantine.find(at, request).ifPresent(s -> effects.accept(new RelayEffect.TellSuspect(s)));
+    quarantine.find(at, request).ifPresent(s -> effects.accept(new RelayEffect.ReportSuspect(s)));
   }
 
   /**
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Dispatch.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Dispatch.java
@@ -87,7 +87,7 @@
   void place(long at, CallState c, CallDemand demand) {
     Optional<Choice> choice =
         core.upstreams.choose(
-            at, c.service, Stage::runs, c.excluded, core.settings.place(), demand);
+            at, c.service, Stage::runsCalls, c.excluded, core.settings.dataCentre(), demand);
     if (choice.isEmpty()) {
       core.prefillResults.free(c);
       awaitPermitOrFail(at, c);
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EndedIncarnations.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EndedIncarnations.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 
 /**
  * Ends everything in progress at upstreams that have restarted.
@@ -48,7 +48,7 @@
     if (ended.isEmpty()) {
       return;
     }
-    Set<UpstreamLife> incarnations =
+    Set<UpstreamIncarnation> incarnations =
         ended.stream().map(UpstreamState::incarnation).collect(Collectors.toUnmodifiableSet());
     List<CallState> calls = environment.calls();
     calls.forEach(c -> discardState(c, incarnations));
@@ -61,11 +61,11 @@
     }
   }
 
-  private void discardState(CallState c, Set<UpstreamLife> incarnations) {
+  private void discardState(CallState c, Set<UpstreamIncarnation> incarnations) {
     if (c.reservedUpstream != null && incarnations.contains(c.reservedUpstream.incarnation())) {
       c.releaseReservation();
     }
-    if (c.prefilledPrompt != null && incarnations.contains(c.prefilledPrompt.source().life())) {
+    if (c.prefilledPrompt != null && incarnations.contains(c.prefilledPrompt.source().incarnation())) {
       c.prefilledPrompt = null;
     }
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Evacuation.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Evacuation.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.larkkeel.lib.AttemptId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.AnswerGrade;
 import org.larkkeel.relay.MoveResult;
 import org.larkkeel.relay.MoveStep;
@@ -128,7 +128,7 @@
   }
 
   /** Starts to move the runs that are left at an upstream. */
-  void moveRuns(long at, UpstreamLife incarnation) {
+  void moveRuns(long at, UpstreamIncarnation incarnation) {
     Optional<UpstreamState> source = upstreams.find(incarnation);
     if (source.isEmpty()) {
       return;
@@ -192,8 +192,8 @@
             new RelayFact.RunMoved(
                 a.call().call.wireId(),
                 a.id(),
-                a.upstream().upstream().id(),
-                move.destination.upstream().id(),
+                a.upstream().upstream().name(),
+                move.destination.upstream().name(),
                 move.step,
                 result)));
     switch (result) {
@@ -277,7 +277,7 @@
    * Handles incarnations that ended by a restart: moves off them are void. Runs that were to move
    * to one continue where they are, unless they were stopped for the move.
    */
-  void incarnationsEnded(long at, Set<UpstreamLife> incarnations) {
+  void incarnationsEnded(long at, Set<UpstreamIncarnation> incarnations) {
     for (Move move : List.copyOf(moves.values())) {
       AttemptState a = move.attempt;
       if (incarnations.contains(a.upstream().incarnation())) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Flow.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Flow.java
@@ -18,25 +18,25 @@
 import org.larkkeel.lib.Fingerprint;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.quota.QuotaAsk;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.quota.TokenLimit;
 import org.larkkeel.relay.MoveResult;
 import org.larkkeel.relay.ProbeResult;
-import org.larkkeel.relay.RateUse;
-import org.larkkeel.relay.RateWord;
+import org.larkkeel.relay.RateLimitUsage;
+import org.larkkeel.relay.RateLimitReport;
 import org.larkkeel.relay.RelayCall;
 import org.larkkeel.relay.RelayConfiguration;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayFact;
 import org.larkkeel.relay.RelaySettings;
 import org.larkkeel.relay.RelayUpstream;
-import org.larkkeel.relay.RoomAsk;
-import org.larkkeel.relay.RoomKeeping;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.ReservationRequest;
+import org.larkkeel.relay.ReservationMode;
+import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.relay.UpstreamNotice;
 
 /**
@@ -94,7 +94,7 @@
   }
 
   /** Returns the load that this node has in flight at each upstream. */
-  public ImmutableMap<UpstreamLife, Long> loads() {
+  public ImmutableMap<UpstreamIncarnation, Long> loads() {
     return core.upstreams.loads();
   }
 
@@ -102,7 +102,7 @@
    * Returns the upstreams at which this node recently observed that prefill handles are lost
    * immediately.
    */
-  public ImmutableSet<UpstreamLife> lapsing(long at) {
+  public ImmutableSet<UpstreamIncarnation> lapsing(long at) {
     return core.upstreams.losingHandles(at);
   }
 
@@ -136,8 +136,8 @@
   public void heard(
       long at,
       HostName node,
-      ImmutableMap<UpstreamLife, Long> loads,
-      ImmutableSet<UpstreamLife> losingHandles) {
+      ImmutableMap<UpstreamIncarnation, Long> loads,
+      ImmutableSet<UpstreamIncarnation> losingHandles) {
     core.upstreams.receiveLoads(at, node, loads);
     losingHandles.forEach(id -> core.upstreams.find(id).ifPresent(s -> s.handleLossReported(at)));
     dropUnresponsive(at);
@@ -150,18 +150,18 @@
   }
 
   /** Sets how memory is reserved from now on. */
-  public void keeping(long at, RoomKeeping mode) {
+  public void keeping(long at, ReservationMode mode) {
     core.reservations.setMode(at, mode);
   }
 
   /** Returns the reservation requests to send to the reservation coordinator. */
-  public ImmutableList<RoomAsk> asks(long at) {
+  public ImmutableList<ReservationRequest> asks(long at) {
     return core.reservations.requests(at);
   }
 
   /** Handles the reservation requests of another node. */
   public void roomAsked(
-      long at, HostName node, DataCentreName dataCentre, ImmutableList<RoomAsk> requests) {
+      long at, HostName node, DataCentreName dataCentre, ImmutableList<ReservationRequest> requests) {
     core.reservations.requested(at, node, dataCentre, requests);
   }
 
@@ -169,8 +169,8 @@
   public void roomGranted(
       long at,
       RequestId call,
-      UpstreamLife reservedUpstream,
-      Optional<UpstreamLife> prefillUpstream) {
+      UpstreamIncarnation reservedUpstream,
+      Optional<UpstreamIncarnation> prefillUpstream) {
     core.openCalls
         .find(call)
         .ifPresent(c -> core.reservations.granted(at, c, reservedUpstream, prefillUpstream));
@@ -180,7 +180,7 @@
    * Keeps new work off an upstream that was ordered to change, by reserving all its memory for at
    * most {@code maxNanos}.
    */
-  public void ordered(long at, UpstreamLife incarnation, long maxNanos) {
+  public void ordered(long at, UpstreamIncarnation incarnation, long maxNanos) {
     Optional<UpstreamState> found = core.upstreams.find(incarnation);
     if (core.admission.configuration() == null || found.isEmpty()) {
       return;
@@ -191,7 +191,7 @@
   }
 
   /** Handles the end or the refusal of an order. */
-  public void orderOver(long at, UpstreamLife incarnation) {
+  public void orderOver(long at, UpstreamIncarnation incarnation) {
     core.upstreams.find(incarnation).ifPresent(UpstreamState::orderEnded);
     core.reservations.placePending(at);
   }
@@ -227,7 +227,7 @@
   // Notices of upstreams about themselves.
 
   /** Handles a notice that an upstream's answer carries about the upstream itself. */
-  public void noticed(long at, UpstreamLife incarnation, long sentAt, UpstreamNotice notice) {
+  public void noticed(long at, UpstreamIncarnation incarnation, long sentAt, UpstreamNotice notice) {
     core.upstreams.find(incarnation).ifPresent(s -> noticed(at, s, sentAt, notice));
   }
 
@@ -238,15 +238,15 @@
     if (notice.leaving() && core.upstreams.markLeaving(s, core::report)) {
       core.evacuation.scheduleEvacuations(at);
     }
-    if (notice.restNanos() > 0) {
-      s.backOff(at, notice.restNanos());
+    if (notice.backoffNanos() > 0) {
+      s.backOff(at, notice.backoffNanos());
       core.timers.add(new Timers.Timer.PlacementRetry(s.backoffUntil()));
-      core.report(new RelayFact.Rests(s.upstream().id(), notice.restNanos()));
+      core.report(new RelayFact.BackoffRequested(s.upstream().name(), notice.backoffNanos()));
     }
   }
 
   /** Returns the rate limits of upstreams and this node's usage of each. */
-  public ImmutableList<RateUse> rateUses(long at) {
+  public ImmutableList<RateLimitUsage> rateUses(long at) {
     return core.upstreams.rateLimits().usages(at);
   }
 
@@ -254,12 +254,12 @@
    * Returns whether an upstream has a rate limit, or had one a moment ago, so that each of its
    * answers counts.
    */
-  public boolean isRateLimited(UpstreamLife incarnation) {
+  public boolean isRateLimited(UpstreamIncarnation incarnation) {
     return core.upstreams.rateLimits().isLimited(incarnation);
   }
 
   /** Merges the rate limit reports of other nodes. */
-  public void ratesHeard(long at, ImmutableList<RateWord> reports) {
+  public void ratesHeard(long at, ImmutableList<RateLimitReport> reports) {
     if (core.upstreams.rateLimits().merge(at, reports)) {
       rateLimitEnded(at);
     }
@@ -271,7 +271,7 @@
   }
 
   /** Returns the rate limit reports to send to other nodes. */
-  public ImmutableList<RateWord> rates(long at) {
+  public ImmutableList<RateLimitReport> rates(long at) {
     return core.upstreams.rateLimits().reports(at);
   }
 
@@ -279,19 +279,19 @@
    * Returns whether an incarnation of an upstream is neither leaving nor in backoff; true for an
    * unknown one.
    */
-  public boolean mayReach(long at, UpstreamLife incarnation) {
+  public boolean mayReach(long at, UpstreamIncarnation incarnation) {
     return core.upstreams.find(incarnation).map(s -> s.acceptsRequests(at)).orElse(true);
   }
 
   // Requests that are suspected of crashing upstreams.
 
   /** Handles the result of a probe of an upstream. */
-  public void probed(long at, UpstreamLife incarnation, ProbeResult result) {
+  public void probed(long at, UpstreamIncarnation incarnation, ProbeResult result) {
     core.crashGuard.probed(at, incarnation, result);
   }
 
   /** Returns the suspect requests to report to other nodes. */
-  public ImmutableList<Suspect> suspects(long at) {
+  public ImmutableList<SuspectRequest> suspects(long at) {
     return core.crashGuard.suspects(at);
   }
 
@@ -301,7 +301,7 @@
   }
 
   /** Merges the suspect requests that another node reports. */
-  public void suspectsHeard(long at, ImmutableList<Suspect> suspects) {
+  public void suspectsHeard(long at, ImmutableList<SuspectRequest> suspects) {
     core.crashGuard.merge(at, suspects);
   }
 
@@ -335,7 +335,7 @@
    * @param at now
    * @param heartbeat whether a request is due in any case while there are quotas
    */
-  public Optional<QuotaAsk> quotaAsk(long at, boolean heartbeat) {
+  public Optional<QuotaRequest> quotaAsk(long at, boolean heartbeat) {
     return core.quotas.request(at, heartbeat);
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/HeldQuotas.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/HeldQuotas.java
@@ -56,9 +56,9 @@
     }
   }
 
-  /** Reserves tokens, as {@link QuotaHolder#reserve}. */
+  /** Reserves tokens, as {@link QuotaHolder#ensureHeld}. */
   boolean reserve(long at, QuotaKey key, TokenLimit limit, long tokens) {
-    return holderAt(at).reserve(at, key, limit, tokens);
+    return holderAt(at).ensureHeld(at, key, limit, tokens);
   }
 
   /** Spends reserved tokens, as {@link QuotaHolder#spend}. */
@@ -74,10 +74,10 @@
     return holder == null ? Long.MIN_VALUE : holder.refillsAt(key);
   }
 
-  /** Forgets a quota, as {@link QuotaHolder#forget}. */
+  /** Forgets a quota, as {@link QuotaHolder#remove}. */
   void forget(QuotaKey key) {
     if (holder != null) {
-      holder.forget(key);
+      holder.remove(key);
     }
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/MemoryReservations.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/MemoryReservations.java
@@ -16,14 +16,14 @@
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayConfiguration;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayFact;
 import org.larkkeel.relay.RelaySettings;
 import org.larkkeel.relay.RelayUpstream;
-import org.larkkeel.relay.RoomAsk;
-import org.larkkeel.relay.RoomKeeping;
+import org.larkkeel.relay.ReservationRequest;
+import org.larkkeel.relay.ReservationMode;
 import org.larkkeel.relay.ServiceName;
 import org.larkkeel.relay.Stage;
 
@@ -31,7 +31,7 @@
  * Reserves memory for calls at an upstream before their prompts are prefilled, so that no prefill
  * is wasted.
  *
- * <p>By {@link RoomKeeping}, this node reserves by itself, requests reservations from the
+ * <p>By {@link ReservationMode}, this node reserves by itself, requests reservations from the
  * reservation coordinator, or is the coordinator for the calls of all nodes. Invariant: a call
  * waits here or has a reservation, and never both. Not thread-safe.
  */
@@ -51,7 +51,7 @@
   private final PrefillSelector prefillSelector;
   private final ReservationQueue queue = new ReservationQueue();
   private final RemoteReservations remote = new RemoteReservations(queue);
-  private RoomKeeping mode = RoomKeeping.EACH;
+  private ReservationMode mode = ReservationMode.EACH;
   private boolean awaitsContentionDelay;
 
   /** Access to the calls. */
@@ -124,7 +124,7 @@
   void reserveOrWait(long at, CallState c) {
     if (calls.isDraining()) {
       calls.fail(at, c, ErrorKind.NOT_READY, "the node stops");
-    } else if (mode != RoomKeeping.ASK && !queue.has(c.service) && tryReserve(at, c)) {
+    } else if (mode != ReservationMode.ASK && !queue.has(c.service) && tryReserve(at, c)) {
       start(at, c);
     } else {
       awaitReservation(at, c);
@@ -165,7 +165,7 @@
   boolean tryReserve(long at, CallState c) {
     CallDemand demand = demand(c, at);
     Optional<Choice> choice =
-        upstreams.choose(at, c.service, Stage::runs, c.excluded, settings.place(), demand);
+        upstreams.choose(at, c.service, Stage::runsCalls, c.excluded, settings.dataCentre(), demand);
     choice.ifPresent(found -> reserve(at, c, found.best(), demand));
     return choice.isPresent();
   }
@@ -173,9 +173,9 @@
   private void reserve(long at, CallState c, UpstreamState upstream, CallDemand demand) {
     c.reserveAt(upstream, demand.units());
     report(
-        new RelayFact.RoomTaken(
+        new RelayFact.ReservationMade(
             c.call.wireId(),
-            upstream.upstream().id(),
+            upstream.upstream().name(),
             demand.units(),
             upstream.totalLoad(),
             demand.memoryTokens(),
@@ -195,7 +195,7 @@
     int maxInFlight =
         CallDemands.maxInFlight(calls.configuration().bounds(c.service), calls.nodes());
     return prefillSelector.choose(
-        at, c, c.reservedUpstream.upstream().place(), promptTokens, maxInFlight);
+        at, c, c.reservedUpstream.upstream().dataCentre(), promptTokens, maxInFlight);
   }
 
   /**
@@ -233,17 +233,17 @@
   }
 
   /** Sets the reservation mode from now on. */
-  void setMode(long at, RoomKeeping newMode) {
+  void setMode(long at, ReservationMode newMode) {
     mode = newMode;
-    upstreams.setTotalsReceived(newMode == RoomKeeping.ASK);
+    upstreams.setTotalsReceived(newMode == ReservationMode.ASK);
     placePending(at);
   }
 
   /** Handles a change of the load of other nodes. */
   void loadChanged(long at) {
-    if (mode == RoomKeeping.KEEP) {
+    if (mode == ReservationMode.KEEP) {
       placePending(at);
-    } else if (mode == RoomKeeping.EACH && queue.size() > 0 && !awaitsContentionDelay) {
+    } else if (mode == ReservationMode.EACH && queue.size() > 0 && !awaitsContentionDelay) {
       awaitsContentionDelay = true;
       timers.add(new Timers.Timer.PlacementRetry(at + random.nextLong(MAX_CONTENTION_DELAY_NANOS)));
     }
@@ -258,7 +258,7 @@
   /**
    * Handles incarnations that ended by a restart: reservations that were granted there are void.
    */
-  void incarnationsEnded(Set<UpstreamLife> incarnations) {
+  void incarnationsEnded(Set<UpstreamIncarnation> incarnations) {
     remote.incarnationsEnded(incarnations);
   }
 
@@ -272,7 +272,7 @@
    * A call with excluded upstreams does not hold up the calls behind it.
    */
   void placePending(long at) {
-    if (queue.size() == 0 || mode == RoomKeeping.ASK || calls.configuration() == null) {
+    if (queue.size() == 0 || mode == ReservationMode.ASK || calls.configuration() == null) {
       return;
     }
     Set<ServiceName> full = new HashSet<>();
@@ -306,7 +306,7 @@
       return false;
     }
     Optional<Choice> choice =
-        upstreams.choose(at, r.service(), Stage::runs, r.excluded(), r.dataCentre(), demand);
+        upstreams.choose(at, r.service(), Stage::runsCalls, r.excluded(), r.dataCentre(), demand);
     if (choice.isEmpty()) {
       return false;
     }
@@ -315,11 +315,11 @@
     queue.remove(r);
     r.grant(reserved, prefillUpstream);
     report(
-        new RelayFact.RoomGiven(
+        new RelayFact.ReservationGranted(
             r.request().wireId(),
             r.node(),
-            reserved.upstream().id(),
-            prefillUpstream.map(s -> s.upstream().id().value()).orElse(""),
+            reserved.upstream().name(),
+            prefillUpstream.map(s -> s.upstream().name().value()).orElse(""),
             r.request().units(),
             reserved.totalLoad(),
             demand.memoryTokens(),
@@ -334,13 +334,13 @@
     return promptTokens == 0
         ? Optional.empty()
         : prefillSelector
-            .choose(at, r, reserved.upstream().place(), promptTokens, Integer.MAX_VALUE)
+            .choose(at, r, reserved.upstream().dataCentre(), promptTokens, Integer.MAX_VALUE)
             .map(Choice::best);
   }
 
   private void sendGrant(RemoteReservation c) {
     calls.emit(
-        new RelayEffect.GrantRoom(
+        new RelayEffect.GrantReservation(
             c.node(),
             c.request().call(),
             c.reservedUpstream().incarnation(),
@@ -349,21 +349,21 @@
 
   /** Replaces the reservation requests of another node by exactly these. */
   void requested(
-      long at, HostName node, DataCentreName dataCentre, ImmutableList<RoomAsk> requests) {
+      long at, HostName node, DataCentreName dataCentre, ImmutableList<ReservationRequest> requests) {
     remote.replaceRequests(at, node, dataCentre, requests).forEach(this::sendGrant);
     placePending(at);
   }
 
   /** Returns the reservation requests to send to the reservation coordinator. */
-  ImmutableList<RoomAsk> requests(long at) {
-    if (mode != RoomKeeping.ASK || queue.size() == 0) {
+  ImmutableList<ReservationRequest> requests(long at) {
+    if (mode != ReservationMode.ASK || queue.size() == 0) {
       return ImmutableList.of();
     }
     return queue.own().stream().map(c -> request(at, c)).collect(ImmutableList.toImmutableList());
   }
 
-  private RoomAsk request(long at, CallState c) {
-    return new RoomAsk(
+  private ReservationRequest request(long at, CallState c) {
+    return new ReservationRequest(
         c.call.id(),
         c.call.wireId(),
         c.service,
@@ -374,7 +374,7 @@
         (at - c.arrivedAt) / MILLI,
         c.rule.targetMillis(),
         c.call.prompt(),
-        ImmutableSet.<UpstreamLife>builder()
+        ImmutableSet.<UpstreamIncarnation>builder()
             .addAll(c.excluded)
             .addAll(upstreams.notEligible(at, c.service))
             .build());
@@ -385,7 +385,7 @@
    * upstream to be unusable.
    */
   void granted(
-      long at, CallState c, UpstreamLife reserved, Optional<UpstreamLife> prefillUpstream) {
+      long at, CallState c, UpstreamIncarnation reserved, Optional<UpstreamIncarnation> prefillUpstream) {
     Optional<UpstreamState> found = upstreams.find(reserved).filter(s -> calls.isUsable(at, c, s));
     if (!c.awaitsReservation || found.isEmpty()) {
       return;
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Outcomes.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Outcomes.java
@@ -12,7 +12,7 @@
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.event.FailureCause;
 import org.larkkeel.lib.AttemptId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.AnswerGrade;
 import org.larkkeel.relay.RefusalCause;
 import org.larkkeel.relay.RelayEffect;
@@ -50,8 +50,8 @@
       c.arrivalCount--;
     }
     RelayUpstream source = a.upstream().upstream();
-    core.report(new RelayFact.PromptRead(c.call.wireId(), id, source.id(), at - a.sentAt()));
-    c.prefillUpstream = source.life();
+    core.report(new RelayFact.PromptRead(c.call.wireId(), id, source.name(), at - a.sentAt()));
+    c.prefillUpstream = source.incarnation();
     c.prefilledPrompt = new Purpose.TakeOver(source, handle);
     core.dispatch.run(at, c);
   }
@@ -61,7 +61,7 @@
     boolean wasEjected = a.upstream().hasBeenEjected();
     a.upstream().succeeded(at);
     if (wasEjected) {
-      core.report(new RelayFact.Restored(a.upstream().upstream().id()));
+      core.report(new RelayFact.Restored(a.upstream().upstream().name()));
     }
     core.upstreams.recordUnitTime(a.upstream(), at, (at - a.sentAt()) / a.call().workUnits());
   }
@@ -86,8 +86,8 @@
       c.streamBeganAt = at;
     }
     core.report(
-        new RelayFact.Began(c.call.wireId(), id, a.upstream().upstream().id(), at - c.arrivedAt));
-    core.emit(new RelayEffect.Follow(c.call.id(), id));
+        new RelayFact.Began(c.call.wireId(), id, a.upstream().upstream().name(), at - c.arrivedAt));
+    core.emit(new RelayEffect.ForwardStream(c.call.id(), id));
   }
 
   /** Handles further events of a stream. */
@@ -137,7 +137,7 @@
         new RelayFact.Answered(
             c.call.wireId(),
             id,
-            a.upstream().upstream().id(),
+            a.upstream().upstream().name(),
             c.rule.name().value(),
             grade,
             firstEventNanos,
@@ -241,15 +241,15 @@
 
   private boolean hasOtherUpstream(long at, AttemptState a) {
     CallState c = a.call();
-    Set<UpstreamLife> excluded = new HashSet<>(c.excluded);
+    Set<UpstreamIncarnation> excluded = new HashSet<>(c.excluded);
     excluded.add(a.upstream().incarnation());
     return core.upstreams
         .choose(
             at,
             c.service,
-            Stage::runs,
+            Stage::runsCalls,
             excluded,
-            core.settings.place(),
+            core.settings.dataCentre(),
             core.reservations.demand(c, at))
         .isPresent();
   }
@@ -287,7 +287,7 @@
   private void recordHardFailure(long at, AttemptState a, String cause, boolean ejectNow) {
     long ejectedNanos = a.upstream().failedHard(at, ejectNow);
     if (ejectedNanos > 0) {
-      core.report(new RelayFact.Ejected(a.upstream().upstream().id(), cause, ejectedNanos));
+      core.report(new RelayFact.Ejected(a.upstream().upstream().name(), cause, ejectedNanos));
     }
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/PendingReservation.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/PendingReservation.java
@@ -7,7 +7,7 @@
 package org.larkkeel.relay.internal;
 
 import java.util.Set;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.ServiceName;
 
 /**
@@ -37,7 +37,7 @@
   boolean canMeetTarget(long at);
 
   /** Returns the excluded upstreams. */
-  Set<UpstreamLife> excluded();
+  Set<UpstreamIncarnation> excluded();
 
   /** Returns whether the call waits for a reservation. */
   boolean isWaiting();
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/PrefillResults.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/PrefillResults.java
@@ -36,7 +36,7 @@
   void free(CallState c) {
     if (c.prefilledPrompt != null) {
       effects.accept(new RelayEffect.Free(c.prefilledPrompt.source(), c.prefilledPrompt.handle()));
-      reportWasted(c, c.prefilledPrompt.source().id());
+      reportWasted(c, c.prefilledPrompt.source().name());
       c.prefilledPrompt = null;
     }
   }
@@ -69,9 +69,9 @@
       return true;
     }
     if (!isVoid) {
-      c.suspectUpstream = prompt.source().life();
+      c.suspectUpstream = prompt.source().incarnation();
     }
-    reportWasted(c, prompt.source().id());
+    reportWasted(c, prompt.source().name());
     c.prefilledPrompt = null;
     return false;
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quarantine.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quarantine.java
@@ -17,9 +17,9 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.larkkeel.lib.Fingerprint;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RequestIdentity;
-import org.larkkeel.relay.Suspect;
+import org.larkkeel.relay.SuspectRequest;
 
 /**
  * The requests that upstreams had when they crashed, and which of them are quarantined.
@@ -57,7 +57,7 @@
 
   /** The known crashes of one request. */
   private static final class Entry {
-    private final Map<UpstreamLife, Long> crashes = new LinkedHashMap<>();
+    private final Map<UpstreamIncarnation, Long> crashes = new LinkedHashMap<>();
     private final long spreadNanos;
     private int clearanceEpoch;
     private long changedAt;
@@ -116,12 +116,12 @@
    * Records that an incarnation of an upstream crashed while it had a request; returns whether that
    * is new.
    */
-  boolean recordCrash(long at, Fingerprint request, UpstreamLife incarnation) {
+  boolean recordCrash(long at, Fingerprint request, UpstreamIncarnation incarnation) {
     Entry e = getOrCreate(at, request);
     return addCrash(e, incarnation, at, at);
   }
 
-  private static boolean addCrash(Entry e, UpstreamLife incarnation, long crashedAt, long now) {
+  private static boolean addCrash(Entry e, UpstreamIncarnation incarnation, long crashedAt, long now) {
     Long known = e.crashes.get(incarnation);
     if (known != null) {
       e.crashes.put(incarnation, Math.min(known, crashedAt));
@@ -129,7 +129,7 @@
     }
     e.crashes.put(incarnation, crashedAt);
     if (e.crashes.size() > MAX_CRASHES) {
-      Map.Entry<UpstreamLife, Long> oldest =
+      Map.Entry<UpstreamIncarnation, Long> oldest =
           Collections.min(e.crashes.entrySet(), Map.Entry.comparingByValue());
       e.crashes.remove(oldest.getKey());
     }
@@ -142,9 +142,9 @@
    *
    * @return whether the report has put the request into quarantine
    */
-  boolean merge(long at, Suspect report) {
+  boolean merge(long at, SuspectRequest report) {
     Entry known = entries.get(report.request());
-    if (known != null && known.clearanceEpoch > report.epoch()) {
+    if (known != null && known.clearanceEpoch > report.clearanceEpoch()) {
       // A node that reports an earlier clearance epoch has not received this one, so report it
       // again.
       known.changedAt = at;
@@ -155,20 +155,20 @@
     }
     boolean wasQuarantined = remainingNanos(at, report.request()) > 0;
     Entry e = getOrCreate(at, report.request());
-    if (e.clearanceEpoch < report.epoch()) {
-      startClearanceEpoch(at, e, report.epoch());
+    if (e.clearanceEpoch < report.clearanceEpoch()) {
+      startClearanceEpoch(at, e, report.clearanceEpoch());
     }
-    report.ends().forEach((incarnation, age) -> addCrash(e, incarnation, at - age, at));
+    report.crashes().forEach((incarnation, age) -> addCrash(e, incarnation, at - age, at));
     return !wasQuarantined && e.remainingNanos(at) > 0;
   }
 
-  private static boolean isExpiredReport(Suspect report) {
-    return !report.ends().isEmpty()
-        && isExpired(Collections.min(report.ends().values()), report.ends().size());
+  private static boolean isExpiredReport(SuspectRequest report) {
+    return !report.crashes().isEmpty()
+        && isExpired(Collections.min(report.crashes().values()), report.crashes().size());
   }
 
   private static long quarantineNanos(int crashes) {
-    int doublings = Math.min(crashes - Suspect.ENDS_TO_QUARANTINE, MAX_DOUBLINGS);
+    int doublings = Math.min(crashes - SuspectRequest.CRASHES_TO_QUARANTINE, MAX_DOUBLINGS);
     return doublings < 0 ? 0 : QUARANTINE_NANOS << doublings;
   }
 
@@ -228,12 +228,12 @@
   }
 
   /** Returns the report on a request; empty if the request is not known. */
-  Optional<Suspect> find(long at, Fingerprint request) {
+  Optional<SuspectRequest> find(long at, Fingerprint request) {
     return Optional.ofNullable(entries.get(request)).map(e -> toReport(at, request, e));
   }
 
   /** Returns the reports for other nodes, those with the most crashes first. */
-  ImmutableList<Suspect> reports(long at) {
+  ImmutableList<SuspectRequest> reports(long at) {
     if (entries.isEmpty()) {
       return ImmutableList.of();
     }
@@ -249,10 +249,10 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private static Suspect toReport(long at, Fingerprint request, Entry e) {
-    ImmutableMap.Builder<UpstreamLife, Long> ages = ImmutableMap.builder();
+  private static SuspectRequest toReport(long at, Fingerprint request, Entry e) {
+    ImmutableMap.Builder<UpstreamIncarnation, Long> ages = ImmutableMap.builder();
     e.crashes.forEach(
         (incarnation, crashedAt) -> ages.put(incarnation, Math.max(0, at - crashedAt)));
-    return new Suspect(request, e.clearanceEpoch, ages.buildOrThrow());
+    return new SuspectRequest(request, e.clearanceEpoch, ages.buildOrThrow());
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quotas.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quotas.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.lib.WorkspaceName;
-import org.larkkeel.quota.QuotaAsk;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaHolder;
 import org.larkkeel.quota.QuotaKey;
@@ -104,7 +104,7 @@
 
   private void applyDecision(long at, CallState c, QuotaHolder.Decision decision, boolean alone) {
     switch (decision) {
-      case QuotaHolder.Decision.Waits d -> {
+      case QuotaHolder.Decision.Pending d -> {
         c.awaitsQuota = true;
         long maxWait = Math.max(QuotaHolder.WAIT_NANOS, maxWaitNanos(c));
         timers.add(new Timers.Timer.QuotaTimeout(at + maxWait, c.call.id()));
@@ -151,8 +151,8 @@
     if (c.awaitsQuota) {
       heldQuotas
           .holderAt(at)
-          .decideNow(at, c.call.id(), c.quotaKey)
-          .ifPresent(d -> waitEnded(at, c, d, heldQuotas.holderAt(at).isSilent(at)));
+          .decideWaiting(at, c.call.id(), c.quotaKey)
+          .ifPresent(d -> waitEnded(at, c, d, heldQuotas.holderAt(at).isCoordinatorUnresponsive(at)));
     }
   }
 
@@ -165,7 +165,7 @@
     if (c.holdsQuota) {
       c.holdsQuota = false;
       if (c.runCount == 0) {
-        heldQuotas.existingHolder().giveBack(c.quotaKey, c.quotaTokens);
+        heldQuotas.existingHolder().refund(c.quotaKey, c.quotaTokens);
       }
     }
   }
@@ -188,13 +188,13 @@
    * @param at now
    * @param heartbeat whether a request is due in any case while there are quotas
    */
-  Optional<QuotaAsk> request(long at, boolean heartbeat) {
+  Optional<QuotaRequest> request(long at, boolean heartbeat) {
     RelayConfiguration configuration = calls.configuration();
-    boolean limited = configuration != null && configuration.workspaces().haveLimits();
+    boolean limited = configuration != null && configuration.workspaces().hasLimits();
     if (!limited && !rateLimits.hasLimits()) {
       return Optional.empty();
     }
-    return heldQuotas.holderAt(at).ask(at, heartbeat);
+    return heldQuotas.holderAt(at).nextRequest(at, heartbeat);
   }
 
   /** Returns whether calls wait for tokens. */
@@ -206,7 +206,7 @@
   Optional<TokenLimit> limit(QuotaKey key) {
     return switch (key) {
       case QuotaKey.OfWorkspace w -> limit(w.workspace());
-      case QuotaKey.OfUpstream u -> rateLimits.limit(u.life());
+      case QuotaKey.OfUpstream u -> rateLimits.limit(u.upstream());
     };
   }
 
@@ -226,7 +226,7 @@
                 c.quotaTokens,
                 outcome,
                 left,
-                heldQuotas.holderAt(at).age(at),
+                heldQuotas.holderAt(at).ageNanos(at),
                 waitNanos)));
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RateLimitState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RateLimitState.java
@@ -7,11 +7,11 @@
 package org.larkkeel.relay.internal;
 
 import java.util.Optional;
-import org.larkkeel.lib.UpstreamLife;
-import org.larkkeel.relay.RateChange;
-import org.larkkeel.relay.RateNotice;
-import org.larkkeel.relay.RateUse;
-import org.larkkeel.relay.RateWord;
+import org.larkkeel.lib.UpstreamIncarnation;
+import org.larkkeel.relay.RateLimitChange;
+import org.larkkeel.relay.RateLimitNotice;
+import org.larkkeel.relay.RateLimitUsage;
+import org.larkkeel.relay.RateLimitReport;
 import org.larkkeel.relay.RequestRate;
 
 /**
@@ -65,11 +65,11 @@
    * @param at the receive time of the answer
    * @return the change of the limit; empty if it has not changed
    */
-  Optional<RateChange> applyNotice(long sentAt, long at, RateNotice notice) {
+  Optional<RateLimitChange> applyNotice(long sentAt, long at, RateLimitNotice notice) {
     return switch (notice) {
-      case RateNotice.Unsaid n -> Optional.empty();
-      case RateNotice.Unlimited n -> endLimit(sentAt);
-      case RateNotice.Limited n -> announceLimit(sentAt, at, n.rate());
+      case RateLimitNotice.Unknown n -> Optional.empty();
+      case RateLimitNotice.Unlimited n -> endLimit(sentAt);
+      case RateLimitNotice.Limited n -> announceLimit(sentAt, at, n.rate());
     };
   }
 
@@ -78,7 +78,7 @@
    *
    * @return the change of the limit; empty if it has not changed
    */
-  Optional<RateChange> merge(long at, RateWord report) {
+  Optional<RateLimitChange> merge(long at, RateLimitReport report) {
     long observedAt = at - report.ageNanos();
     if (report.limit().isEmpty()) {
       return limitReceivedAt == NEVER ? Optional.empty() : endLimit(observedAt - TRANSIT_NANOS);
@@ -109,17 +109,17 @@
   /**
    * Returns the limit, its age and the number of requests sent under it; empty if there is none.
    */
-  Optional<RateUse> usage(long at, UpstreamLife incarnation) {
-    return limit.map(rate -> new RateUse(incarnation, rate, at - limitReceivedAt, sentRequests));
+  Optional<RateLimitUsage> usage(long at, UpstreamIncarnation incarnation) {
+    return limit.map(rate -> new RateLimitUsage(incarnation, rate, at - limitReceivedAt, sentRequests));
   }
 
   /** Returns the report for other nodes. */
-  RateWord report(long at, UpstreamLife incarnation) {
-    return new RateWord(
+  RateLimitReport report(long at, UpstreamIncarnation incarnation) {
+    return new RateLimitReport(
         incarnation, limit, at - (limit.isPresent() ? limitReceivedAt : liftedSentAt));
   }
 
-  private Optional<RateChange> endLimit(long sentAt) {
+  private Optional<RateLimitChange> endLimit(long sentAt) {
     if (sentAt < limitReceivedAt) {
       return Optional.empty();
     }
@@ -127,10 +127,10 @@
     boolean hadLimit = limit.isPresent();
     limit = Optional.empty();
     sentRequests = 0;
-    return hadLimit ? Optional.of(RateChange.LIFTED) : Optional.empty();
+    return hadLimit ? Optional.of(RateLimitChange.LIFTED) : Optional.empty();
   }
 
-  private Optional<RateChange> announceLimit(long sentAt, long at, RequestRate rate) {
+  private Optional<RateLimitChange> announceLimit(long sentAt, long at, RequestRate rate) {
     limitReceivedAt = Math.max(limitReceivedAt, at);
     if (limit.isPresent() && sentAt < limitSentAt && rate.compareTo(limit.get()) >= 0) {
       return Optional.empty();
@@ -139,12 +139,12 @@
     return setLimit(rate);
   }
 
-  private Optional<RateChange> setLimit(RequestRate rate) {
+  private Optional<RateLimitChange> setLimit(RequestRate rate) {
     Optional<RequestRate> previous = limit;
     limit = Optional.of(rate);
     if (previous.equals(limit)) {
       return Optional.empty();
     }
-    return Optional.of(previous.isEmpty() ? RateChange.NAMED : RateChange.CHANGED);
+    return Optional.of(previous.isEmpty() ? RateLimitChange.NAMED : RateLimitChange.CHANGED);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RemoteReservation.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RemoteReservation.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
-import org.larkkeel.relay.RoomAsk;
+import org.larkkeel.lib.UpstreamIncarnation;
+import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.ServiceName;
 
 /**
@@ -26,12 +26,12 @@
   private final HostName node;
   private final DataCentreName dataCentre;
   private final long arrivedAt;
-  private RoomAsk request;
+  private ReservationRequest request;
   private boolean waiting;
   private UpstreamState reservedUpstream;
   private Optional<UpstreamState> prefillUpstream = Optional.empty();
 
-  RemoteReservation(HostName node, DataCentreName dataCentre, RoomAsk request, long at) {
+  RemoteReservation(HostName node, DataCentreName dataCentre, ReservationRequest request, long at) {
     this.node = node;
     this.dataCentre = dataCentre;
     this.request = request;
@@ -46,12 +46,12 @@
     return dataCentre;
   }
 
-  RoomAsk request() {
+  ReservationRequest request() {
     return request;
   }
 
   /** Replaces the request by the latest one of the node. */
-  void update(RoomAsk latest) {
+  void update(ReservationRequest latest) {
     request = latest;
   }
 
@@ -100,12 +100,12 @@
 
   @Override
   public boolean isFirstTry() {
-    return request.fresh();
+    return request.firstTry();
   }
 
   @Override
   public boolean isStreaming() {
-    return request.begun();
+    return request.streaming();
   }
 
   @Override
@@ -114,8 +114,8 @@
   }
 
   @Override
-  public Set<UpstreamLife> excluded() {
-    return request.without();
+  public Set<UpstreamIncarnation> excluded() {
+    return request.excluded();
   }
 
   @Override
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RemoteReservations.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RemoteReservations.java
@@ -14,8 +14,8 @@
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
-import org.larkkeel.relay.RoomAsk;
+import org.larkkeel.lib.UpstreamIncarnation;
+import org.larkkeel.relay.ReservationRequest;
 
 /**
  * The reservations that other nodes request from this one.
@@ -44,20 +44,20 @@
    * @return the reservations that were granted before, of which the node does not know
    */
   ImmutableList<RemoteReservation> replaceRequests(
-      long at, HostName node, DataCentreName dataCentre, ImmutableList<RoomAsk> requests) {
+      long at, HostName node, DataCentreName dataCentre, ImmutableList<ReservationRequest> requests) {
     ClientRequests client = clients.computeIfAbsent(node, n -> new ClientRequests());
     client.receivedAt = at;
     Map<RequestId, RemoteReservation> previous = new HashMap<>(client.reservations);
     client.reservations.clear();
     ImmutableList.Builder<RemoteReservation> granted = ImmutableList.builder();
-    for (RoomAsk request : requests) {
+    for (ReservationRequest request : requests) {
       RemoteReservation reservation = previous.remove(request.call());
       if (reservation == null) {
         reservation = new RemoteReservation(node, dataCentre, request, at);
         queue.add(reservation);
       } else if (reservation.reservedUpstream() == null) {
         reservation.update(request);
-      } else if (request.without().contains(reservation.reservedUpstream().incarnation())) {
+      } else if (request.excluded().contains(reservation.reservedUpstream().incarnation())) {
         reservation.release();
         reservation.update(request);
         queue.add(reservation);
@@ -71,7 +71,7 @@
   }
 
   /** Releases the grants at incarnations of upstreams that have ended; their calls wait again. */
-  void incarnationsEnded(Set<UpstreamLife> incarnations) {
+  void incarnationsEnded(Set<UpstreamIncarnation> incarnations) {
     for (ClientRequests client : clients.values()) {
       for (RemoteReservation reservation : client.reservations.values()) {
         if (reservation.reservedUpstream() != null
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Timers.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Timers.java
@@ -10,7 +10,7 @@
 import java.util.PriorityQueue;
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.RequestId;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 
 /**
  * The pending timers. Timers of calls and attempts that have ended remain and have no effect when
@@ -40,10 +40,10 @@
     record ReservationTimeout(long at, RequestId call) implements Timer {}
 
     /** The time at which the runs at a leaving upstream are to be moved. */
-    record EvacuationStart(long at, UpstreamLife incarnation) implements Timer {}
+    record EvacuationStart(long at, UpstreamIncarnation incarnation) implements Timer {}
 
     /** The end of the maximum duration of an order. */
-    record OrderTimeout(long at, UpstreamLife incarnation) implements Timer {}
+    record OrderTimeout(long at, UpstreamIncarnation incarnation) implements Timer {}
 
     /** The timeout of the second step of a move. */
     record MoveTimeout(long at, AttemptId attempt) implements Timer {}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamRateLimits.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamRateLimits.java
@@ -14,13 +14,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.quota.TokenLimit;
-import org.larkkeel.relay.RateChange;
-import org.larkkeel.relay.RateNotice;
-import org.larkkeel.relay.RateUse;
-import org.larkkeel.relay.RateWord;
+import org.larkkeel.relay.RateLimitChange;
+import org.larkkeel.relay.RateLimitNotice;
+import org.larkkeel.relay.RateLimitUsage;
+import org.larkkeel.relay.RateLimitReport;
 import org.larkkeel.relay.RelayFact;
 import org.larkkeel.relay.RequestRate;
 
@@ -39,7 +39,7 @@
   private static final int MAX_REPORTS = 64;
 
   private final HeldQuotas heldQuotas;
-  private final Function<UpstreamLife, Optional<UpstreamState>> find;
+  private final Function<UpstreamIncarnation, Optional<UpstreamState>> find;
   private final Consumer<RelayFact> report;
 
   /** The upstreams that have a limit, or had one a moment ago. */
@@ -54,7 +54,7 @@
    */
   UpstreamRateLimits(
       HeldQuotas heldQuotas,
-      Function<UpstreamLife, Optional<UpstreamState>> find,
+      Function<UpstreamIncarnation, Optional<UpstreamState>> find,
       Consumer<RelayFact> report) {
     this.heldQuotas = heldQuotas;
     this.find = find;
@@ -62,15 +62,15 @@
   }
 
   /** Applies the notice of an answer; returns whether the limit has ended. */
-  boolean applyNotice(long at, UpstreamState s, long sentAt, RateNotice notice) {
+  boolean applyNotice(long at, UpstreamState s, long sentAt, RateLimitNotice notice) {
     return change(s, at - sentAt, "answer", state -> state.applyNotice(sentAt, at, notice));
   }
 
   /** Merges the reports of another node; returns whether a limit has ended. */
-  boolean merge(long at, ImmutableList<RateWord> reports) {
+  boolean merge(long at, ImmutableList<RateLimitReport> reports) {
     boolean ended = false;
-    for (RateWord limitReport : reports) {
-      Optional<UpstreamState> s = find.apply(limitReport.life());
+    for (RateLimitReport limitReport : reports) {
+      Optional<UpstreamState> s = find.apply(limitReport.upstream());
       ended |=
           s.isPresent()
               && change(
@@ -83,9 +83,9 @@
       UpstreamState s,
       long age,
       String source,
-      Function<RateLimitState, Optional<RateChange>> apply) {
+      Function<RateLimitState, Optional<RateLimitChange>> apply) {
     final Optional<RequestRate> previous = s.rateLimit().limit();
-    Optional<RateChange> change = apply.apply(s.rateLimit());
+    Optional<RateLimitChange> change = apply.apply(s.rateLimit());
     if (change.isEmpty()) {
       return false;
     }
@@ -93,7 +93,7 @@
     report.accept(
         new RelayFact.RateLimit(
             s.incarnation(), change.get(), previous, s.rateLimit().limit(), source, age));
-    boolean ended = change.get() == RateChange.LIFTED;
+    boolean ended = change.get() == RateLimitChange.LIFTED;
     if (ended) {
       heldQuotas.forget(key(s));
     }
@@ -101,7 +101,7 @@
   }
 
   /** Returns the reports for other nodes. */
-  ImmutableList<RateWord> reports(long at) {
+  ImmutableList<RateLimitReport> reports(long at) {
     if (recentlyLimited.isEmpty()) {
       return ImmutableList.of();
     }
@@ -113,7 +113,7 @@
   }
 
   /** Returns the limits in force and this node's usage of each. */
-  ImmutableList<RateUse> usages(long at) {
+  ImmutableList<RateLimitUsage> usages(long at) {
     return recentlyLimited.stream()
         .flatMap(s -> s.rateLimit().usage(at, s.incarnation()).stream())
         .collect(ImmutableList.toImmutableList());
@@ -137,7 +137,7 @@
    * Returns whether an upstream has a limit, or had one a moment ago, so that each of its answers
    * counts.
    */
-  boolean isLimited(UpstreamLife incarnation) {
+  boolean isLimited(UpstreamIncarnation incarnation) {
     return !recentlyLimited.isEmpty()
         && find.apply(incarnation).map(recentlyLimited::contains).orElse(false);
   }
@@ -148,26 +148,26 @@
   }
 
   /** Returns the limit of an upstream; empty if the incarnation is not the current one. */
-  Optional<TokenLimit> limit(UpstreamLife incarnation) {
+  Optional<TokenLimit> limit(UpstreamIncarnation incarnation) {
     return find.apply(incarnation)
         .map(s -> s.rateLimit().limit().map(UpstreamRateLimits::limit).orElse(TokenLimit.NONE));
   }
 
   private static TokenLimit limit(RequestRate rate) {
-    return new TokenLimit(rate.thousandths(), QuotaKey.OfUpstream.REQUEST);
+    return new TokenLimit(rate.thousandths(), QuotaKey.OfUpstream.UNITS_PER_REQUEST);
   }
 
   /** Returns whether a request may be sent now; if not, a permit is requested. */
   boolean hasPermit(long at, UpstreamState s) {
     Optional<RequestRate> rate = s.rateLimit().limit();
     return rate.isEmpty()
-        || heldQuotas.reserve(at, key(s), limit(rate.get()), QuotaKey.OfUpstream.REQUEST);
+        || heldQuotas.reserve(at, key(s), limit(rate.get()), QuotaKey.OfUpstream.UNITS_PER_REQUEST);
   }
 
   /** Spends a permit for a request that is sent, if the upstream has a limit. */
   void spend(UpstreamState s) {
     if (s.rateLimit().limit().isPresent()) {
-      heldQuotas.spend(key(s), QuotaKey.OfUpstream.REQUEST);
+      heldQuotas.spend(key(s), QuotaKey.OfUpstream.UNITS_PER_REQUEST);
       s.rateLimit().countRequest();
     }
   }
@@ -187,7 +187,7 @@
       return OptionalLong.of(refills);
     }
     long mean = (long) (NANOS_PER_SECOND / rate.get().perSecond());
-    return OptionalLong.of(heldQuotas.holderAt(at).isSilent(at) ? at + mean : at);
+    return OptionalLong.of(heldQuotas.holderAt(at).isCoordinatorUnresponsive(at) ? at + mean : at);
   }
 
   private static QuotaKey key(UpstreamState s) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamState.java
@@ -7,7 +7,7 @@
 package org.larkkeel.relay.internal;
 
 import org.larkkeel.lib.Incarnation;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RelayUpstream;
 
 /**
@@ -47,7 +47,7 @@
    */
   private static final int MAX_FULL_DOUBLINGS = 2;
 
-  private final UpstreamLife incarnation;
+  private final UpstreamIncarnation incarnation;
   private final Environment environment;
   private RelayUpstream upstream;
   private int inFlight;
@@ -94,7 +94,7 @@
    * @param environment the callbacks to the owner
    */
   UpstreamState(RelayUpstream upstream, Environment environment) {
-    this.incarnation = upstream.life();
+    this.incarnation = upstream.incarnation();
     this.upstream = upstream;
     this.environment = environment;
   }
@@ -104,13 +104,13 @@
   }
 
   /** Returns the incarnation that this state describes. */
-  UpstreamLife incarnation() {
+  UpstreamIncarnation incarnation() {
     return incarnation;
   }
 
   /** Returns whether the number is that of this incarnation. */
   boolean isIncarnation(Incarnation number) {
-    return incarnation.start().value() == number.value();
+    return incarnation.incarnation().value() == number.value();
   }
 
   /** Applies the current entry of the same incarnation in the discovery list. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamTable.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamTable.java
@@ -26,7 +26,7 @@
 import java.util.function.Predicate;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.relay.PromptKey;
 import org.larkkeel.relay.RelayFact;
@@ -95,7 +95,7 @@
   /** The upstreams at which this node recently observed lost prefill handles. */
   private final Set<UpstreamState> losingHandles = new LinkedHashSet<>();
 
-  private ImmutableMap<UpstreamLife, Long> loads = ImmutableMap.of();
+  private ImmutableMap<UpstreamIncarnation, Long> loads = ImmutableMap.of();
   private boolean loadsChanged;
   private final Map<ServiceStage, Double> typicalUnitNanos = new HashMap<>();
   private final Map<ServiceStage, Double> fastestUnitNanos = new HashMap<>();
@@ -107,7 +107,7 @@
   private double costSpread = COST_SPREAD;
 
   /** The last load report of another node. */
-  private record PeerLoad(long at, ImmutableMap<UpstreamLife, Long> loads) {}
+  private record PeerLoad(long at, ImmutableMap<UpstreamIncarnation, Long> loads) {}
 
   private record ServiceStage(ServiceName service, Stage stage) {}
 
@@ -144,11 +144,11 @@
     listReceived = true;
     ImmutableList.Builder<UpstreamState> ended = ImmutableList.builder();
     for (RelayUpstream u : changed.values()) {
-      UpstreamState state = byName.get(u.id());
+      UpstreamState state = byName.get(u.name());
       if (state == null) {
         add(u);
         report.accept(upstreamChanged(u, u.leaving() ? "appeared_leaving" : "appeared"));
-      } else if (!state.isIncarnation(u.life().start())) {
+      } else if (!state.isIncarnation(u.incarnation().incarnation())) {
         removeEnded(state);
         add(u);
         ended.add(state);
@@ -186,8 +186,8 @@
 
   private void updateListed(UpstreamState state, RelayUpstream now) {
     if (!now.service().equals(state.upstream().service())) {
-      byService.get(state.upstream().service()).remove(now.id());
-      getOrCreateService(now.service()).put(now.id(), state);
+      byService.get(state.upstream().service()).remove(now.name());
+      getOrCreateService(now.service()).put(now.name(), state);
     }
     state.update(now);
     if (state.isLeavingOrMissing()) {
@@ -214,9 +214,9 @@
   /** Adds an incarnation, which reports of other nodes may already name. */
   private void add(RelayUpstream u) {
     UpstreamState state = new UpstreamState(u, this);
-    peerLoads.values().forEach(h -> state.addRemote(h.loads().getOrDefault(u.life(), 0L)));
-    byName.put(u.id(), state);
-    getOrCreateService(u.service()).put(u.id(), state);
+    peerLoads.values().forEach(h -> state.addRemote(h.loads().getOrDefault(u.incarnation(), 0L)));
+    byName.put(u.name(), state);
+    getOrCreateService(u.service()).put(u.name(), state);
     if (state.isLeavingOrMissing()) {
       leavingOrMissing.add(state);
     }
@@ -241,15 +241,15 @@
     for (UpstreamState state : ImmutableList.copyOf(leavingOrMissing)) {
       if (state.isMissingFor(at, missingNanos) && state.inFlight() == 0) {
         removeEnded(state);
-        byName.remove(state.upstream().id());
-        byService.get(state.upstream().service()).remove(state.upstream().id());
+        byName.remove(state.upstream().name());
+        byService.get(state.upstream().service()).remove(state.upstream().name());
         report.accept(upstreamChanged(state.upstream(), "gone"));
       }
     }
   }
 
   private static RelayFact upstreamChanged(RelayUpstream u, String change) {
-    return new RelayFact.UpstreamChanged(u.life(), u.service().value(), u.address(), change);
+    return new RelayFact.UpstreamChanged(u.incarnation(), u.service().value(), u.address(), change);
   }
 
   /** Returns the number of other nodes whose load is known. */
@@ -262,7 +262,7 @@
    */
   long maxFree(ServiceName service, CallDemand demand) {
     return upstreamsOf(service).stream()
-        .filter(s -> s.upstream().stage().runs())
+        .filter(s -> s.upstream().stage().runsCalls())
         .filter(s -> !s.isLeaving() && !s.isMissing())
         .mapToLong(s -> Math.round(demand.maxFill() * demand.memoryTokens()) - s.totalLoad())
         .max()
@@ -279,24 +279,24 @@
   }
 
   /** Returns the state of an incarnation; empty if the incarnation is not the current one. */
-  Optional<UpstreamState> find(UpstreamLife incarnation) {
+  Optional<UpstreamState> find(UpstreamIncarnation incarnation) {
     return Optional.ofNullable(current(incarnation));
   }
 
   /** Returns the state of an incarnation; null if the incarnation is not the current one. */
-  private UpstreamState current(UpstreamLife incarnation) {
+  private UpstreamState current(UpstreamIncarnation incarnation) {
     UpstreamState state = byName.get(incarnation.name());
-    return state != null && state.isIncarnation(incarnation.start()) ? state : null;
+    return state != null && state.isIncarnation(incarnation.incarnation()) ? state : null;
   }
 
   /** Returns whether an upstream is known to have restarted since the given incarnation. */
-  boolean hasRestarted(UpstreamLife incarnation) {
+  boolean hasRestarted(UpstreamIncarnation incarnation) {
     UpstreamState now = byName.get(incarnation.name());
     return now != null && !now.incarnation().equals(incarnation);
   }
 
   /** Replaces the load report of another node. */
-  void receiveLoads(long at, HostName node, ImmutableMap<UpstreamLife, Long> loads) {
+  void receiveLoads(long at, HostName node, ImmutableMap<UpstreamIncarnation, Long> loads) {
     addRemoteLoads(peerLoads.put(node, new PeerLoad(at, loads)), -1);
     addRemoteLoads(peerLoads.get(node), 1);
   }
@@ -330,11 +330,11 @@
   /**
    * Returns the load that this node has at each upstream, without upstreams at which it has none.
    */
-  ImmutableMap<UpstreamLife, Long> loads() {
+  ImmutableMap<UpstreamIncarnation, Long> loads() {
     if (!loadsChanged) {
       return loads;
     }
-    ImmutableMap.Builder<UpstreamLife, Long> now = ImmutableMap.builder();
+    ImmutableMap.Builder<UpstreamIncarnation, Long> now = ImmutableMap.builder();
     loaded.forEach(s -> now.put(s.incarnation(), s.load()));
     loads = now.buildOrThrow();
     loadsChanged = false;
@@ -376,7 +376,7 @@
   }
 
   /** Returns the upstreams at which this node itself recently observed lost prefill handles. */
-  ImmutableSet<UpstreamLife> losingHandles(long at) {
+  ImmutableSet<UpstreamIncarnation> losingHandles(long at) {
     if (losingHandles.isEmpty()) {
       return ImmutableSet.of();
     }
@@ -434,7 +434,7 @@
       long at,
       ServiceName service,
       Predicate<Stage> stage,
-      Set<UpstreamLife> excluded,
+      Set<UpstreamIncarnation> excluded,
       DataCentreName near,
       CallDemand demand) {
     List<UpstreamState> eligible = new ArrayList<>();
@@ -443,7 +443,7 @@
       RelayUpstream u = s.upstream();
       if (stage.test(u.stage())
           && s.acceptsWork(at)
-          && !excluded.contains(u.life())
+          && !excluded.contains(u.incarnation())
           && !s.isMissingFor(at, missingNanos)) {
         healthyExists |= isHealthy(s, at);
         if (s.inFlight() < demand.maxInFlight() && demand.fits(s, at)) {
@@ -460,11 +460,11 @@
   }
 
   /** Returns whether there is an upstream that may run calls of a service, even if it is full. */
-  boolean hasUpstream(long at, ServiceName service, Set<UpstreamLife> excluded) {
+  boolean hasUpstream(long at, ServiceName service, Set<UpstreamIncarnation> excluded) {
     return upstreamsOf(service).stream()
         .anyMatch(
             s ->
-                s.upstream().stage().runs()
+                s.upstream().stage().runsCalls()
                     && !s.isLeaving()
                     && !excluded.contains(s.incarnation())
                     && !s.isMissingFor(at, missingNanos));
@@ -474,12 +474,12 @@
    * Returns the upstreams that may run calls of a service but that this node would not choose now.
    * If it would choose none, returns only those that accept no work by their own notice.
    */
-  ImmutableSet<UpstreamLife> notEligible(long at, ServiceName service) {
-    ImmutableSet.Builder<UpstreamLife> notAccepting = ImmutableSet.builder();
-    ImmutableSet.Builder<UpstreamLife> notEligible = ImmutableSet.builder();
+  ImmutableSet<UpstreamIncarnation> notEligible(long at, ServiceName service) {
+    ImmutableSet.Builder<UpstreamIncarnation> notAccepting = ImmutableSet.builder();
+    ImmutableSet.Builder<UpstreamIncarnation> notEligible = ImmutableSet.builder();
     boolean someEligible = false;
     for (UpstreamState s : upstreamsOf(service)) {
-      if (!s.upstream().stage().runs()) {
+      if (!s.upstream().stage().runsCalls()) {
         continue;
       }
       if (!s.acceptsWork(at)) {
@@ -498,10 +498,10 @@
    * again, by its notices: after its backoff, or once this node has a permit. Empty if an upstream
    * accepts work now, or if none is left.
    */
-  OptionalLong acceptsWorkAt(long at, ServiceName service, Set<UpstreamLife> excluded) {
+  OptionalLong acceptsWorkAt(long at, ServiceName service, Set<UpstreamIncarnation> excluded) {
     List<UpstreamState> left =
         upstreamsOf(service).stream()
-            .filter(s -> s.upstream().stage().runs() && !s.isLeaving() && !s.isMissing())
+            .filter(s -> s.upstream().stage().runsCalls() && !s.isLeaving() && !s.isMissing())
             .filter(s -> !excluded.contains(s.incarnation()))
             .toList();
     return left.stream().noneMatch(s -> s.acceptsWork(at))
@@ -532,9 +532,9 @@
   Optional<RelayUpstream> firstRanked(
       long at, ServiceName service, PromptKey prompt, UpstreamState own) {
     return upstreamsOf(service).stream()
-        .filter(s -> s.upstream().stage().runs())
+        .filter(s -> s.upstream().stage().runsCalls())
         .filter(s -> isHealthy(s, at))
-        .min(Comparator.comparingDouble(s -> prompt.rank(s.upstream().id())))
+        .min(Comparator.comparingDouble(s -> prompt.rank(s.upstream().name())))
         .filter(s -> s != own)
         .map(UpstreamState::upstream);
   }
@@ -573,7 +573,7 @@
     if (best == null) {
       return Optional.empty();
     }
-    String runnerUp = second == null ? "" : second.upstream().id().value();
+    String runnerUp = second == null ? "" : second.upstream().name().value();
     return Optional.of(
         new Choice(best, cost, runnerUp, second == null ? 0 : secondCost, candidates));
   }
@@ -590,7 +590,7 @@
   }
 
   private double cost(UpstreamState s, long at, DataCentreName near, CallDemand demand) {
-    double far = s.upstream().place().equals(near) ? 1 : REMOTE_FACTOR;
+    double far = s.upstream().dataCentre().equals(near) ? 1 : REMOTE_FACTOR;
     double jitter =
         1 + (demand.memoryTokens() > 0 ? COST_SPREAD : costSpread) * random.nextDouble();
     return unitNanos(s, at)
--- a/platform.test/src/test/java/org/larkkeel/platform/EntryCost.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/EntryCost.java
@@ -16,7 +16,7 @@
 import org.larkkeel.http.upstream.UpstreamAddress;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.Incarnation;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.relay.RelayUpstream;
 import org.larkkeel.relay.ServiceName;
@@ -91,7 +91,7 @@
     UpstreamAddress.parse(address);
     return Optional.of(
         new RelayUpstream(
-            new UpstreamLife(
+            new UpstreamIncarnation(
                 new UpstreamName(object.key().name()),
                 new Incarnation(spec.path(PlatformNames.BORN).asLong())),
             new ServiceName(spec.path(PlatformNames.SERVICE).asText()),
--- a/platform.test/src/test/java/org/larkkeel/platform/PlatformDialectTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/PlatformDialectTest.java
@@ -21,7 +21,7 @@
 import org.larkkeel.http.relay.AnswerVerdict;
 import org.larkkeel.http.relay.SendFacts;
 import org.larkkeel.lib.DataCentreName;
-import org.larkkeel.lib.UpstreamLife;
+import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.lib.WorkspaceName;
 import org.larkkeel.relay.CallerKey;
@@ -144,7 +144,7 @@
   public static class RunnerHeaders {
     private static final RelayUpstream SOURCE =
         new RelayUpstream(
-            UpstreamLife.unknownStart(new UpstreamName("i-1")),
+            UpstreamIncarnation.unknown(new UpstreamName("i-1")),
             new ServiceName("model"),
             "10.0.0.1:80",
             new DataCentreName("dc-1"),
--- a/platform.test/src/test/java/org/larkkeel/platform/PlatformTenantsTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/PlatformTenantsTest.java
@@ -44,7 +44,7 @@
     @Test
     public void areFoundByEachOfTheirKeys() throws IOException {
       Workspaces w = read(TENANT);
-      assertTrue(w.areRequired());
+      assertTrue(w.areKeysRequired());
       Optional<RelayWorkspace> found = w.find(CallerKey.of("key-b"));
       assertEquals(found.map(RelayWorkspace::name), Optional.of(new WorkspaceName("huka270")));
       assertEquals(found, w.find(CallerKey.of("key-a")));
@@ -61,14 +61,14 @@
 
     @Test
     public void areNotRequiredWithoutTheField() throws IOException {
-      assertFalse(PlatformTenants.read(Json.parse(utf8("{}"))).areRequired());
+      assertFalse(PlatformTenants.read(Json.parse(utf8("{}"))).areKeysRequired());
     }
 
     @Test
     public void mayHaveNoKeyAndNoLimit() throws IOException {
       Workspaces w = read("{\"name\": \"a\", \"api_keys\": []}");
-      assertTrue(w.areRequired());
-      assertFalse(w.haveLimits());
+      assertTrue(w.areKeysRequired());
+      assertFalse(w.hasLimits());
     }
   }
 
--- a/platform.test/src/test/java/org/larkkeel/platform/PlatformUpstreamsTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/PlatformUpstreamsTest.java
@@ -68,14 +68,14 @@
     @Test
     public void areReadAsWritten() throws Exception {
       RelayUpstream u = readable("{\"born\":1790000000123,\"slots\":7,\"state\":\"draining\"}");
-      assertEquals(u.life().start(), new Incarnation(1_790_000_000_123L));
+      assertEquals(u.incarnation().incarnation(), new Incarnation(1_790_000_000_123L));
       assertEquals(u.slots(), 7);
       assertTrue(u.leaving());
     }
 
     @Test
     public void mayLackTheStart() throws Exception {
-      assertEquals(readable("{}").life().start(), new Incarnation(0));
+      assertEquals(readable("{}").incarnation().incarnation(), new Incarnation(0));
     }
 
     @Test
--- a/platform.test/src/test/java/org/larkkeel/platform/RateLimitTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/RateLimitTest.java
@@ -14,7 +14,7 @@
 import java.io.OutputStream;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.larkkeel.relay.RateNotice;
+import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RequestRate;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -123,7 +123,7 @@
 
   /** Tests of the header's syntax. */
   public static class Header extends RateLimitTest {
-    private static RateNotice read(String... values) {
+    private static RateLimitNotice read(String... values) {
       return new PlatformDialect()
           .notice(
               200,
@@ -133,13 +133,13 @@
 
     @Test
     public void acceptsDecimalNumbers() {
-      assertEquals(read("5.2"), new RateNotice.Limited(RequestRate.perSecond(5.2)));
-      assertEquals(read(" 40 "), new RateNotice.Limited(RequestRate.perSecond(40)));
+      assertEquals(read("5.2"), new RateLimitNotice.Limited(RequestRate.perSecond(5.2)));
+      assertEquals(read(" 40 "), new RateLimitNotice.Limited(RequestRate.perSecond(40)));
     }
 
     @Test
     public void meansUnlimitedIfMissing() {
-      assertEquals(read(), new RateNotice.Unlimited());
+      assertEquals(read(), new RateLimitNotice.Unlimited());
     }
 
     /** Invalid values. */
@@ -152,12 +152,12 @@
 
     @Test(dataProvider = "invalidValues")
     public void isIgnoredIfInvalid(String value) {
-      assertEquals(read(value), RateNotice.UNSAID);
+      assertEquals(read(value), RateLimitNotice.UNKNOWN);
     }
 
     @Test
     public void isIgnoredIfGivenTwice() {
-      assertEquals(read("5", "50"), RateNotice.UNSAID);
+      assertEquals(read("5", "50"), RateLimitNotice.UNKNOWN);
     }
   }
 }
