--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
@@ -17,7 +17,7 @@
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.quota.QuotaTolerance;
 import org.larkkeel.quota.TokenLimit;
-import org.larkkeel.relay.internal.Flow;
+import org.larkkeel.relay.internal.EventHandler;
 
 /**
  * The reducer of the relay: applies events in order and emits the resulting effects.
@@ -28,12 +28,12 @@
  * @since 0.1
  */
 public final class RelayRouter {
-  private final Flow flow;
+  private final EventHandler flow;
   private final QuotaTolerance tolerance;
 
   /** Creates a router without a configuration and without upstreams. */
   public RelayRouter(RelaySettings settings) {
-    this.flow = new Flow(settings);
+    this.flow = new EventHandler(settings);
     this.tolerance = settings.tolerance();
   }
 
@@ -44,7 +44,7 @@
    * @param effects receives the resulting effects, in order
    */
   public void apply(RelayEvent event, Consumer<RelayEffect> effects) {
-    flow.effects(effects);
+    flow.setEffectSink(effects);
     long at = event.at();
     switch (event) {
       case RelayEvent.Arrived e -> flow.arrived(at, e.call());
@@ -56,21 +56,21 @@
       case RelayEvent.Refused e -> flow.outcomes().refused(at, e.attempt(), e.cause());
       case RelayEvent.Lost e -> flow.outcomes().lost(at, e.attempt(), e.cause());
       case RelayEvent.Moved e -> flow.moved(at, e.attempt(), e.result());
-      case RelayEvent.UpstreamsChanged e -> flow.upstreams(at, e.changed(), e.removed());
+      case RelayEvent.UpstreamsChanged e -> flow.upstreamsChanged(at, e.changed(), e.removed());
       case RelayEvent.Ordered e -> flow.ordered(at, e.upstream(), e.maxNanos());
-      case RelayEvent.OrderRefused e -> flow.orderOver(at, e.upstream());
-      case RelayEvent.ConfigurationRead e -> flow.read(e.configuration());
-      case RelayEvent.LoadHeard e -> flow.heard(at, e.node(), e.loads(), e.losingPrompts());
-      case RelayEvent.RoomAsked e -> flow.roomAsked(at, e.node(), e.dataCentre(), e.requests());
+      case RelayEvent.OrderRefused e -> flow.orderEnded(at, e.upstream());
+      case RelayEvent.ConfigurationRead e -> flow.configurationRead(e.configuration());
+      case RelayEvent.LoadHeard e -> flow.loadReceived(at, e.node(), e.loads(), e.losingPrompts());
+      case RelayEvent.RoomAsked e -> flow.reservationsRequested(at, e.node(), e.dataCentre(), e.requests());
       case RelayEvent.RoomGranted e ->
-          flow.roomGranted(at, e.call(), e.reservedUpstream(), e.prefillUpstream());
+          flow.reservationGranted(at, e.call(), e.reservedUpstream(), e.prefillUpstream());
       case RelayEvent.Noticed e -> flow.noticed(at, e.upstream(), e.sentAt(), e.notice());
-      case RelayEvent.RatesHeard e -> flow.ratesHeard(at, e.reports());
+      case RelayEvent.RatesHeard e -> flow.rateLimitReportsReceived(at, e.reports());
       case RelayEvent.Probed e -> flow.probed(at, e.upstream(), e.result());
-      case RelayEvent.SuspectsHeard e -> flow.suspectsHeard(at, e.suspects());
+      case RelayEvent.SuspectsHeard e -> flow.suspectRequestsReceived(at, e.suspects());
       case RelayEvent.Released e -> flow.released(at, e.request());
-      case RelayEvent.KeepingChanged e -> flow.keeping(at, e.mode());
-      case RelayEvent.NodesCounted e -> flow.nodes(at, e.nodes());
+      case RelayEvent.KeepingChanged e -> flow.reservationModeChanged(at, e.mode());
+      case RelayEvent.NodesCounted e -> flow.nodesCounted(at, e.nodes());
       case RelayEvent.QuotaGranted e -> flow.quotaGranted(at, e.grant());
       case RelayEvent.QuotaCoordinatorChanged e -> flow.quotaCoordinatorChanged(at);
       case RelayEvent.Draining e -> flow.drain(at);
@@ -102,12 +102,12 @@
 
   /** Returns the upstreams whose prompts this node has found to be lost immediately. */
   public ImmutableSet<UpstreamIncarnation> losingHandles(long at) {
-    return flow.lapsing(at);
+    return flow.losingHandles(at);
   }
 
   /** Returns the reservation requests for the coordinator. */
   public ImmutableList<ReservationRequest> reservationRequests(long at) {
-    return flow.asks(at);
+    return flow.reservationRequests(at);
   }
 
   /**
@@ -115,12 +115,12 @@
    * notices.
    */
   public boolean acceptsRequests(long at, UpstreamIncarnation upstream) {
-    return flow.mayReach(at, upstream);
+    return flow.acceptsRequests(at, upstream);
   }
 
   /** Returns the rate limits of upstreams and this node's usage of each. */
   public ImmutableList<RateLimitUsage> rateLimitUsages(long at) {
-    return flow.rateUses(at);
+    return flow.rateLimitUsages(at);
   }
 
   /**
@@ -132,12 +132,12 @@
 
   /** Returns the report to other nodes about the rate limits of upstreams. */
   public ImmutableList<RateLimitReport> rateLimitReports(long at) {
-    return flow.rates(at);
+    return flow.rateLimitReports(at);
   }
 
   /** Returns the report to other nodes about suspect requests. */
   public ImmutableList<SuspectRequest> suspects(long at) {
-    return flow.suspects(at);
+    return flow.suspectRequests(at);
   }
 
   /** Returns the remaining quarantine of a request, in nanoseconds; 0 if it is not quarantined. */
@@ -152,7 +152,7 @@
    * @param heartbeat true if a request is due in any case while there are quotas
    */
   public Optional<QuotaRequest> quotaRequest(long at, boolean heartbeat) {
-    return flow.quotaAsk(at, heartbeat);
+    return flow.quotaRequest(at, heartbeat);
   }
 
   /** Returns the tolerance by which quotas may be exceeded. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Flow.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EventHandler.java
@@ -53,18 +53,18 @@
  * unless its caller left; memory is reserved at one upstream for each call in progress that needs
  * any. Not thread-safe.
  */
-public final class Flow {
+public final class EventHandler {
   private static final long MILLI = 1_000_000L;
 
   private final Core core;
 
   /** Creates a handler without a configuration. */
-  public Flow(RelaySettings settings) {
+  public EventHandler(RelaySettings settings) {
     core = new Core(settings);
   }
 
   /** Sets the sink that receives all effects. */
-  public void effects(Consumer<RelayEffect> sink) {
+  public void setEffectSink(Consumer<RelayEffect> sink) {
     core.effects(sink);
   }
 
@@ -102,7 +102,7 @@
    * Returns the upstreams at which this node recently observed that prefill handles are lost
    * immediately.
    */
-  public ImmutableSet<UpstreamIncarnation> lapsing(long at) {
+  public ImmutableSet<UpstreamIncarnation> losingHandles(long at) {
     return core.upstreams.losingHandles(at);
   }
 
@@ -112,12 +112,12 @@
   }
 
   /** Applies a configuration if it is newer than the one in force. */
-  public void read(RelayConfiguration configuration) {
+  public void configurationRead(RelayConfiguration configuration) {
     core.admission.apply(configuration);
   }
 
   /** Applies changes of the discovery list. */
-  public void upstreams(
+  public void upstreamsChanged(
       long at,
       ImmutableMap<UpstreamName, RelayUpstream> changed,
       ImmutableSet<UpstreamName> removed) {
@@ -133,7 +133,7 @@
   }
 
   /** Merges the load report of another node. */
-  public void heard(
+  public void loadReceived(
       long at,
       HostName node,
       ImmutableMap<UpstreamIncarnation, Long> loads,
@@ -150,23 +150,23 @@
   }
 
   /** Sets how memory is reserved from now on. */
-  public void keeping(long at, ReservationMode mode) {
+  public void reservationModeChanged(long at, ReservationMode mode) {
     core.reservations.setMode(at, mode);
   }
 
   /** Returns the reservation requests to send to the reservation coordinator. */
-  public ImmutableList<ReservationRequest> asks(long at) {
+  public ImmutableList<ReservationRequest> reservationRequests(long at) {
     return core.reservations.requests(at);
   }
 
   /** Handles the reservation requests of another node. */
-  public void roomAsked(
+  public void reservationsRequested(
       long at, HostName node, DataCentreName dataCentre, ImmutableList<ReservationRequest> requests) {
     core.reservations.requested(at, node, dataCentre, requests);
   }
 
   /** Handles a reservation that the coordinator granted to a call of this node. */
-  public void roomGranted(
+  public void reservationGranted(
       long at,
       RequestId call,
       UpstreamIncarnation reservedUpstream,
@@ -191,7 +191,7 @@
   }
 
   /** Handles the end or the refusal of an order. */
-  public void orderOver(long at, UpstreamIncarnation incarnation) {
+  public void orderEnded(long at, UpstreamIncarnation incarnation) {
     core.upstreams.find(incarnation).ifPresent(UpstreamState::orderEnded);
     core.reservations.placePending(at);
   }
@@ -208,7 +208,7 @@
   /**
    * Sets the number of nodes among which the slack of the retry budget and the quotas are divided.
    */
-  public void nodes(long at, int count) {
+  public void nodesCounted(long at, int count) {
     core.retryBudget.nodes(count);
     core.heldQuotas.nodes(at, count);
   }
@@ -246,7 +246,7 @@
   }
 
   /** Returns the rate limits of upstreams and this node's usage of each. */
-  public ImmutableList<RateLimitUsage> rateUses(long at) {
+  public ImmutableList<RateLimitUsage> rateLimitUsages(long at) {
     return core.upstreams.rateLimits().usages(at);
   }
 
@@ -259,7 +259,7 @@
   }
 
   /** Merges the rate limit reports of other nodes. */
-  public void ratesHeard(long at, ImmutableList<RateLimitReport> reports) {
+  public void rateLimitReportsReceived(long at, ImmutableList<RateLimitReport> reports) {
     if (core.upstreams.rateLimits().merge(at, reports)) {
       rateLimitEnded(at);
     }
@@ -271,7 +271,7 @@
   }
 
   /** Returns the rate limit reports to send to other nodes. */
-  public ImmutableList<RateLimitReport> rates(long at) {
+  public ImmutableList<RateLimitReport> rateLimitReports(long at) {
     return core.upstreams.rateLimits().reports(at);
   }
 
@@ -279,7 +279,7 @@
    * Returns whether an incarnation of an upstream is neither leaving nor in backoff; true for an
    * unknown one.
    */
-  public boolean mayReach(long at, UpstreamIncarnation incarnation) {
+  public boolean acceptsRequests(long at, UpstreamIncarnation incarnation) {
     return core.upstreams.find(incarnation).map(s -> s.acceptsRequests(at)).orElse(true);
   }
 
@@ -291,7 +291,7 @@
   }
 
   /** Returns the suspect requests to report to other nodes. */
-  public ImmutableList<SuspectRequest> suspects(long at) {
+  public ImmutableList<SuspectRequest> suspectRequests(long at) {
     return core.crashGuard.suspects(at);
   }
 
@@ -301,7 +301,7 @@
   }
 
   /** Merges the suspect requests that another node reports. */
-  public void suspectsHeard(long at, ImmutableList<SuspectRequest> suspects) {
+  public void suspectRequestsReceived(long at, ImmutableList<SuspectRequest> suspects) {
     core.crashGuard.merge(at, suspects);
   }
 
@@ -335,7 +335,7 @@
    * @param at now
    * @param heartbeat whether a request is due in any case while there are quotas
    */
-  public Optional<QuotaRequest> quotaAsk(long at, boolean heartbeat) {
+  public Optional<QuotaRequest> quotaRequest(long at, boolean heartbeat) {
     return core.quotas.request(at, heartbeat);
   }
 
@@ -381,7 +381,7 @@
         case Timers.Timer.ReservationTimeout r ->
             core.openCalls.find(r.call()).ifPresent(c -> core.reservations.waitEnded(at, c));
         case Timers.Timer.EvacuationStart e -> core.evacuation.moveRuns(at, e.incarnation());
-        case Timers.Timer.OrderTimeout o -> orderOver(at, o.incarnation());
+        case Timers.Timer.OrderTimeout o -> orderEnded(at, o.incarnation());
         case Timers.Timer.MoveTimeout m -> core.evacuation.stopTimedOut(at, m.attempt());
         case Timers.Timer.QuotaTimeout q ->
             core.openCalls.find(q.call()).ifPresent(c -> core.quotas.waitTimedOut(at, c));
