--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimNode.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimNode.java
@@ -46,7 +46,7 @@
  * <p>Invariant: of an attempt that is over nothing reaches the reducer any more. Not safe for use
  * by several threads.
  */
-final class SimNode implements LoadSharing.Surroundings, Job.Sender {
+final class SimNode implements LoadSharing.Environment, Job.Sender {
   private static final long MILLI = 1_000_000L;
   private static final double REPEAT_SHARE = 0.2;
   private static final double REPEAT_SLACK = 100;
@@ -109,7 +109,7 @@
 
   /** Meets the others and takes over the configuration and the upstreams. */
   void start(long phase) {
-    fleet.nodes().stream().filter(n -> n != this).forEach(n -> sharing.meet(n.address));
+    fleet.nodes().stream().filter(n -> n != this).forEach(n -> sharing.addPeer(n.address));
     submit(new RelayEvent.ConfigurationRead(now(), fleet.configuration()));
     submit(new RelayEvent.UpstreamsChanged(now(), fleet.upstreams(), ImmutableSet.of()));
     process.after(phase, this::periodic);
@@ -313,7 +313,7 @@
   }
 
   void receive(InetSocketAddress from, byte[] message) {
-    process.run(() -> sharing.heard(from, message));
+    process.run(() -> sharing.received(from, message));
   }
 
   @Override
@@ -337,7 +337,7 @@
       router.apply(next, this::effect);
     }
     applying = false;
-    sharing.tell(router.loads(), router.losingHandles(now()), router.reservationRequests(now()));
+    sharing.update(router.loads(), router.losingHandles(now()), router.reservationRequests(now()));
     arm();
   }
 
@@ -373,7 +373,7 @@
       case RelayEffect.Cut e -> caller(e.call(), Caller::cut);
       case RelayEffect.GrantReservation e -> sharing.grant(e);
       case RelayEffect.Probe e -> probe(e.upstream());
-      case RelayEffect.ReportSuspect e -> sharing.tellSuspect(e);
+      case RelayEffect.ReportSuspect e -> sharing.reportSuspect(e);
       case RelayEffect.Report e -> {
         if (e.fact() instanceof RelayFact.PromptWasted w) {
           wastedByRouter += w.tokens();
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimCluster.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimCluster.java
@@ -283,7 +283,7 @@
   }
 
   /** A simulated node. */
-  final class Node implements LoadSharing.Surroundings {
+  final class Node implements LoadSharing.Environment {
     final InetSocketAddress address;
     final RelayRouter router;
     final LoadSharing sharing;
@@ -323,7 +323,7 @@
     }
 
     void start() {
-      nodes.stream().filter(n -> n != this).forEach(n -> sharing.meet(n.address));
+      nodes.stream().filter(n -> n != this).forEach(n -> sharing.addPeer(n.address));
       submit(new RelayEvent.ConfigurationRead(nowNanos, configuration(1, Workspaces.OPEN)));
       readUpstreams();
       tick();
@@ -451,7 +451,7 @@
 
     private void receive(InetSocketAddress from, byte[] message) {
       if (up && !isSuspended() && !isPartitioned()) {
-        sharing.heard(from, message);
+        sharing.received(from, message);
       }
     }
 
@@ -480,7 +480,7 @@
         router.apply(pendingEvents.removeFirst(), this::handleEffect);
       }
       applying = false;
-      sharing.tell(router.loads(), router.losingHandles(nowNanos), router.reservationRequests(nowNanos));
+      sharing.update(router.loads(), router.losingHandles(nowNanos), router.reservationRequests(nowNanos));
     }
 
     @Override
@@ -498,7 +498,7 @@
         }
         case RelayEffect.GrantReservation g -> sharing.grant(g);
         case RelayEffect.Probe p -> probe(p.upstream());
-        case RelayEffect.ReportSuspect t -> sharing.tellSuspect(t);
+        case RelayEffect.ReportSuspect t -> sharing.reportSuspect(t);
         default -> {}
       }
     }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadExchange.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadExchange.java
@@ -56,7 +56,7 @@
   private volatile List<InetSocketAddress> livePeers = List.of();
 
   /** Connects {@link LoadSharing} to the socket and the event loop. */
-  private final class NodeEnvironment implements LoadSharing.Surroundings {
+  private final class NodeEnvironment implements LoadSharing.Environment {
     @Override
     public void send(InetSocketAddress to, byte[] message) {
       try {
@@ -113,7 +113,7 @@
 
   /** Adds a registered node as a peer. */
   void addPeer(InetSocketAddress peer) {
-    thread.execute(() -> sharing.meet(peer));
+    thread.execute(() -> sharing.addPeer(peer));
   }
 
   /** Announces that this node is stopping. */
@@ -139,7 +139,7 @@
       ImmutableMap<UpstreamIncarnation, Long> loads,
       ImmutableSet<UpstreamIncarnation> expiringUpstreams,
       ImmutableList<ReservationRequest> requests) {
-    sharing.tell(loads, expiringUpstreams, requests);
+    sharing.update(loads, expiringUpstreams, requests);
   }
 
   /** Adds a grant for a call of another node. */
@@ -159,7 +159,7 @@
 
   /** Reports news of a suspect request to the peers. */
   void reportSuspect(RelayEffect.ReportSuspect news) {
-    sharing.tellSuspect(news);
+    sharing.reportSuspect(news);
   }
 
   private void periodic() {
@@ -185,7 +185,7 @@
         receiveBuffer.get(bytes);
         InetSocketAddress source = from.getSourceAddress(InetSocketAddress.class);
         if (source != null) {
-          sharing.heard(source, bytes);
+          sharing.received(source, bytes);
         }
         receiveBuffer.clear();
       }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
@@ -81,7 +81,7 @@
   private final HostName self;
   private final DataCentreName dataCentre;
   private final int coordinatorFrom;
-  private final Surroundings environment;
+  private final Environment environment;
   private final PeerTable peers;
   private final ReservationClient client;
   private final ReservationServer server;
@@ -117,7 +117,7 @@
   private Consumer<FeedChanges> peerVersionsListener = c -> {};
 
   /** The callbacks that load sharing needs from its owner. */
-  public interface Surroundings {
+  public interface Environment {
     /** Sends a datagram to a peer; it may be lost. */
     void send(InetSocketAddress to, byte[] message);
 
@@ -140,7 +140,7 @@
    * @param environment the callbacks into the owner
    */
   public LoadSharing(
-      HostName self, DataCentreName dataCentre, int coordinatorFrom, Surroundings environment) {
+      HostName self, DataCentreName dataCentre, int coordinatorFrom, Environment environment) {
     this.self = self;
     this.dataCentre = dataCentre;
     this.coordinatorFrom = coordinatorFrom;
@@ -188,7 +188,7 @@
   }
 
   /** Reports news of a suspect request to the peers. */
-  public void tellSuspect(RelayEffect.ReportSuspect news) {
+  public void reportSuspect(RelayEffect.ReportSuspect news) {
     suspects.report(news.suspect());
   }
 
@@ -197,7 +197,7 @@
   }
 
   /** Adds a registered node as a peer and announces this node to it. */
-  public void meet(InetSocketAddress address) {
+  public void addPeer(InetSocketAddress address) {
     PeerTable.Peer peer = peerAt(address);
     if (!peer.hasReported()) {
       send(peer, message(PeerMessage.Kind.PRESENCE));
@@ -259,7 +259,7 @@
    * @param expiringUpstreams the upstreams at which prefill results expired prematurely
    * @param requests the pending reservations
    */
-  public void tell(
+  public void update(
       ImmutableMap<UpstreamIncarnation, Long> loads,
       ImmutableSet<UpstreamIncarnation> expiringUpstreams,
       ImmutableList<ReservationRequest> requests) {
@@ -510,13 +510,13 @@
   }
 
   /** Handles a datagram from a peer; datagrams that are no valid messages are ignored. */
-  public void heard(InetSocketAddress from, byte[] bytes) {
+  public void received(InetSocketAddress from, byte[] bytes) {
     PeerMessageCodec.fromBytes(bytes)
         .filter(m -> !m.sender().node().equals(self))
-        .ifPresent(m -> heard(peerAt(from), m));
+        .ifPresent(m -> received(peerAt(from), m));
   }
 
-  private void heard(PeerTable.Peer from, PeerMessage message) {
+  private void received(PeerTable.Peer from, PeerMessage message) {
     final boolean stateChanged = !from.hasReported() || from.state != message.sender().state();
     peers.received(from, message.sender(), environment.now());
     peerVersionsListener.accept(message.sender().changes());
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaSharing.java
@@ -50,7 +50,7 @@
 
   private final HostName self;
   private final PeerTable peers;
-  private final LoadSharing.Surroundings environment;
+  private final LoadSharing.Environment environment;
   private final Channel channel;
   private QuotaCoordinator localCoordinator = new QuotaCoordinator(QuotaTolerance.NONE);
   private final Map<HostName, Long> unansweredNanos = new HashMap<>();
@@ -71,7 +71,7 @@
   }
 
   QuotaSharing(
-      HostName self, PeerTable peers, LoadSharing.Surroundings environment, Channel channel) {
+      HostName self, PeerTable peers, LoadSharing.Environment environment, Channel channel) {
     this.self = self;
     this.peers = peers;
     this.environment = environment;
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/SuspectSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/SuspectSharing.java
@@ -58,7 +58,7 @@
 
   private final HostName self;
   private final PeerTable peers;
-  private final LoadSharing.Surroundings environment;
+  private final LoadSharing.Environment environment;
   private final BiConsumer<PeerTable.Peer, ImmutableList<SuspectRequest>> sender;
   private final Map<Fingerprint, Extent> reportedToAll = new HashMap<>();
   private Supplier<ImmutableList<SuspectRequest>> knownSuspects = ImmutableList::of;
@@ -85,7 +85,7 @@
   SuspectSharing(
       HostName self,
       PeerTable peers,
-      LoadSharing.Surroundings environment,
+      LoadSharing.Environment environment,
       BiConsumer<PeerTable.Peer, ImmutableList<SuspectRequest>> sender) {
     this.self = self;
     this.peers = peers;
