--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/PlacementBenchmark.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/jmh/PlacementBenchmark.java
@@ -45,7 +45,7 @@
   public void configure() {
     core = new Core(RouterSettings.defaults(), 1);
     Configuration configuration = BenchConfigurations.configuration(upstreams, 1);
-    core.fleet.apply(configuration);
+    core.upstreams.apply(configuration);
     core.routes.apply(configuration);
     Route route =
         core.routes
--- a/org.larkkeel/src/main/java/org/larkkeel/router/Router.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/Router.java
@@ -93,7 +93,7 @@
       case Event.LoadUnavailable unavailable -> loadUnavailable(unavailable.upstream());
       case Event.CacheChanged changed -> cacheChanged(changed);
       case Event.ConfigurationAccepted accepted -> configure(accepted.configuration());
-      case Event.PeersChanged peers -> core.fleet.setNodeCount(peers.live().size());
+      case Event.PeersChanged peers -> core.upstreams.setNodeCount(peers.live().size());
       case Event.SlotsGranted granted -> slotsGranted(granted);
       case Event.LimitGranted granted ->
           core.limiter.granted(granted.workspace(), granted.share(), granted.until());
@@ -172,7 +172,7 @@
   }
 
   private void loadReported(UpstreamName name, LoadReport report) {
-    UpstreamState upstream = core.fleet.get(name);
+    UpstreamState upstream = core.upstreams.get(name);
     if (upstream == null) {
       return;
     }
@@ -180,25 +180,25 @@
     boolean wasUnresponsive = upstream.isUnresponsive();
     if (upstream.applyReport(report)) {
       core.cancels.restarted(upstream);
-      core.fleet.ejections().restore(upstream);
+      core.upstreams.ejections().restore(upstream);
     } else if (wasUnresponsive) {
-      core.fleet.ejections().restore(upstream);
+      core.upstreams.ejections().restore(upstream);
     }
     if (!sameModels) {
-      core.fleet.modelsChanged(upstream);
+      core.upstreams.modelsChanged(upstream);
     }
-    core.fleet.capacityFreed(upstream);
+    core.upstreams.capacityFreed(upstream);
   }
 
   private void loadUnavailable(UpstreamName name) {
-    UpstreamState upstream = core.fleet.get(name);
+    UpstreamState upstream = core.upstreams.get(name);
     if (upstream != null) {
-      core.fleet.ejections().queryFailed(upstream);
+      core.upstreams.ejections().queryFailed(upstream);
     }
   }
 
   private void cacheChanged(Event.CacheChanged event) {
-    UpstreamState upstream = core.fleet.get(event.upstream());
+    UpstreamState upstream = core.upstreams.get(event.upstream());
     if (upstream != null) {
       upstream.cache.applyChange(
           event.incarnation(), event.sequence(), event.stored(), event.removed());
@@ -206,10 +206,10 @@
   }
 
   private void slotsGranted(Event.SlotsGranted event) {
-    UpstreamState upstream = core.fleet.get(event.upstream());
+    UpstreamState upstream = core.upstreams.get(event.upstream());
     if (upstream != null) {
       upstream.slots.grant(event.slots(), event.until());
-      core.fleet.capacityFreed(upstream);
+      core.upstreams.capacityFreed(upstream);
     }
   }
 
@@ -219,14 +219,14 @@
     }
     revision = configuration.revision();
     core.limiter.apply(configuration);
-    core.fleet.apply(configuration);
+    core.upstreams.apply(configuration);
     for (Route removed : core.routes.apply(configuration)) {
       core.arrivals.reroute(removed);
     }
     for (Route withoutUpstreams : core.routes.interactiveWithoutUpstreams()) {
       core.arrivals.reroute(withoutUpstreams);
     }
-    core.predictor.retainDeclaredModels(core.fleet);
+    core.predictor.retainDeclaredModels(core.upstreams);
     core.context.report(new Fact.InForce(revision));
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Core.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Core.java
@@ -23,7 +23,7 @@
   public final Context context;
 
   /** The known upstreams. */
-  public final UpstreamTable fleet;
+  public final UpstreamTable upstreams;
 
   /** The routes in use. */
   public final Routes routes;
@@ -83,13 +83,13 @@
    */
   public Core(RouterSettings settings, long seed) {
     context = new Context(settings, seed);
-    fleet = new UpstreamTable(context);
-    routes = new Routes(context, fleet);
+    upstreams = new UpstreamTable(context);
+    routes = new Routes(context, upstreams);
     cancels = new CancelTracker(context);
-    limiter = new Limiter(context, fleet);
+    limiter = new Limiter(context, upstreams);
     retryBudget = new RetryBudget(settings.retry());
     predictor = new Predictor(context);
-    placement = new Placement(context, fleet, predictor);
+    placement = new Placement(context, upstreams, predictor);
     holdings = new Holdings(this);
     endings = new Endings(this);
     queueing = new Queueing(this);
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/DecodeFlow.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/DecodeFlow.java
@@ -76,7 +76,7 @@
     request.stage = RequestStage.KV_HELD;
     request.route.held.put(request.id(), request);
     core.queueing.setTimer(request);
-    core.fleet.markReady(request.route);
+    core.upstreams.markReady(request.route);
   }
 
   /**
@@ -118,7 +118,7 @@
    * counted, as it does not show that the predictions of releases were wrong.
    */
   void recordLostKv() {
-    if (!core.fleet.ejections().hasRecentEjection()) {
+    if (!core.upstreams.ejections().hasRecentEjection()) {
       core.placement.releaseMargin().recordLost();
     }
   }
@@ -171,7 +171,7 @@
     if (request.firstTokenAt == 0) {
       request.firstTokenAt = attempt.firstTokenAt;
     }
-    core.fleet.ejections().recordSuccess(attempt.upstream);
+    core.upstreams.ejections().recordSuccess(attempt.upstream);
     reportUsed(request);
   }
 
@@ -193,7 +193,7 @@
     request.deliveredTokens = tokens;
     request.route.outputLengths.add(tokens);
     request.decode = null;
-    core.fleet.detach(attempt);
+    core.upstreams.detach(attempt);
     if (!request.claimed) {
       core.attempts.finish(attempt);
     }
@@ -208,7 +208,7 @@
     attempt.resumeFrom = request.deliveredTokens;
     request.decode = attempt;
     request.stage = RequestStage.TRANSFERRING;
-    core.fleet.attach(attempt);
+    core.upstreams.attach(attempt);
     attempt.batchAtStart = decode.slots.active() + decode.slots.heldByOthers();
     core.holdings.startTransfer(attempt, source, request.kvBytes);
     core.queueing.setTimer(request);
@@ -222,14 +222,14 @@
   private void recordPrefill(Attempt attempt, int cachedTokens, long now) {
     UpstreamState engine = attempt.upstream;
     RequestState request = attempt.request;
-    long startedAt = core.fleet.prefillEnded(attempt);
+    long startedAt = core.upstreams.prefillEnded(attempt);
     int computed = Math.max(1, request.contextTokens() - cachedTokens);
     if (now > startedAt) {
       engine.speeds.recordPrefill(computed, now - startedAt);
     }
     engine.cache.recordPrefill(request.prefixes(), attempt.knownCachedTokens, cachedTokens);
     attempt.prefillTokens = computed;
-    core.fleet.ejections().recordSuccess(engine);
+    core.upstreams.ejections().recordSuccess(engine);
   }
 
   private void recordDecode(Attempt attempt, int tokens) {
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Dispatcher.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Dispatcher.java
@@ -57,16 +57,16 @@
 
   /** Serves the ready routes until no further request can be placed. */
   public void run() {
-    if (core.fleet.readyRoutes().isEmpty()) {
+    if (core.upstreams.readyRoutes().isEmpty()) {
       return;
     }
     servedRoutes.clear();
-    for (Route route : core.fleet.readyRoutes()) {
+    for (Route route : core.upstreams.readyRoutes()) {
       if (!route.held.isEmpty() || route.queued() > 0) {
         servedRoutes.add(route);
       }
     }
-    core.fleet.readyRoutes().clear();
+    core.upstreams.readyRoutes().clear();
     serveHeld();
     serveLanes();
     scheduleSweep();
@@ -215,7 +215,7 @@
     attempt.resumeFrom = request.deliveredTokens;
     request.prefill = attempt;
     request.stage = RequestStage.PREFILLING;
-    core.fleet.attach(attempt);
+    core.upstreams.attach(attempt);
     core.holdings.reserve(request, engine, choice.decode());
     core.queueing.setTimer(request);
     long timeoutNanos =
@@ -246,7 +246,7 @@
 
   /** Rechecks every upstream for capacity that becomes free by the passage of time only. */
   private void sweep() {
-    core.fleet.all().forEach(core.fleet::capacityFreed);
-    core.routes.all().forEach(core.fleet::markReady);
+    core.upstreams.all().forEach(core.upstreams::capacityFreed);
+    core.routes.all().forEach(core.upstreams::markReady);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Failures.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Failures.java
@@ -48,7 +48,7 @@
     request.deliveredTokens = Math.max(request.deliveredTokens, tokens);
     request.reachedUpstream |= exposure != Exposure.NOT_SENT;
     request.mayHaveRun |= exposure == Exposure.MAY_HAVE_RUN;
-    core.fleet.ejections().recordFailure(attempt.upstream, cause);
+    core.upstreams.ejections().recordFailure(attempt.upstream, cause);
     Remains remains = exposure == Exposure.MAY_HAVE_RUN ? Remains.MAYBE : Remains.NOTHING;
     switch (attempt.kind) {
       case PREFILL -> prefillFailed(attempt, cause, exposure, remains);
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Holdings.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Holdings.java
@@ -39,7 +39,7 @@
     decode.slots.reserve();
     decode.link.reserve(request.reservedLinkBytes);
     prefill.link.reserve(request.reservedLinkBytes);
-    core.fleet.capacityTaken(decode);
+    core.upstreams.capacityTaken(decode);
   }
 
   void releaseReservation(RequestState request) {
@@ -51,7 +51,7 @@
     decode.slots.unreserve();
     decode.link.unreserve(request.reservedLinkBytes);
     request.prefill.upstream.link.unreserve(request.reservedLinkBytes);
-    core.fleet.capacityFreed(decode);
+    core.upstreams.capacityFreed(decode);
   }
 
   void startTransfer(Attempt decode, UpstreamState source, long bytes) {
@@ -76,7 +76,7 @@
     Attempt prefill = request.prefill;
     request.prefill = null;
     request.transferredPrefill = prefill;
-    core.fleet.detach(prefill);
+    core.upstreams.detach(prefill);
     core.attempts.retire(prefill);
   }
 
@@ -146,7 +146,7 @@
   }
 
   private void end(Attempt attempt, Remains remains) {
-    core.fleet.detach(attempt);
+    core.upstreams.detach(attempt);
     core.attempts.retire(attempt);
     if (remains == Remains.MAYBE) {
       core.cancels.cancel(attempt.id, attempt.request.id(), attempt.upstream);
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/PlainFlow.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/PlainFlow.java
@@ -33,7 +33,7 @@
     Attempt attempt = core.attempts.create(request, service, AttemptKind.PLAIN, now);
     request.plain = attempt;
     request.stage = RequestStage.RUNNING;
-    core.fleet.attach(attempt);
+    core.upstreams.attach(attempt);
     core.queueing.setTimer(request);
     core.context.report(new Fact.Placed(request.id(), attempt.id, service.name));
     core.context.emit(
@@ -52,10 +52,10 @@
       return;
     }
     attempt.upstream.speeds.recordService(core.context.now() - attempt.startedAt);
-    core.fleet.ejections().recordSuccess(attempt.upstream);
+    core.upstreams.ejections().recordSuccess(attempt.upstream);
     request.plain = null;
     request.mayHaveRun = true;
-    core.fleet.detach(attempt);
+    core.upstreams.detach(attempt);
     if (!request.claimed) {
       core.attempts.finish(attempt);
     }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/Queueing.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/Queueing.java
@@ -37,7 +37,7 @@
     request.stage = RequestStage.QUEUED;
     request.delayedUntil = 0;
     request.route.lane(laneKindOf(request)).add(request);
-    core.fleet.markReady(request.route);
+    core.upstreams.markReady(request.route);
     setTimer(request);
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/SlotDemandReporter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/SlotDemandReporter.java
@@ -39,14 +39,14 @@
   }
 
   private void reportAll() {
-    for (UpstreamState state : core.fleet.all()) {
+    for (UpstreamState state : core.upstreams.all()) {
       int needed = neededSlots(state);
       Integer previous = reported.get(state.name);
       if (needed > 0 || previous != null) {
         report(state, needed);
       }
     }
-    reported.keySet().removeIf(name -> core.fleet.get(name) == null);
+    reported.keySet().removeIf(name -> core.upstreams.get(name) == null);
     if (!core.requests.isEmpty()) {
       core.context.timers().set(timer, core.context.now() + core.context.settings().wantNanos());
     }
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/StatusView.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/StatusView.java
@@ -54,7 +54,7 @@
         core.attempts.size(),
         core.cancels.size(),
         core.context.timers().size(),
-        core.fleet.all().stream().map(this::describe).collect(ImmutableList.toImmutableList()));
+        core.upstreams.all().stream().map(this::describe).collect(ImmutableList.toImmutableList()));
   }
 
   /**
@@ -92,7 +92,7 @@
       ImmutableList<Pool> pools,
       Optional<Route> route,
       ImmutableList.Builder<Candidate> builder) {
-    for (UpstreamState state : core.fleet.all()) {
+    for (UpstreamState state : core.upstreams.all()) {
       boolean selected =
           pools.stream()
               .filter(p -> p.role() == role)
@@ -103,7 +103,7 @@
                 state.name,
                 role,
                 verdict(call, role, state, route),
-                Math.max(0, core.fleet.unreservedSlots(state)),
+                Math.max(0, core.upstreams.unreservedSlots(state)),
                 state.attempts.size(),
                 predicted(call, role, state, route)));
       }
@@ -150,8 +150,8 @@
         state.name,
         state.isConfigured(),
         state.health.isEjectedOrProbing(),
-        state.slots.usable(core.context.now(), shared, core.fleet.nodeCount()),
-        Math.max(0, core.fleet.unreservedSlots(state)),
+        state.slots.usable(core.context.now(), shared, core.upstreams.nodeCount()),
+        Math.max(0, core.upstreams.unreservedSlots(state)),
         state.attempts.size(),
         state.speeds.prefillTokensPerSecond(),
         state.speeds.decodeNanosPerToken());
