--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/limits/LimitTest.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/limits/LimitTest.java
@@ -66,22 +66,22 @@
     private void flush(int node, long tokens) {
       LimitHolder holder = holders.get(node);
       count(holder.tick(now), tokens);
-      Optional<LimitAsk> ask = holder.ask(now, FLUSH);
+      Optional<LimitRequest> ask = holder.nextMessage(now, FLUSH);
       if (ask.isEmpty()) {
         return;
       }
       messages++;
       NodeId id = new NodeId(new HostName("host-" + node), new Incarnation(1));
       if (random.nextDouble() < lossProbability) {
-        holder.askLost();
+        holder.messageLost();
         return;
       }
-      LimitGrant grant = owner.ask(now, id, ask.get());
+      LimitGrant grant = owner.grant(now, id, ask.get());
       if (random.nextDouble() < lossProbability) {
-        holder.askLost();
+        holder.messageLost();
         return;
       }
-      count(holder.granted(now, grant), tokens);
+      count(holder.onGrant(now, grant), tokens);
     }
 
     private void count(List<LimitHolder.Outcome> outcomes, long tokens) {
@@ -150,10 +150,10 @@
     public void retransmittedRequestGetsSameGrant() {
       LimitOwner owner = new LimitOwner(new RateLimit(10, 10), 0);
       NodeId holder = new NodeId(new HostName("host-1"), new Incarnation(1));
-      LimitAsk ask = new LimitAsk("w", 1, 4, 4, 0, 0, 0);
-      LimitGrant first = owner.ask(0, holder, ask);
-      assertEquals(owner.ask(0, holder, ask), first);
-      LimitGrant next = owner.ask(0, holder, new LimitAsk("w", 2, 100, 0, 0, 0, 0));
+      LimitRequest ask = new LimitRequest("w", 1, 4, 4, 0, 0, 0);
+      LimitGrant first = owner.grant(0, holder, ask);
+      assertEquals(owner.grant(0, holder, ask), first);
+      LimitGrant next = owner.grant(0, holder, new LimitRequest("w", 2, 100, 0, 0, 0, 0));
       assertEquals(next.requests(), 3, "the retransmitted message took units twice");
     }
 
@@ -161,7 +161,7 @@
     public void manyRequestsAtOnceGetNoMoreThanTheLimit() {
       LimitOwner owner = new LimitOwner(new RateLimit(2, 1_000), 0);
       NodeId holder = new NodeId(new HostName("host-1"), new Incarnation(1));
-      LimitGrant grant = owner.ask(0, holder, new LimitAsk("w", 1, 10, 2_000, 0, 0, 200));
+      LimitGrant grant = owner.grant(0, holder, new LimitRequest("w", 1, 10, 2_000, 0, 0, 200));
       assertTrue(grant.requests() <= 2, "requests: " + grant.requests());
       assertTrue(grant.tokens() <= 1_000, "tokens: " + grant.tokens());
     }
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotSim.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotSim.java
@@ -123,14 +123,14 @@
     sendGrants(owner, owners.get(owner).on(new SlotEvent.Reported(now, node.id, report)));
   }
 
-  private void sendGrants(int owner, List<SlotOwner.Answer> answers) {
-    for (SlotOwner.Answer answer : answers) {
+  private void sendGrants(int owner, List<SlotOwner.AddressedGrant> answers) {
+    for (SlotOwner.AddressedGrant answer : answers) {
       for (Node node : nodes) {
         if (node.id.equals(answer.holder()) && !node.dead) {
           send(
               () -> {
                 if (node.owner == owner) {
-                  node.apply(node.holder.granted(now, answer.grant()));
+                  node.apply(node.holder.onGrant(now, answer.grant()));
                 }
               });
         }
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotTest.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotTest.java
@@ -31,7 +31,7 @@
     /** Settings for a few and for many nodes, with the number of nodes. */
     @DataProvider
     public Object[][] settings() {
-      return new Object[][] {{SlotSettings.perRequest(), 8}, {SlotSettings.standing(), 64}};
+      return new Object[][] {{SlotSettings.perRequest(), 8}, {SlotSettings.followingDemand(), 64}};
     }
 
     /** The sum of slots that holders have must never exceed the owner's count or the capacity. */
@@ -60,7 +60,7 @@
 
     @Test
     public void leasesOfDeadNodeAreFreed() {
-      SlotSim sim = new SlotSim(SlotSettings.standing(), 2, 1, CAPACITY, 3);
+      SlotSim sim = new SlotSim(SlotSettings.followingDemand(), 2, 1, CAPACITY, 3);
       for (int i = 0; i < CAPACITY; i++) {
         sim.nodes.get(0).acquire(i, 0, 5_000 * MILLI);
       }
@@ -86,7 +86,7 @@
     @Test
     public void newOwnerCountsRunningRequestsBeforeItKnowsTheirLeases() {
       SlotOwner owner = new SlotOwner("u1", SlotSettings.perRequest(), 0);
-      long later = SlotSettings.perRequest().takeoverDelay();
+      long later = SlotSettings.perRequest().takeoverDelayNanos();
       owner.on(new SlotEvent.Capacity(later, CAPACITY, 18));
       assertEquals(owner.free(), 2);
       NodeId holder = new NodeId(new HostName("host-1"), new Incarnation(1));
@@ -102,7 +102,7 @@
     @Test
     public void priorityGoesFirstThenArrival() {
       SlotOwner owner = new SlotOwner("u1", SlotSettings.perRequest(), 0);
-      long now = SlotSettings.perRequest().takeoverDelay();
+      long now = SlotSettings.perRequest().takeoverDelayNanos();
       List<String> granted = new ArrayList<>();
       int[] priorities = {0, 0, 5, 0, 5};
       for (int i = 0; i < priorities.length; i++) {
@@ -111,7 +111,7 @@
         owner.on(new SlotEvent.Reported(now, holder, new SlotReport("u1", 1, 1, 0, 0, waits)));
       }
       for (int slots = 1; slots <= priorities.length; slots++) {
-        for (SlotOwner.Answer answer : owner.on(new SlotEvent.Capacity(now, slots, 0))) {
+        for (SlotOwner.AddressedGrant answer : owner.on(new SlotEvent.Capacity(now, slots, 0))) {
           if (answer.grant().added() > 0) {
             granted.add(answer.holder().host().value());
           }
@@ -135,7 +135,7 @@
 
     @Test
     public void idleSlotsAreRecalledForWaitingNodes() {
-      SlotSim sim = new SlotSim(SlotSettings.standing(), 2, 1, CAPACITY, 5);
+      SlotSim sim = new SlotSim(SlotSettings.followingDemand(), 2, 1, CAPACITY, 5);
       for (int i = 0; i < CAPACITY; i++) {
         sim.nodes.get(0).acquire(i, 0, 5_000 * MILLI);
       }
@@ -157,7 +157,7 @@
     }
 
     private static long messagesFor(int perStep) {
-      SlotSim sim = new SlotSim(SlotSettings.standing(), 4, 1, 10_000, 6);
+      SlotSim sim = new SlotSim(SlotSettings.followingDemand(), 4, 1, 10_000, 6);
       AtomicLong requests = new AtomicLong();
       sim.run(
           5_000 * MILLI,
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotTrial.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/slots/SlotTrial.java
@@ -38,7 +38,7 @@
     for (int disagreement : DISAGREEMENT_MILLIS) {
       for (boolean reports : new boolean[] {false, true}) {
         measure("per-request", SlotSettings.perRequest(), 8, 5, disagreement, reports);
-        measure("standing", SlotSettings.standing(), 330, 200, disagreement, reports);
+        measure("standing", SlotSettings.followingDemand(), 330, 200, disagreement, reports);
       }
     }
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LeaseSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LeaseSettings.java
@@ -40,7 +40,7 @@
    */
   public static LeaseSettings followingDemand() {
     return new LeaseSettings(
-        SlotSettings.standing(),
+        SlotSettings.followingDemand(),
         TimeUnit.MILLISECONDS.toNanos(200),
         TimeUnit.MILLISECONDS.toNanos(1_000));
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LimitManager.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LimitManager.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Predicate;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.peer.limits.LimitAsk;
+import org.larkkeel.peer.limits.LimitRequest;
 import org.larkkeel.peer.limits.LimitGrant;
 import org.larkkeel.peer.limits.LimitHolder;
 import org.larkkeel.peer.limits.LimitOwner;
@@ -81,7 +81,7 @@
   }
 
   void removeNode(NodeId node) {
-    ownedLimits.values().forEach(owner -> owner.forget(node));
+    ownedLimits.values().forEach(owner -> owner.removeHolder(node));
   }
 
   /** Returns whether this node holds or waits for units of a limit, so that a flush is needed. */
@@ -103,13 +103,13 @@
     if (!outbox.isReady(owner, now)) {
       return;
     }
-    Optional<LimitAsk> request = holder.ask(now, flushPeriodNanos);
+    Optional<LimitRequest> request = holder.nextMessage(now, flushPeriodNanos);
     if (request.isEmpty()) {
       if (holder.isIdle()) {
         holders.remove(workspace);
       }
     } else if (owner.equals(self.host())) {
-      complete(holder.granted(now, grant(now, self, request.get())));
+      complete(holder.onGrant(now, grant(now, self, request.get())));
     } else {
       outbox.pending(owner).limitRequests().add(request.get());
     }
@@ -119,8 +119,8 @@
    * Answers the requests of a peer: adds the grants for the limits that this node owns to the
    * reply.
    */
-  void answerRequests(long now, NodeId sender, List<LimitAsk> requests, List<LimitGrant> reply) {
-    for (LimitAsk request : requests) {
+  void answerRequests(long now, NodeId sender, List<LimitRequest> requests, List<LimitGrant> reply) {
+    for (LimitRequest request : requests) {
       if (owners.isOwnedBySelf(request.workspace())) {
         reply.add(grant(now, sender, request));
       }
@@ -128,20 +128,20 @@
   }
 
   /** Applies the grants of a reply; requests without a grant count as lost. */
-  void onRequestsAnswered(long now, List<LimitAsk> sent, List<LimitGrant> grants) {
+  void onRequestsAnswered(long now, List<LimitRequest> sent, List<LimitGrant> grants) {
     Set<String> answered = new HashSet<>();
     for (LimitGrant grant : grants) {
       answered.add(grant.workspace());
       LimitHolder holder = holders.get(grant.workspace());
       if (holder != null) {
-        complete(holder.granted(now, grant));
+        complete(holder.onGrant(now, grant));
       }
     }
     // A peer that does not consider itself the owner grants nothing.
-    for (LimitAsk request : sent) {
+    for (LimitRequest request : sent) {
       LimitHolder holder = holders.get(request.workspace());
       if (holder != null && !answered.contains(request.workspace())) {
-        holder.askLost();
+        holder.messageLost();
       }
     }
   }
@@ -150,16 +150,16 @@
    * Answers requests whose owner was not reached. An unreachable owner must not stop a workspace,
    * so each node grants from its share of the limit until another node owns the limit.
    */
-  void onRequestsLost(long now, List<LimitAsk> sent) {
-    for (LimitAsk request : sent) {
+  void onRequestsLost(long now, List<LimitRequest> sent) {
+    for (LimitRequest request : sent) {
       LimitHolder holder = holders.get(request.workspace());
       if (holder != null) {
-        complete(holder.granted(now, grantFromLocalShare(now, request)));
+        complete(holder.onGrant(now, grantFromLocalShare(now, request)));
       }
     }
   }
 
-  private LimitGrant grantFromLocalShare(long now, LimitAsk request) {
+  private LimitGrant grantFromLocalShare(long now, LimitRequest request) {
     RateLimit limit = rates.get(request.workspace());
     if (limit == null) {
       return grantAll(request);
@@ -171,20 +171,20 @@
             Math.max(1, limit.tokensPerSecond() / nodes));
     return localShares
         .computeIfAbsent(request.workspace(), key -> new LimitOwner(share, now))
-        .ask(now, self, request);
+        .grant(now, self, request);
   }
 
-  private LimitGrant grant(long now, NodeId holder, LimitAsk request) {
+  private LimitGrant grant(long now, NodeId holder, LimitRequest request) {
     RateLimit limit = rates.get(request.workspace());
     if (limit == null) {
       return grantAll(request);
     }
     return ownedLimits
         .computeIfAbsent(request.workspace(), key -> new LimitOwner(limit, now))
-        .ask(now, holder, request);
+        .grant(now, holder, request);
   }
 
-  private static LimitGrant grantAll(LimitAsk request) {
+  private static LimitGrant grantAll(LimitRequest request) {
     return new LimitGrant(
         request.workspace(),
         request.sequence(),
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/SlotManager.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/SlotManager.java
@@ -152,7 +152,7 @@
       if (!owners.isOwnedBySelf(report.key())) {
         continue;
       }
-      for (SlotOwner.Answer addressed : onReport(now, sender, report)) {
+      for (SlotOwner.AddressedGrant addressed : onReport(now, sender, report)) {
         if (addressed.holder().equals(sender)) {
           reply.add(addressed.grant());
         } else {
@@ -165,7 +165,7 @@
   void onGrant(long now, NodeId from, SlotGrant grant) {
     SlotHolder holder = holders.get(grant.key());
     if (holder != null && owners.isOwner(from.host(), grant.key())) {
-      complete(grant.key(), holder.granted(now, grant));
+      complete(grant.key(), holder.onGrant(now, grant));
     }
   }
 
@@ -191,7 +191,7 @@
     }
   }
 
-  private List<SlotOwner.Answer> onReport(long now, NodeId holder, SlotReport report) {
+  private List<SlotOwner.AddressedGrant> onReport(long now, NodeId holder, SlotReport report) {
     return ownedSlotsFor(report.key(), now).on(new SlotEvent.Reported(now, holder, report));
   }
 
@@ -209,8 +209,8 @@
     return owner;
   }
 
-  private void deliver(long now, String key, List<SlotOwner.Answer> addressedGrants) {
-    for (SlotOwner.Answer addressed : addressedGrants) {
+  private void deliver(long now, String key, List<SlotOwner.AddressedGrant> addressedGrants) {
+    for (SlotOwner.AddressedGrant addressed : addressedGrants) {
       if (addressed.holder().equals(self)) {
         onGrant(now, self, addressed.grant());
       } else {
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitHolder.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitHolder.java
@@ -32,7 +32,7 @@
   private long requests;
   private long tokens;
   private long sequence;
-  private Optional<LimitAsk> inFlight = Optional.empty();
+  private Optional<LimitRequest> inFlight = Optional.empty();
   private boolean resend;
   private long nextMessageAt = Long.MIN_VALUE;
   private long windowStart;
@@ -88,7 +88,7 @@
    * @param grant the grant; ignored unless it answers the message in flight
    * @return the decisions made now
    */
-  public List<Outcome> granted(long now, LimitGrant grant) {
+  public List<Outcome> onGrant(long now, LimitGrant grant) {
     if (inFlight.isEmpty() || inFlight.get().sequence() != grant.sequence()) {
       return List.of();
     }
@@ -136,7 +136,7 @@
    *     advance
    * @return the message, empty if there is nothing to request or return
    */
-  public Optional<LimitAsk> ask(long now, long flushPeriod) {
+  public Optional<LimitRequest> nextMessage(long now, long flushPeriod) {
     if (inFlight.isPresent()) {
       boolean retransmit = resend;
       resend = false;
@@ -157,7 +157,7 @@
     return createMessage(Math.max(0, wantedRequests), Math.max(0, wantedTokens));
   }
 
-  private Optional<LimitAsk> createMessage(long wantedRequests, long wantedTokens) {
+  private Optional<LimitRequest> createMessage(long wantedRequests, long wantedTokens) {
     boolean returnAll = wantedRequests == 0 && wantedTokens == 0;
     long returnedRequests = returnAll ? requests : 0;
     long returnedTokens = returnAll ? tokens : 0;
@@ -167,7 +167,7 @@
     sequence++;
     inFlight =
         Optional.of(
-            new LimitAsk(
+            new LimitRequest(
                 workspace,
                 sequence,
                 wantedRequests,
@@ -179,7 +179,7 @@
   }
 
   /** Sends the message in flight again at the next flush, since it or its answer may be lost. */
-  public void askLost() {
+  public void messageLost() {
     resend = true;
   }
 
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitOwner.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitOwner.java
@@ -27,7 +27,7 @@
   private final FairBucket tokens;
   private final Map<NodeId, LimitGrant> lastGrants = new HashMap<>();
   private final Map<NodeId, Long> contenders = new HashMap<>();
-  private long usedAt;
+  private long lastGrantAt;
 
   /**
    * Creates an owner with full buckets.
@@ -38,7 +38,7 @@
   public LimitOwner(RateLimit limit, long now) {
     this.requests = new FairBucket(limit.requestsPerSecond(), now);
     this.tokens = new FairBucket(limit.tokensPerSecond(), now);
-    this.usedAt = now;
+    this.lastGrantAt = now;
   }
 
   /**
@@ -58,32 +58,32 @@
    *
    * @param now the current time in nanoseconds
    * @param holder the node that requests units
-   * @param ask its message
+   * @param request its message
    * @return the grant; the previous one if the message is not newer than the last one answered
    */
-  public LimitGrant ask(long now, NodeId holder, LimitAsk ask) {
+  public LimitGrant grant(long now, NodeId holder, LimitRequest request) {
     LimitGrant last = lastGrants.get(holder);
-    if (last != null && ask.sequence() <= last.sequence()) {
+    if (last != null && request.sequence() <= last.sequence()) {
       return last;
     }
-    usedAt = now;
-    requests.release(ask.requestsReturned(), now);
-    tokens.release(ask.tokensReturned(), now);
-    long grantedRequests = requests.take(ask.requestsWanted(), 1, now);
-    long grantedTokens = tokens.take(ask.tokensWanted(), ask.tokensOfNext(), now);
+    lastGrantAt = now;
+    requests.release(request.requestsReturned(), now);
+    tokens.release(request.tokensReturned(), now);
+    long grantedRequests = requests.take(request.requestsWanted(), 1, now);
+    long grantedTokens = tokens.take(request.tokensWanted(), request.tokensOfNext(), now);
     long retryAfter = 0;
-    boolean unmet = grantedRequests < ask.requestsWanted() || grantedTokens < ask.tokensWanted();
+    boolean unmet = grantedRequests < request.requestsWanted() || grantedTokens < request.tokensWanted();
     updateContenders(now, holder, unmet);
-    if (grantedRequests < ask.requestsWanted()) {
+    if (grantedRequests < request.requestsWanted()) {
       // Every contender waits until there are units for all of them, so that the message rate does
       // not grow with their number.
       retryAfter = requests.timeUntil(contenders.size(), now);
     }
-    if (grantedTokens < ask.tokensWanted()) {
-      retryAfter = Math.max(retryAfter, tokens.timeUntil(ask.tokensWanted() - grantedTokens, now));
+    if (grantedTokens < request.tokensWanted()) {
+      retryAfter = Math.max(retryAfter, tokens.timeUntil(request.tokensWanted() - grantedTokens, now));
     }
     LimitGrant grant =
-        new LimitGrant(ask.workspace(), ask.sequence(), grantedRequests, grantedTokens, retryAfter);
+        new LimitGrant(request.workspace(), request.sequence(), grantedRequests, grantedTokens, retryAfter);
     lastGrants.put(holder, grant);
     return grant;
   }
@@ -102,7 +102,7 @@
    *
    * @param holder the node
    */
-  public void forget(NodeId holder) {
+  public void removeHolder(NodeId holder) {
     lastGrants.remove(holder);
     contenders.remove(holder);
   }
@@ -112,7 +112,7 @@
    *
    * @return the time in nanoseconds
    */
-  public long usedAt() {
-    return usedAt;
+  public long lastGrantAt() {
+    return lastGrantAt;
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitAsk.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitRequest.java
@@ -20,7 +20,7 @@
  * @param tokensOfNext the prompt tokens of the first waiting request; 0 if none waits
  * @since 0.1
  */
-public record LimitAsk(
+public record LimitRequest(
     String workspace,
     long sequence,
     long requestsWanted,
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotHolder.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotHolder.java
@@ -56,7 +56,7 @@
   public SlotHolder(String key, SlotSettings settings, long now) {
     this.key = key;
     this.settings = settings;
-    this.windowEnd = now + settings.keep();
+    this.windowEnd = now + settings.idleNanos();
   }
 
   private record Waiting(long id, int priority, long deadline) {}
@@ -125,12 +125,12 @@
    * @param grant the grant
    * @return the outcomes
    */
-  public List<Outcome> granted(long now, SlotGrant grant) {
+  public List<Outcome> onGrant(long now, SlotGrant grant) {
     if (grant.epoch() != epoch) {
       return List.of();
     }
     if (grant.sequence() == sequence) {
-      validUntil = sentAt + settings.hold();
+      validUntil = sentAt + settings.leaseNanos();
       expirable = true;
     }
     if (grant.base() == lastGrant && grant.number() > lastGrant) {
@@ -175,7 +175,7 @@
     if (windowEnd <= now) {
       returnIdle(Math.min(lowestIdle, idle()));
       lowestIdle = idle();
-      windowEnd = now + settings.keep();
+      windowEnd = now + settings.idleNanos();
     }
     if (expirable && validUntil <= now) {
       returnIdle(idle());
@@ -232,7 +232,7 @@
       Waiting next = waiting.removeFirst();
       inUse.add(next.id());
       outcomes.add(new Outcome(next.id(), Result.ACQUIRED));
-      changed = changed || settings.keep() == 0;
+      changed = changed || settings.idleNanos() == 0;
     }
     lowestIdle = Math.min(lowestIdle, idle());
     return outcomes;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotOwner.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotOwner.java
@@ -54,7 +54,7 @@
   public SlotOwner(String key, SlotSettings settings, long now) {
     this.key = key;
     this.settings = settings;
-    this.grantsFrom = now + settings.takeoverDelay();
+    this.grantsFrom = now + settings.takeoverDelayNanos();
     this.nextRecall = grantsFrom;
   }
 
@@ -92,7 +92,7 @@
    * @param holder the receiver
    * @param grant the grant
    */
-  public record Answer(NodeId holder, SlotGrant grant) {}
+  public record AddressedGrant(NodeId holder, SlotGrant grant) {}
 
   /**
    * Processes the next event.
@@ -100,7 +100,7 @@
    * @param event the event
    * @return the grants to send; each new report is answered, a duplicate or outdated one is not
    */
-  public List<Answer> on(SlotEvent event) {
+  public List<AddressedGrant> on(SlotEvent event) {
     Map<NodeId, Holder> answered = new LinkedHashMap<>();
     long now = event.now();
     switch (event) {
@@ -114,8 +114,8 @@
     grant(now, answered);
     notifyContention(now, answered);
     peakLeasedSinceReport = Math.max(peakLeasedSinceReport, leased());
-    List<Answer> answers = new ArrayList<>();
-    answered.forEach((id, holder) -> answers.add(new Answer(id, grantOf(id, holder))));
+    List<AddressedGrant> answers = new ArrayList<>();
+    answered.forEach((id, holder) -> answers.add(new AddressedGrant(id, grantOf(id, holder))));
     return answers;
   }
 
@@ -181,7 +181,7 @@
     holder.lastGrant = Math.max(holder.lastGrant, report.seen());
     holder.held = report.held();
     holder.unconfirmed.headMap(report.seen(), true).clear();
-    holder.expiresAt = event.now() + settings.hold();
+    holder.expiresAt = event.now() + settings.leaseNanos();
     // Slots that a previous owner granted were counted as running without a lease until now.
     unleased = Math.max(0, unleased - Math.max(0, holder.leased() - before));
     updateQueue(event.holder(), report, holder.unconfirmedSlots());
@@ -266,7 +266,7 @@
     if (!scarce || now < nextRecall) {
       return;
     }
-    nextRecall = now + settings.recallPeriod();
+    nextRecall = now + settings.recallPeriodNanos();
     holders.forEach(
         (id, holder) -> {
           if (holder.held > 0 && isContended(id)) {
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotSettings.java
@@ -14,13 +14,13 @@
  * <p>With a keep time of 0, each request leases its slot from the owner. With a longer keep time, a
  * holder keeps slots while its demand lasts. Immutable and safe for use by several threads.
  *
- * @param hold the duration of a lease without a report
- * @param keep the time for which a holder keeps idle slots
- * @param takeoverDelay the time for which a new owner collects reports before it grants slots
- * @param recallPeriod the interval between two contention notices while requests wait
+ * @param leaseNanos the duration of a lease without a report
+ * @param idleNanos the time for which a holder keeps idle slots
+ * @param takeoverDelayNanos the time for which a new owner collects reports before it grants slots
+ * @param recallPeriodNanos the interval between two contention notices while requests wait
  * @since 0.1
  */
-public record SlotSettings(long hold, long keep, long takeoverDelay, long recallPeriod) {
+public record SlotSettings(long leaseNanos, long idleNanos, long takeoverDelayNanos, long recallPeriodNanos) {
 
   /**
    * Returns settings for a few nodes: each request leases its slot.
@@ -37,7 +37,7 @@
    *
    * @return the settings
    */
-  public static SlotSettings standing() {
+  public static SlotSettings followingDemand() {
     return new SlotSettings(
         TimeUnit.SECONDS.toNanos(30),
         TimeUnit.SECONDS.toNanos(3),
@@ -50,6 +50,6 @@
   }
 
   long renewal() {
-    return hold / 3;
+    return leaseNanos / 3;
   }
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/LeaseBatch.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/transport/LeaseBatch.java
@@ -18,7 +18,7 @@
 import org.larkkeel.peer.gen.WireSlotGrant;
 import org.larkkeel.peer.gen.WireSlotReport;
 import org.larkkeel.peer.gen.WireSlotWait;
-import org.larkkeel.peer.limits.LimitAsk;
+import org.larkkeel.peer.limits.LimitRequest;
 import org.larkkeel.peer.limits.LimitGrant;
 import org.larkkeel.peer.membership.NodeId;
 import org.larkkeel.peer.slots.SlotGrant;
@@ -40,7 +40,7 @@
     NodeId sender,
     List<SlotReport> slotReports,
     List<SlotGrant> slotGrants,
-    List<LimitAsk> limitRequests,
+    List<LimitRequest> limitRequests,
     List<LimitGrant> limitGrants) {
 
   /**
@@ -87,7 +87,7 @@
               grant.added(),
               grant.contended()));
     }
-    for (LimitAsk request : limitRequests) {
+    for (LimitRequest request : limitRequests) {
       batch.addToLimitAsks(
           new WireLimitAsk(
               request.workspace(),
@@ -150,7 +150,7 @@
     }
     for (WireLimitAsk request : orEmpty(batch.getLimitAsks())) {
       leaseBatch.limitRequests.add(
-          new LimitAsk(
+          new LimitRequest(
               request.getWorkspace(),
               request.getSequence(),
               request.getRequestsWanted(),
