--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/FeedCostTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/FeedCostTest.java
@@ -42,7 +42,7 @@
 import org.larkkeel.store.ObjectApi;
 import org.larkkeel.store.ObjectKey;
 import org.larkkeel.store.ObjectPage;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.larkkeel.store.Scheduler;
 import org.larkkeel.store.StoreVersion;
 import org.larkkeel.store.StoredObject;
@@ -135,9 +135,9 @@
     int parseCount;
 
     @Override
-    public Reading<RelayUpstream> upstream(StoredObject object) {
+    public ParseResult<RelayUpstream> upstream(StoredObject object) {
       parseCount++;
-      return new Reading.Readable<>(
+      return new ParseResult.Readable<>(
           new RelayUpstream(
               UpstreamIncarnation.unknown(new UpstreamName(object.key().name())),
               new ServiceName("model"),
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public Optional<Reading<RelayConfiguration>> configuration(
+    public Optional<ParseResult<RelayConfiguration>> configuration(
         ImmutableCollection<StoredObject> objects) {
       return Optional.empty();
     }
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/QuarantineEntriesTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/QuarantineEntriesTest.java
@@ -22,7 +22,7 @@
 import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.relay.SuspectRequest;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -48,8 +48,8 @@
 
   private static ImmutableList<SuspectRequest> read(JsonNode entry, long wallMillis) {
     return switch (QuarantineEntries.read(entry, wallMillis)) {
-      case Reading.Readable<ImmutableList<SuspectRequest>> r -> r.value();
-      case Reading.Unreadable<ImmutableList<SuspectRequest>> u -> throw new AssertionError(u.problem());
+      case ParseResult.Readable<ImmutableList<SuspectRequest>> r -> r.value();
+      case ParseResult.Unreadable<ImmutableList<SuspectRequest>> u -> throw new AssertionError(u.problem());
     };
   }
 
@@ -121,7 +121,7 @@
     @Test(dataProvider = "entries")
     public void areUnreadable(String entry) throws Exception {
       JsonNode node = Json.parse(entry.getBytes(StandardCharsets.UTF_8));
-      assertTrue(QuarantineEntries.read(node, NOW) instanceof Reading.Unreadable, entry);
+      assertTrue(QuarantineEntries.read(node, NOW) instanceof ParseResult.Unreadable, entry);
     }
   }
 }
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/UpstreamEntriesTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/UpstreamEntriesTest.java
@@ -33,7 +33,7 @@
 import org.larkkeel.store.EntryProblem;
 import org.larkkeel.store.EntryProblem.Reason;
 import org.larkkeel.store.ObjectKey;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.larkkeel.store.StoreVersion;
 import org.larkkeel.store.StoredObject;
 import org.testng.annotations.DataProvider;
@@ -51,12 +51,12 @@
     final Map<UpstreamName, RelayUpstream> followed = new HashMap<>();
     private long version;
 
-    private static Reading<RelayUpstream> read(StoredObject o) {
+    private static ParseResult<RelayUpstream> read(StoredObject o) {
       String service = o.spec().path("service").asText();
       if (service.equals(BAD)) {
-        return new Reading.Unreadable<>(MALFORMED);
+        return new ParseResult.Unreadable<>(MALFORMED);
       }
-      return new Reading.Readable<>(
+      return new ParseResult.Readable<>(
           new RelayUpstream(
               new UpstreamIncarnation(
                   new UpstreamName(o.key().name()),
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OrderModule.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OrderModule.java
@@ -52,7 +52,7 @@
             limits.leaseDuration());
     controller =
         new OrderController(
-            new OrderController.Parts(
+            new OrderController.Dependencies(
                 lease,
                 dependencies.scheduler(),
                 new EngineOrders(dependencies.engines()),
@@ -69,7 +69,7 @@
    */
   static boolean isCandidate(ImmutableSortedSet<HostName> live, HostName self) {
     return new Ownership(live)
-        .ownersOf(OrderController.LEASE, OrderController.CANDIDATES)
+        .ownersOf(OrderController.LEASE, OrderController.CANDIDATE_HOSTS)
         .contains(self);
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/StoreModule.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/StoreModule.java
@@ -167,9 +167,9 @@
         settings.readsPerSecond(),
         settings.writesPerSecond(),
         defaults.burst(),
-        defaults.longestWait(),
-        defaults.firstProbe(),
-        defaults.longestProbe());
+        defaults.maxWait(),
+        defaults.initialProbeDelay(),
+        defaults.maxProbeDelay());
   }
 
   /**
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/NodeRegistry.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/NodeRegistry.java
@@ -30,7 +30,7 @@
 import org.larkkeel.store.ObjectApiFailure;
 import org.larkkeel.store.ObjectKey;
 import org.larkkeel.store.ObjectPage;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.larkkeel.store.Scheduler;
 import org.larkkeel.store.StoredObject;
 import org.slf4j.Logger;
@@ -146,7 +146,7 @@
   private void restoreSuspects(StoredObject present) {
     long wallMillis = scheduler.wallMillis();
     if (QuarantineEntries.read(present.spec(), wallMillis)
-        instanceof Reading.Readable<ImmutableList<SuspectRequest>> r) {
+        instanceof ParseResult.Readable<ImmutableList<SuspectRequest>> r) {
       r.value().forEach(s -> quarantine.restore(s, wallMillis));
     }
   }
@@ -170,7 +170,7 @@
 
   private void retry(Throwable failure) {
     log.warn("event=not_registered node={} cause=\"{}\"", key.name(), failure.getMessage());
-    scheduler.schedule(backoff.next(), this::start);
+    scheduler.schedule(backoff.nextDelay(), this::start);
   }
 
   private void registered() {
@@ -200,14 +200,14 @@
     page.unreadable().forEach(u -> unreadable.put(u.name(), u.problem()));
     for (StoredObject node : page.items()) {
       switch (QuarantineEntries.read(node.spec(), scheduler.wallMillis())) {
-        case Reading.Readable<ImmutableList<SuspectRequest>> r -> notifySuspects(r.value());
-        case Reading.Unreadable<ImmutableList<SuspectRequest>> u ->
+        case ParseResult.Readable<ImmutableList<SuspectRequest>> r -> notifySuspects(r.value());
+        case ParseResult.Unreadable<ImmutableList<SuspectRequest>> u ->
             unreadable.put(node.key().name(), u.problem());
       }
       if (!node.key().equals(key)) {
         switch (addressOf(node)) {
-          case Reading.Readable<InetSocketAddress> r -> peerListener.accept(r.value());
-          case Reading.Unreadable<InetSocketAddress> u ->
+          case ParseResult.Readable<InetSocketAddress> r -> peerListener.accept(r.value());
+          case ParseResult.Unreadable<InetSocketAddress> u ->
               unreadable.put(node.key().name(), u.problem());
         }
       }
@@ -221,7 +221,7 @@
     }
   }
 
-  private static Reading<InetSocketAddress> addressOf(StoredObject node) {
+  private static ParseResult<InetSocketAddress> addressOf(StoredObject node) {
     JsonNode text = node.spec().path(ADDRESS);
     if (text.isMissingNode()) {
       return unreadable(Reason.MISSING, "nothing");
@@ -234,14 +234,14 @@
       if (at.getPort() == 0) {
         return unreadable(Reason.OUT_OF_RANGE, text.textValue());
       }
-      return new Reading.Readable<>(
+      return new ParseResult.Readable<>(
           new InetSocketAddress(InetAddresses.forString(at.getHost()), at.getPort()));
     } catch (IllegalArgumentException | IllegalStateException e) {
       return unreadable(Reason.MALFORMED, text.textValue());
     }
   }
 
-  private static Reading<InetSocketAddress> unreadable(Reason reason, String found) {
-    return new Reading.Unreadable<>(new EntryProblem(reason, ADDRESS, found, "IP:PORT"));
+  private static ParseResult<InetSocketAddress> unreadable(Reason reason, String found) {
+    return new ParseResult.Unreadable<>(new EntryProblem(reason, ADDRESS, found, "IP:PORT"));
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineEntries.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineEntries.java
@@ -21,7 +21,7 @@
 import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.store.EntryProblem;
 import org.larkkeel.store.EntryProblem.Reason;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 
 /**
  * The quarantined requests that a node has detected, as stored in its entry in the store.
@@ -96,10 +96,10 @@
   }
 
   /** Reads the requests of an entry, which may come from another writer and be malformed. */
-  static Reading<ImmutableList<SuspectRequest>> read(JsonNode entry, long wallMillis) {
+  static ParseResult<ImmutableList<SuspectRequest>> read(JsonNode entry, long wallMillis) {
     JsonNode all = entry.path(FIELD);
     if (all.isMissingNode()) {
-      return new Reading.Readable<>(ImmutableList.of());
+      return new ParseResult.Readable<>(ImmutableList.of());
     }
     if (!all.isArray() || all.size() > MAX_REQUESTS) {
       return unreadable(all);
@@ -112,7 +112,7 @@
     } catch (IllegalArgumentException e) {
       return unreadable(all);
     }
-    return new Reading.Readable<>(suspects.build());
+    return new ParseResult.Readable<>(suspects.build());
   }
 
   private static SuspectRequest suspect(JsonNode item, long wallMillis) {
@@ -135,8 +135,8 @@
     return number.longValue();
   }
 
-  private static Reading<ImmutableList<SuspectRequest>> unreadable(JsonNode found) {
-    return new Reading.Unreadable<>(
+  private static ParseResult<ImmutableList<SuspectRequest>> unreadable(JsonNode found) {
+    return new ParseResult.Unreadable<>(
         new EntryProblem(Reason.MALFORMED, FIELD, found.toString(), "requests with their ends"));
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayAdapter.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayAdapter.java
@@ -13,7 +13,7 @@
 import org.larkkeel.relay.RelayUpstream;
 import org.larkkeel.store.HttpClientOptions;
 import org.larkkeel.store.ObjectApi;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.larkkeel.store.Scheduler;
 import org.larkkeel.store.StoredObject;
 import org.xnio.XnioWorker;
@@ -43,12 +43,12 @@
    *
    * @param objects the objects of the configuration collection
    */
-  Optional<Reading<RelayConfiguration>> configuration(ImmutableCollection<StoredObject> objects);
+  Optional<ParseResult<RelayConfiguration>> configuration(ImmutableCollection<StoredObject> objects);
 
   /**
    * Reads an upstream. Never throws: an unreadable object is returned with its problem.
    *
    * @param object an object of the upstream collection
    */
-  Reading<RelayUpstream> upstream(StoredObject object);
+  ParseResult<RelayUpstream> upstream(StoredObject object);
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFeed.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFeed.java
@@ -20,7 +20,7 @@
 import org.larkkeel.store.CollectionMirror;
 import org.larkkeel.store.EntryProblem;
 import org.larkkeel.store.ObjectApi;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.larkkeel.store.Scheduler;
 import org.larkkeel.store.StoreVersion;
 import org.larkkeel.store.WatchTimes;
@@ -121,8 +121,8 @@
         || theirs.upstreams().isAfter(own.upstreams())) {
       scheduler.execute(
           () -> {
-            configurations.others(theirs.configurations());
-            upstreams.others(theirs.upstreams());
+            configurations.changeSeenByPeer(theirs.configurations());
+            upstreams.changeSeenByPeer(theirs.upstreams());
           });
     }
   }
@@ -139,8 +139,8 @@
         .ifPresent(
             reading -> {
               switch (reading) {
-                case Reading.Readable<RelayConfiguration> r -> accept(r.value());
-                case Reading.Unreadable<RelayConfiguration> u ->
+                case ParseResult.Readable<RelayConfiguration> r -> accept(r.value());
+                case ParseResult.Unreadable<RelayConfiguration> u ->
                     problems.put(adapter.configurationCollection(), u.problem());
               }
             });
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayMeters.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayMeters.java
@@ -166,7 +166,7 @@
 
   /** Registers metrics of the mirror of a collection of the store. */
   void watchMirror(String collection, CollectionMirror mirror) {
-    Gauge.builder("larkkeel.relay.store.silence", mirror, m -> m.silence().toNanos() / 1e9)
+    Gauge.builder("larkkeel.relay.store.silence", mirror, m -> m.timeSinceLastAnswer().toNanos() / 1e9)
         .baseUnit("seconds")
         .tag("collection", collection)
         .register(registry);
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StageController.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StageController.java
@@ -31,7 +31,7 @@
 import org.larkkeel.store.ObjectApi;
 import org.larkkeel.store.Scheduler;
 import org.larkkeel.store.lease.Lease;
-import org.larkkeel.store.lease.Tenure;
+import org.larkkeel.store.lease.LeaseTerm;
 import org.larkkeel.store.log.WriterId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -175,7 +175,7 @@
       lease.start();
     }
     if (seekingLease && isSettled(nowNanos)) {
-      lease.tenure().ifPresent(t -> order(nowNanos, dueChange.get(), t));
+      lease.term().ifPresent(t -> order(nowNanos, dueChange.get(), t));
     }
   }
 
@@ -248,8 +248,8 @@
     return all.stream().filter(u -> u.dataCentre().equals(near.dataCentre()) && u.stage().runsCalls()).count();
   }
 
-  private void order(long nowNanos, Change change, Tenure term) {
-    if (term.until() - nowNanos < MIN_LEASE_LEFT.toNanos()) {
+  private void order(long nowNanos, Change change, LeaseTerm term) {
+    if (term.untilNanos() - nowNanos < MIN_LEASE_LEFT.toNanos()) {
       return;
     }
     lastOrderNanos = nowNanos;
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/UpstreamEntries.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/UpstreamEntries.java
@@ -26,7 +26,7 @@
 import org.larkkeel.store.CollectionChange;
 import org.larkkeel.store.EntryProblem;
 import org.larkkeel.store.EntryProblem.Reason;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.larkkeel.store.StoredObject;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -48,7 +48,7 @@
    */
   static final Duration HOLD_BACK_TIME = Duration.ofSeconds(6);
 
-  private final Function<StoredObject, Reading<RelayUpstream>> parser;
+  private final Function<StoredObject, ParseResult<RelayUpstream>> parser;
   private final Map<String, RelayUpstream> readable = new HashMap<>();
   private final Map<String, EntryProblem> unreadable = new TreeMap<>();
   private final Set<String> withoutIncarnation = new LinkedHashSet<>();
@@ -81,7 +81,7 @@
    *
    * @param parser reads the upstream of an entry
    */
-  UpstreamEntries(Function<StoredObject, Reading<RelayUpstream>> parser) {
+  UpstreamEntries(Function<StoredObject, ParseResult<RelayUpstream>> parser) {
     this.parser = parser;
   }
 
@@ -127,7 +127,7 @@
   }
 
   private boolean hasEnded(long nowNanos, StoredObject o) {
-    return parser.apply(o) instanceof Reading.Readable<RelayUpstream> r
+    return parser.apply(o) instanceof ParseResult.Readable<RelayUpstream> r
         && history.isEnded(nowNanos, r.value().incarnation());
   }
 
@@ -156,14 +156,14 @@
     RelayUpstream previous = readable.get(name);
     remove(name);
     switch (parser.apply(o)) {
-      case Reading.Readable<RelayUpstream> r -> {
+      case ParseResult.Readable<RelayUpstream> r -> {
         history.replaced(nowNanos, previous, r.value());
         readable.put(name, history.withObservedState(r.value()));
         if (!r.value().incarnation().isKnown()) {
           withoutIncarnation.add(name);
         }
       }
-      case Reading.Unreadable<RelayUpstream> u -> unreadable.put(name, u.problem());
+      case ParseResult.Unreadable<RelayUpstream> u -> unreadable.put(name, u.problem());
     }
   }
 
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/CollectionMirrorTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/CollectionMirrorTest.java
@@ -95,7 +95,7 @@
       StoreVersion change = w.create("a");
       w.time.advance(Duration.ofSeconds(5));
       assertEquals(w.names, Set.of());
-      w.mirror.others(change);
+      w.mirror.changeSeenByPeer(change);
       w.time.advance(Duration.ofSeconds(1));
       assertEquals(w.names, Set.of("a"));
       assertEquals(w.mirror.changeVersion(), change);
@@ -105,7 +105,7 @@
     @Test
     public void newWatchDeliversFurtherChanges() {
       Rig w = new Rig(NEVER);
-      w.mirror.others(w.create("a"));
+      w.mirror.changeSeenByPeer(w.create("a"));
       w.api.setWatchLag(Duration.ofMillis(1));
       w.time.advance(Duration.ofSeconds(1));
       w.create("b");
@@ -144,7 +144,7 @@
     @Test
     public void reportOfInferredRemovalDoesNotRestartWatch() {
       Rig w = afterRemoval();
-      w.mirror.others(w.store.version());
+      w.mirror.changeSeenByPeer(w.store.version());
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(w.mirror.losses(), 1, "the outage");
     }
@@ -159,10 +159,10 @@
       w.api.makeConnectionsUnresponsive();
       w.store.delete(A, w.store.get(A).resourceVersion());
       w.time.advance(Duration.ofMillis(100));
-      w.mirror.others(watchingPeer.changeVersion());
+      w.mirror.changeSeenByPeer(watchingPeer.changeVersion());
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(w.names, Set.of("b"));
-      watchingPeer.others(w.mirror.changeVersion());
+      watchingPeer.changeSeenByPeer(w.mirror.changeVersion());
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(watchingPeer.losses(), 0);
     }
@@ -187,7 +187,7 @@
       w.store.setOutage(false);
       w.time.advance(Duration.ofSeconds(3));
       assertEquals(w.names, Set.of("a", "b"));
-      w.mirror.others(listingPeer.changeVersion());
+      w.mirror.changeSeenByPeer(listingPeer.changeVersion());
       w.time.advance(Duration.ofSeconds(1));
       assertEquals(w.names, Set.of("b"));
     }
@@ -199,10 +199,10 @@
     public void timeSinceLastAnswerGrowsUntilNextEvent() {
       Rig w = new Rig(Duration.ofMillis(1));
       w.time.advance(Duration.ofSeconds(4));
-      assertTrue(w.mirror.silence().compareTo(Duration.ofSeconds(4)) >= 0);
+      assertTrue(w.mirror.timeSinceLastAnswer().compareTo(Duration.ofSeconds(4)) >= 0);
       w.create("a");
       w.time.advance(Duration.ofMillis(10));
-      assertTrue(w.mirror.silence().toMillis() <= 10, w.mirror.silence().toString());
+      assertTrue(w.mirror.timeSinceLastAnswer().toMillis() <= 10, w.mirror.timeSinceLastAnswer().toString());
     }
 
     @Test
@@ -360,7 +360,7 @@
       ListeningMirror l = mirrorInPause("a", "b", "c");
       l.change("b");
       l.remove("c");
-      l.store.forgetHistory();
+      l.store.discardHistory();
       assertEquals(l.nextNotifications(), List.of("[b]-[c]"));
       assertEquals(l.mirror.objects().keySet(), Set.of("a", "b", "d"));
     }
@@ -452,7 +452,7 @@
     public void isKeptWhenReportedChangeArrives() {
       Rig w = new Rig(Duration.ofMillis(200));
       StoreVersion change = w.create("a");
-      w.mirror.others(change);
+      w.mirror.changeSeenByPeer(change);
       w.api.setReadFaults(() -> Fault.REFUSE);
       w.time.advance(Duration.ofSeconds(2));
       assertEquals(w.names, Set.of("a"));
@@ -466,7 +466,7 @@
       StoreVersion change = w.create("a");
       w.time.advance(Duration.ofSeconds(1));
       w.api.setReadFaults(() -> Fault.REFUSE);
-      w.mirror.others(change);
+      w.mirror.changeSeenByPeer(change);
       w.time.advance(Duration.ofSeconds(2));
       assertFalse(w.mirror.isFailing());
     }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/InMemoryObjectApi.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/InMemoryObjectApi.java
@@ -50,7 +50,7 @@
   }
 
   /** Sets the transmission time of a request or an answer. */
-  public InMemoryObjectApi setOneWay(Duration delay) {
+  public InMemoryObjectApi setOneWayDelay(Duration delay) {
     oneWayDelay = delay;
     return this;
   }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/InMemoryStore.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/InMemoryStore.java
@@ -77,7 +77,7 @@
   }
 
   /** Discards the history, so that watches from earlier versions fail as expired. */
-  public void forgetHistory() {
+  public void discardHistory() {
     historyStart = version;
     history.clear();
   }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/ManualScheduler.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/ManualScheduler.java
@@ -42,7 +42,7 @@
   }
 
   /** Runs tasks until a condition holds; fails if it does not hold within a virtual time. */
-  public void until(BooleanSupplier done, Duration maxTime) {
+  public void runUntil(BooleanSupplier done, Duration maxTime) {
     long end = now + maxTime.toNanos();
     while (!done.getAsBoolean()) {
       if (tasks.isEmpty() || tasks.peek().due > end) {
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/MirrorCluster.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/MirrorCluster.java
@@ -67,7 +67,7 @@
   }
 
   private void report(ManualScheduler.Process process, CollectionMirror mirror, Duration period) {
-    mirrors.forEach(m -> m.others(mirror.changeVersion()));
+    mirrors.forEach(m -> m.changeSeenByPeer(mirror.changeVersion()));
     process.schedule(period, () -> report(process, mirror, period));
   }
 
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/WatchTimesTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/WatchTimesTest.java
@@ -120,7 +120,7 @@
   public static class FixedTimeout {
     @Test
     public void isUsedForEachWatch() {
-      WatchTimes times = WatchTimes.always(MAX_TIMEOUT);
+      WatchTimes times = WatchTimes.fixed(MAX_TIMEOUT);
       assertEquals(times.nextTimeout(), MAX_TIMEOUT);
       assertEquals(times.nextTimeout(), MAX_TIMEOUT);
     }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/config/ConfigStoreTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/config/ConfigStoreTest.java
@@ -75,7 +75,7 @@
     final InMemoryStore store = new InMemoryStore(time);
 
     <T> T await(CompletableFuture<T> f) {
-      time.until(f::isDone, Duration.ofMinutes(5));
+      time.runUntil(f::isDone, Duration.ofMinutes(5));
       return f.join();
     }
 
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/lease/LeaseTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/lease/LeaseTest.java
@@ -41,7 +41,7 @@
 
     List<Long> heldFencingNumbers() {
       return nodes.stream()
-          .flatMap(n -> n.lease.tenure().stream())
+          .flatMap(n -> n.lease.term().stream())
           .map(t -> t.fencing().value())
           .toList();
     }
@@ -69,15 +69,15 @@
       rig.time.advance(Duration.ofSeconds(1));
       Rig.Node b = rig.node("b");
       rig.time.advance(Duration.ofSeconds(60));
-      assertEquals(a.lease.tenure().orElseThrow().fencing().value(), 1);
-      assertTrue(b.lease.tenure().isEmpty());
+      assertEquals(a.lease.term().orElseThrow().fencing().value(), 1);
+      assertTrue(b.lease.term().isEmpty());
       a.process.pause();
       rig.time.advance(Duration.ofSeconds(30));
-      assertTrue(a.lease.tenure().isEmpty(), "held by its own clock while paused");
-      assertEquals(b.lease.tenure().orElseThrow().fencing().value(), 2);
+      assertTrue(a.lease.term().isEmpty(), "held by its own clock while paused");
+      assertEquals(b.lease.term().orElseThrow().fencing().value(), 2);
       a.process.resume();
       rig.time.advance(Duration.ofSeconds(30));
-      assertTrue(a.lease.tenure().isEmpty());
+      assertTrue(a.lease.term().isEmpty());
       assertEquals(rig.heldFencingNumbers(), List.of(2L));
     }
 
@@ -106,11 +106,11 @@
       final Rig.Node b = rig.node("b");
       rig.time.advance(Duration.ofSeconds(1));
       int before = rig.store.writes();
-      rig.time.until(() -> rig.store.writes() > before, DURATION);
+      rig.time.runUntil(() -> rig.store.writes() > before, DURATION);
       a.lease.release();
       rig.time.advance(DURATION.dividedBy(3));
-      assertTrue(a.lease.tenure().isEmpty());
-      assertEquals(b.lease.tenure().orElseThrow().fencing().value(), 2);
+      assertTrue(a.lease.term().isEmpty());
+      assertEquals(b.lease.term().orElseThrow().fencing().value(), 2);
       a.lease.start();
       b.lease.close();
       rig.time.advance(DURATION.dividedBy(3));
@@ -180,7 +180,7 @@
       a.process.pause();
       rig.store.restore(empty);
       rig.time.advance(DURATION.minusSeconds(1));
-      assertTrue(rig.nodes.get(1).lease.tenure().isEmpty(), "held by two");
+      assertTrue(rig.nodes.get(1).lease.term().isEmpty(), "held by two");
       a.process.resume();
       rig.time.advance(DURATION.multipliedBy(3));
       assertEquals(rig.heldFencingNumbers().size(), 1);
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/LogRig.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/LogRig.java
@@ -34,7 +34,7 @@
   }
 
   <T> T await(CompletableFuture<T> f) {
-    time.until(f::isDone, AWAIT_TIMEOUT);
+    time.runUntil(f::isDone, AWAIT_TIMEOUT);
     return f.join();
   }
 
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/ObjectLogTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/ObjectLogTest.java
@@ -208,7 +208,7 @@
       b.process.pause();
       a.append(3, 3);
       a.append(4, 4);
-      rig.store.forgetHistory();
+      rig.store.discardHistory();
       b.process.resume();
       rig.store.setOutage(true);
       rig.time.advance(Duration.ofSeconds(90));
@@ -232,7 +232,7 @@
         a.append(n, n);
       }
       rig.await(a.log.writeSnapshot(new LogSnapshot(8, new byte[1])));
-      rig.store.forgetHistory();
+      rig.store.discardHistory();
       rig.time.advance(Duration.ofSeconds(61));
       b.process.resume();
       rig.time.advance(Duration.ofSeconds(1));
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderControllerTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderControllerTest.java
@@ -37,7 +37,7 @@
       rig.declare("u", DECODE, "m");
       OrderRig.Node a = rig.node("a");
       a.connectTime = Duration.ofMillis(500);
-      rig.time.until(() -> a.orderCount == 1, LONG);
+      rig.time.runUntil(() -> a.orderCount == 1, LONG);
       a.process.pause();
       rig.node("b");
       rig.advance(30);
@@ -45,7 +45,7 @@
       rig.advance(5);
       assertEquals(a.results, List.of(OrderResult.NOT_SENT));
       assertEquals(e.accepted, List.of());
-      rig.time.until(() -> !e.accepted.isEmpty(), LONG);
+      rig.time.runUntil(() -> !e.accepted.isEmpty(), LONG);
       assertEquals(e.accepted, List.of(2L));
     }
 
@@ -56,12 +56,12 @@
       rig.declare("u", DECODE, "m");
       OrderRig.Node a = rig.node("a");
       rig.transmissionTime = () -> Duration.ofSeconds(40);
-      rig.time.until(() -> a.orderCount == 1, LONG);
+      rig.time.runUntil(() -> a.orderCount == 1, LONG);
       rig.time.advance(Duration.ofMillis(10));
       a.process.pause();
       rig.transmissionTime = () -> Duration.ofMillis(1);
       rig.node("b");
-      rig.time.until(() -> !e.refused.isEmpty(), LONG);
+      rig.time.runUntil(() -> !e.refused.isEmpty(), LONG);
       assertEquals(e.refused, List.of(1L));
       assertEquals(e.accepted, List.of(2L));
     }
@@ -73,7 +73,7 @@
       rig.declare("u", DECODE, "m");
       long startNanos = rig.time.now();
       rig.node("a");
-      rig.time.until(() -> !e.accepted.isEmpty(), LONG);
+      rig.time.runUntil(() -> !e.accepted.isEmpty(), LONG);
       Duration waited = Duration.ofNanos(rig.time.now() - startNanos);
       OrderLimits limits = OrderLimits.DEFAULT;
       Duration minWait = limits.leaseDuration().plus(limits.maxPause());
@@ -90,7 +90,7 @@
       a.api.setWriteFaults(() -> writes[0]++ == 0 ? Fault.LOSE_ANSWER : Fault.NONE);
       rig.advance(1);
       final OrderRig.Node b = rig.node("b");
-      rig.time.until(() -> !e.accepted.isEmpty(), LONG);
+      rig.time.runUntil(() -> !e.accepted.isEmpty(), LONG);
       assertTrue(writes[0] > 0);
       assertEquals(e.accepted, List.of(1L));
       assertEquals(b.orderCount, 0);
@@ -103,11 +103,11 @@
       rig.advance(20);
       final OrderRig.Node b = rig.node("b");
       rig.advance(4);
-      assertTrue(a.lease.tenure().isPresent());
+      assertTrue(a.lease.term().isPresent());
       a.controller.close();
       rig.advance(3);
-      assertTrue(a.lease.tenure().isEmpty());
-      assertEquals(b.lease.tenure().orElseThrow().fencing().value(), 2);
+      assertTrue(a.lease.term().isEmpty());
+      assertEquals(b.lease.term().orElseThrow().fencing().value(), 2);
     }
   }
 
@@ -163,7 +163,7 @@
         rig.declare("x", PREFILL, "m");
         first.losesConnections = true;
         rig.transmissionTime = () -> Duration.ofSeconds(40);
-        rig.time.until(() -> first.orderCount == 1, LONG);
+        rig.time.runUntil(() -> first.orderCount == 1, LONG);
         rig.time.advance(Duration.ofMillis(10));
         rig.transmissionTime = () -> Duration.ofMillis(1);
         rig.declare("u", DECODE, "m");
@@ -176,7 +176,7 @@
                 assertTrue(
                     rig.engines.values().stream().anyMatch(e -> e.serves("m", Role.DECODE)),
                     "no engine serves the model for decode"));
-        rig.time.until(() -> rig.engines.get("w").serves("m", Role.PREFILL), LONG);
+        rig.time.runUntil(() -> rig.engines.get("w").serves("m", Role.PREFILL), LONG);
         assertEquals(rig.engines.get("u").accepted.size(), 2);
         assertTrue(rig.engines.get("u").serves("m", Role.DECODE));
       }
@@ -200,7 +200,7 @@
                 : new PullResult.Throttled(Duration.ofSeconds(7));
           };
       rig.node("a");
-      rig.time.until(
+      rig.time.runUntil(
           () -> rig.engines.values().stream().allMatch(e -> e.serves("m", Role.DECODE)), LONG);
       assertTrue(rig.pulls >= 12, "pulls " + rig.pulls);
       assertTrue(earlyPulls[0] <= 6, "pulls requested too early " + earlyPulls[0]);
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderPlannerTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderPlannerTest.java
@@ -24,7 +24,7 @@
 import org.larkkeel.lib.FencingNumber;
 import org.larkkeel.lib.ModelName;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.store.lease.Tenure;
+import org.larkkeel.store.lease.LeaseTerm;
 import org.testng.annotations.Test;
 
 /** Tests of {@link OrderPlanner}. */
@@ -62,7 +62,7 @@
   }
 
   private static List<OrderStep> plan(long now, List<EngineView> engines) {
-    Tenure t = new Tenure(FENCING, 0, now + Duration.ofSeconds(8).toNanos());
+    LeaseTerm t = new LeaseTerm(FENCING, 0, now + Duration.ofSeconds(8).toNanos());
     return new OrderPlanner(OrderLimits.DEFAULT).plan(now, Optional.of(t), engines, 0);
   }
 
@@ -81,7 +81,7 @@
                   "u", FencingSupport.CHECKED, shape(Role.DECODE, A, B), shape(Role.DECODE, A), 0));
       OrderPlanner p = new OrderPlanner(OrderLimits.DEFAULT);
       assertEquals(p.plan(0, Optional.empty(), e, 0), List.of());
-      Tenure endingTerm = new Tenure(FENCING, 0, Duration.ofSeconds(1).toNanos());
+      LeaseTerm endingTerm = new LeaseTerm(FENCING, 0, Duration.ofSeconds(1).toNanos());
       assertEquals(p.plan(0, Optional.of(endingTerm), e, 0), List.of());
       assertEquals(plan(0, e), List.of(send("u", new Order.LoadModel(B))));
     }
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderRig.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/order/OrderRig.java
@@ -166,7 +166,7 @@
               limits.leaseDuration());
       controller =
           new OrderController(
-              new OrderController.Parts(
+              new OrderController.Dependencies(
                   lease, process, this, this::pull, () -> configuration, () -> true, this),
               limits);
       controller.start();
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunLogTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunLogTest.java
@@ -221,14 +221,14 @@
     public void delayedSealAtTruncatedPositionGainsNoOwnership() {
       RunRig rig = new RunRig();
       Host slow = rig.host("slow");
-      slow.api.setOneWay(Duration.ofSeconds(2));
+      slow.api.setOneWayDelay(Duration.ofSeconds(2));
       slow.log.setMembers(RunRig.members(slow));
       Host a = startSingleHost(rig);
       rig.time.advance(Duration.ofMillis(7500));
       for (int i = 0; i < 40; i++) {
         assertTrue(a.claim("k" + i, DIGEST) instanceof Claimed);
       }
-      slow.api.setOneWay(Duration.ofMillis(1));
+      slow.api.setOneWayDelay(Duration.ofMillis(1));
       rig.time.advance(Duration.ofSeconds(10));
       for (int i = 0; i < 40; i++) {
         assertFalse(slow.claim("k" + i, DIGEST) instanceof Claimed, "claimed twice: k" + i);
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunRig.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/run/RunRig.java
@@ -54,7 +54,7 @@
   }
 
   <T> T await(CompletableFuture<T> f) {
-    time.until(f::isDone, AWAIT_TIMEOUT);
+    time.runUntil(f::isDone, AWAIT_TIMEOUT);
     return f.join();
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/Backoff.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/Backoff.java
@@ -41,7 +41,7 @@
    *
    * @return the delay before the next attempt
    */
-  public Duration next() {
+  public Duration nextDelay() {
     long bound = Math.min(maxDelayNanos, initialDelayNanos << Math.min(failures, MAX_SHIFT));
     if (bound <= 0) {
       bound = maxDelayNanos;
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/BudgetedObjectApi.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/BudgetedObjectApi.java
@@ -53,7 +53,7 @@
     this.reads = new CallBucket(budget.readsPerSecond(), budget.burst(), now);
     this.writes = new CallBucket(budget.writesPerSecond(), budget.burst(), now);
     this.circuitBreaker =
-        new StoreCircuitBreaker(new Backoff(budget.firstProbe(), budget.longestProbe(), random));
+        new StoreCircuitBreaker(new Backoff(budget.initialProbeDelay(), budget.maxProbeDelay(), random));
   }
 
   @Override
@@ -120,9 +120,9 @@
       refuse(call);
       return;
     }
-    long wait = bucket.take(now, budget.longestWait().toNanos());
+    long wait = bucket.take(now, budget.maxWait().toNanos());
     if (wait < 0) {
-      ObjectApiFailure f = new ObjectApiFailure.Throttled(budget.longestWait());
+      ObjectApiFailure f = new ObjectApiFailure.Throttled(budget.maxWait());
       call.result.completeExceptionally(
           new ObjectApiException(f, "call not sent: the node's own call budget is exhausted"));
     } else if (wait == 0) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/CollectionMirror.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/CollectionMirror.java
@@ -23,7 +23,7 @@
  * state of the collection. A list that is behind the copy is discarded, unless the store has begun
  * another era, in which version numbers are reused. While the store is unreachable the last copy
  * stays. An unreadable object is not in the copy and does not affect the others. Confined to the
- * scheduler, except {@link #silence} and {@link #losses}, which any thread may call.
+ * scheduler, except {@link #timeSinceLastAnswer} and {@link #losses}, which any thread may call.
  *
  * @since 0.1
  */
@@ -86,7 +86,7 @@
       Scheduler scheduler,
       Backoff backoff,
       Consumer<CollectionChange> listener) {
-    this(api, collection, scheduler, backoff, WatchTimes.always(DEFAULT_WATCH_TIMEOUT), listener);
+    this(api, collection, scheduler, backoff, WatchTimes.fixed(DEFAULT_WATCH_TIMEOUT), listener);
   }
 
   /**
@@ -142,7 +142,7 @@
    * Returns the time since the store's last answer or event for the collection. It also grows while
    * a live watch waits for a change.
    */
-  public Duration silence() {
+  public Duration timeSinceLastAnswer() {
     return Duration.ofNanos(scheduler.nanoTime() - lastAnswerNanos);
   }
 
@@ -171,7 +171,7 @@
    *
    * @param change the version of the change, as returned by the peer's {@link #changeVersion}
    */
-  public void others(StoreVersion change) {
+  public void changeSeenByPeer(StoreVersion change) {
     if (!closed && !failing && isUnseen(change) && watch != null) {
       Watch checked = watch;
       Duration watchDelay = watch.ended().isDone() ? watchTimes.pause() : Duration.ZERO;
@@ -309,7 +309,7 @@
       lastAnswerNanos = scheduler.nanoTime();
     }
     if (failure == null && listAfterWatch) {
-      scheduler.schedule(backoff.next(), this::restart);
+      scheduler.schedule(backoff.nextDelay(), this::restart);
     } else if (failure == null) {
       scheduler.schedule(watchTimes.pause(), () -> watchNext(w));
     } else {
@@ -387,10 +387,10 @@
           collection,
           version,
           copy.changeVersion(),
-          silence().toMillis(),
+          timeSinceLastAnswer().toMillis(),
           failure.getMessage());
     }
-    scheduler.schedule(backoff.next(), this::restart);
+    scheduler.schedule(backoff.nextDelay(), this::restart);
   }
 
   private void restart() {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/EntryProblem.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/EntryProblem.java
@@ -9,7 +9,7 @@
 /**
  * The reason why an entry of the store cannot be read.
  *
- * <p>Invariant: {@code found} comes from other writers, so it is truncated to {@value #MAX_FOUND}
+ * <p>Invariant: {@code found} comes from other writers, so it is truncated to {@value #MAX_FOUND_CHARS}
  * characters and contains only printable ASCII characters other than the double quote; it can be
  * written to a log line without escaping. Immutable and thread-safe.
  *
@@ -21,7 +21,7 @@
  */
 public record EntryProblem(Reason reason, String field, String found, String expected) {
   /** The maximum number of characters kept of the value that was found. */
-  public static final int MAX_FOUND = 64;
+  public static final int MAX_FOUND_CHARS = 64;
 
   private static final String ELLIPSIS = "...";
 
@@ -53,8 +53,8 @@
    * ?}, for a log line.
    */
   public static String printable(String text) {
-    boolean isLong = text.length() > MAX_FOUND;
-    String kept = isLong ? text.substring(0, MAX_FOUND - ELLIPSIS.length()) : text;
+    boolean isLong = text.length() > MAX_FOUND_CHARS;
+    String kept = isLong ? text.substring(0, MAX_FOUND_CHARS - ELLIPSIS.length()) : text;
     StringBuilder s = new StringBuilder(kept.length());
     kept.chars().forEach(c -> s.append(isPrintable(c) ? (char) c : '?'));
     return isLong ? s.append(ELLIPSIS).toString() : s.toString();
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/Reading.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/ParseResult.java
@@ -14,18 +14,18 @@
  * @param <T> the type of a parsed entry
  * @since 0.1
  */
-public sealed interface Reading<T> {
+public sealed interface ParseResult<T> {
   /**
    * The entry was parsed completely.
    *
    * @param value the parsed entry, never null
    */
-  record Readable<T>(T value) implements Reading<T> {}
+  record Readable<T>(T value) implements ParseResult<T> {}
 
   /**
    * The entry could not be parsed and has no value.
    *
    * @param problem the first problem found, never null
    */
-  record Unreadable<T>(EntryProblem problem) implements Reading<T> {}
+  record Unreadable<T>(EntryProblem problem) implements ParseResult<T> {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/StoreCircuitBreaker.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/StoreCircuitBreaker.java
@@ -109,7 +109,7 @@
     }
     if (state != State.REJECTING) {
       state = State.REJECTING;
-      Duration wait = backoff.next();
+      Duration wait = backoff.nextDelay();
       nextProbeNanos = now + wait.toNanos();
     }
   }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/WatchTimes.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/WatchTimes.java
@@ -89,7 +89,7 @@
   }
 
   /** Returns the same timeout for each watch, with the minimum pause. */
-  public static WatchTimes always(Duration timeout) {
+  public static WatchTimes fixed(Duration timeout) {
     return new WatchTimes(timeout, () -> 1, () -> 1, () -> SENTINELS);
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/Lease.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/Lease.java
@@ -63,7 +63,7 @@
   private final Scheduler scheduler;
   private final RandomGenerator random;
   private final Duration duration;
-  private volatile Optional<Tenure> tenure = Optional.empty();
+  private volatile Optional<LeaseTerm> term = Optional.empty();
   private StoreVersion observedVersion = StoreVersion.NONE;
   private long era;
   private long observedAtNanos;
@@ -131,9 +131,9 @@
   }
 
   private void stopAcquiring() {
-    boolean held = tenure().isPresent();
+    boolean held = term().isPresent();
     wanted = false;
-    tenure = Optional.empty();
+    term = Optional.empty();
     if (held && !writing) {
       markReleased(observedVersion);
     }
@@ -152,8 +152,8 @@
    *
    * @return the term, empty if the lease is not held now
    */
-  public Optional<Tenure> tenure() {
-    return tenure.filter(t -> t.isHeld(scheduler.nanoTime()));
+  public Optional<LeaseTerm> term() {
+    return term.filter(t -> t.isHeld(scheduler.nanoTime()));
   }
 
   /** Releases the lease permanently. */
@@ -186,7 +186,7 @@
   private void resetOnNewEra() {
     if (era != api.era().number()) {
       era = api.era().number();
-      tenure = Optional.empty();
+      term = Optional.empty();
       unresolved = Optional.empty();
     }
   }
@@ -217,7 +217,7 @@
       observedAtNanos = now;
     }
     if (!r.holder().equals(self)) {
-      tenure = Optional.empty();
+      term = Optional.empty();
     }
     unresolved.filter(a -> a.record.equals(r)).ifPresent(a -> granted(a, o));
     unresolved = Optional.empty();
@@ -270,11 +270,11 @@
     observedAtNanos = scheduler.nanoTime();
     FencingNumber f = a.record.fencing();
     long sinceNanos =
-        tenure.filter(t -> t.fencing().equals(f)).map(Tenure::sinceNanos).orElse(a.sentAtNanos);
-    if (tenure.isEmpty() || !tenure.get().fencing().equals(f)) {
+        term.filter(t -> t.fencing().equals(f)).map(LeaseTerm::sinceNanos).orElse(a.sentAtNanos);
+    if (term.isEmpty() || !term.get().fencing().equals(f)) {
       LOG.info("event=lease-held lease={} fencing={}", key.name(), f);
     }
-    tenure = Optional.of(new Tenure(f, sinceNanos, a.sentAtNanos + duration.toNanos()));
+    term = Optional.of(new LeaseTerm(f, sinceNanos, a.sentAtNanos + duration.toNanos()));
   }
 
   private void scheduleRead() {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/Tenure.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/lease/LeaseTerm.java
@@ -14,10 +14,10 @@
  * @param fencing the fencing number that every action under the lease must carry, never null
  * @param sinceNanos the scheduler's time at which the write that acquired the lease was sent, in
  *     nanoseconds
- * @param until the scheduler's time from which the lease may have expired, in nanoseconds
+ * @param untilNanos the scheduler's time from which the lease may have expired, in nanoseconds
  * @since 0.1
  */
-public record Tenure(FencingNumber fencing, long sinceNanos, long until) {
+public record LeaseTerm(FencingNumber fencing, long sinceNanos, long untilNanos) {
 
   /**
    * Returns whether the lease is held.
@@ -26,6 +26,6 @@
    * @return true before the end of the term
    */
   public boolean isHeld(long now) {
-    return now - until < 0;
+    return now - untilNanos < 0;
   }
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendCommand.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendCommand.java
@@ -168,7 +168,7 @@
       return;
     }
     retryCount++;
-    log.scheduler().schedule(backoff.next(), step);
+    log.scheduler().schedule(backoff.nextDelay(), step);
   }
 
   private static ObjectApiFailure failureOf(Throwable t) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogFollower.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogFollower.java
@@ -178,7 +178,7 @@
   private void retryLater(Throwable failure) {
     phase = Phase.WAITING;
     LOG.debug("event=log-follow-failed log={} cause=\"{}\"", log.name(), failure.getMessage());
-    timer = log.scheduler().schedule(backoff.next(), this::read);
+    timer = log.scheduler().schedule(backoff.nextDelay(), this::read);
   }
 
   private void cancelTimerAndWatch() {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogWriter.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogWriter.java
@@ -142,7 +142,7 @@
         .whenComplete(
             (view, failure) -> {
               if (failure != null) {
-                scheduler.schedule(backoff.next(), this::readTail);
+                scheduler.schedule(backoff.nextDelay(), this::readTail);
               } else {
                 replay(view);
               }
@@ -184,9 +184,9 @@
     switch (r) {
       case AppendResult.Appended a -> becomeOwner(seal);
       case AppendResult.Unresolved u ->
-          scheduler.schedule(backoff.next(), () -> seal(seal, Prior.UNRESOLVED));
+          scheduler.schedule(backoff.nextDelay(), () -> seal(seal, Prior.UNRESOLVED));
       case AppendResult.Lost l -> readTail();
-      case AppendResult.NotAppended n -> scheduler.schedule(backoff.next(), this::readTail);
+      case AppendResult.NotAppended n -> scheduler.schedule(backoff.nextDelay(), this::readTail);
       case AppendResult.Forgotten f -> readTail();
     }
   }
@@ -255,7 +255,7 @@
       case AppendResult.Appended a -> commit(e);
       case AppendResult.NotAppended n -> completeBatch(CommitResult.NOT_COMMITTED);
       case AppendResult.Unresolved u ->
-          scheduler.schedule(backoff.next(), () -> append(e, Prior.UNRESOLVED));
+          scheduler.schedule(backoff.nextDelay(), () -> append(e, Prior.UNRESOLVED));
       case AppendResult.Lost l -> endOwnership(Phase.DEPOSED, CommitResult.DEPOSED);
       case AppendResult.Forgotten f -> endOwnership(Phase.DEPOSED, CommitResult.UNKNOWN);
     }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderController.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderController.java
@@ -20,7 +20,7 @@
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.store.Scheduler;
 import org.larkkeel.store.lease.Lease;
-import org.larkkeel.store.lease.Tenure;
+import org.larkkeel.store.lease.LeaseTerm;
 
 /**
  * Sends the orders that bring engines to their declared shape, while this process holds the lease.
@@ -38,13 +38,13 @@
   public static final String LEASE = "orders";
 
   /** The number of hosts that try to acquire the lease. */
-  public static final int CANDIDATES = 3;
+  public static final int CANDIDATE_HOSTS = 3;
 
   private static final Duration PERIOD = Duration.ofSeconds(1);
   private static final Duration READ_INTERVAL = Duration.ofSeconds(30);
   private static final int READS_PER_PERIOD = 32;
 
-  private final Parts dependencies;
+  private final Dependencies dependencies;
   private final OrderLimits limits;
   private final OrderPlanner planner;
   private final Map<UpstreamName, EngineTracker> engines = new HashMap<>();
@@ -63,7 +63,7 @@
    * @param candidate returns whether this host is one of those that try to acquire the lease
    * @param listener receives the results of orders and pulls
    */
-  public record Parts(
+  public record Dependencies(
       Lease lease,
       Scheduler scheduler,
       EnginePort engines,
@@ -78,7 +78,7 @@
    * @param dependencies the collaborators
    * @param limits the time limits and the number of concurrent pulls
    */
-  public OrderController(Parts dependencies, OrderLimits limits) {
+  public OrderController(Dependencies dependencies, OrderLimits limits) {
     this.dependencies = dependencies;
     this.limits = limits;
     this.planner = new OrderPlanner(limits);
@@ -115,8 +115,8 @@
   }
 
   private void reconcile() {
-    Optional<Tenure> term = dependencies.lease().tenure();
-    Optional<FencingNumber> number = term.map(Tenure::fencing);
+    Optional<LeaseTerm> term = dependencies.lease().term();
+    Optional<FencingNumber> number = term.map(LeaseTerm::fencing);
     if (!number.equals(fencing)) {
       fencing = number;
       engines.values().forEach(EngineTracker::discardReport);
@@ -212,7 +212,7 @@
   /** Returns whether an order may be sent now. Called from any thread. */
   private boolean isAllowed(FencingNumber number) {
     return !closed
-        && dependencies.lease().tenure().filter(t -> t.fencing().equals(number)).isPresent();
+        && dependencies.lease().term().filter(t -> t.fencing().equals(number)).isPresent();
   }
 
   private void pull(Upstream upstream, ModelVersion model) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderPlanner.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/order/OrderPlanner.java
@@ -18,7 +18,7 @@
 import org.larkkeel.config.Role;
 import org.larkkeel.lib.ModelName;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.store.lease.Tenure;
+import org.larkkeel.store.lease.LeaseTerm;
 
 /**
  * Plans the orders that bring engines to their declared shape. It keeps no state between calls and
@@ -56,32 +56,32 @@
    * @return the steps, which may all be executed now
    */
   public ImmutableList<OrderStep> plan(
-      long now, Optional<Tenure> term, List<EngineView> engines, int pullsInProgress) {
+      long now, Optional<LeaseTerm> term, List<EngineView> engines, int pullsInProgress) {
     if (term.filter(t -> isLongEnough(t, now)).isEmpty()) {
       return ImmutableList.of();
     }
     return new Plan(now, term.get(), engines, limits.maxPulls() - pullsInProgress).steps();
   }
 
-  private boolean isLongEnough(Tenure t, long now) {
-    return t.until() - now > limits.orderTimeout().toNanos();
+  private boolean isLongEnough(LeaseTerm t, long now) {
+    return t.untilNanos() - now > limits.orderTimeout().toNanos();
   }
 
   /** Returns the time by which all orders of earlier holders have arrived, in nanoseconds. */
-  private long earlierOrdersSettledNanos(Tenure t) {
+  private long earlierOrdersSettledNanos(LeaseTerm t) {
     return t.sinceNanos() + limits.leaseDuration().toNanos() + limits.maxPause().toNanos();
   }
 
   /** The state of one call of {@link #plan}. */
   private final class Plan {
     private final long now;
-    private final Tenure term;
+    private final LeaseTerm term;
     private final List<EngineView> engines;
     private final Set<UpstreamName> enginesWithOrders = new HashSet<>();
     private final List<OrderStep> steps = new ArrayList<>();
     private int pullsLeft;
 
-    Plan(long now, Tenure term, List<EngineView> engines, int pullsLeft) {
+    Plan(long now, LeaseTerm term, List<EngineView> engines, int pullsLeft) {
       this.now = now;
       this.term = term;
       this.pullsLeft = pullsLeft;
--- a/platform.test/src/test/java/org/larkkeel/platform/EntryFuzzTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/EntryFuzzTest.java
@@ -34,7 +34,7 @@
 import org.larkkeel.store.EntryProblem;
 import org.larkkeel.store.ListQuery;
 import org.larkkeel.store.ObjectPage;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.quicktheories.QuickTheory;
 import org.quicktheories.core.Gen;
 import org.testng.annotations.DataProvider;
@@ -111,7 +111,7 @@
   }
 
   private static void check(EntryProblem p) {
-    assertTrue(p.found().length() <= EntryProblem.MAX_FOUND, p.found());
+    assertTrue(p.found().length() <= EntryProblem.MAX_FOUND_CHARS, p.found());
     assertTrue(p.found().matches("[ !#-~]*"), p.found());
   }
 
@@ -124,8 +124,8 @@
           .checkAssert(
               spec -> {
                 switch (PlatformUpstreams.read(Entries.object("i-1", spec))) {
-                  case Reading.Readable<RelayUpstream> r -> assertTrue(r.value().slots() >= 1);
-                  case Reading.Unreadable<RelayUpstream> u -> {
+                  case ParseResult.Readable<RelayUpstream> r -> assertTrue(r.value().slots() >= 1);
+                  case ParseResult.Unreadable<RelayUpstream> u -> {
                     check(u.problem());
                     assertTrue(FIELDS.contains(u.problem().field()), u.problem().field());
                   }
@@ -142,7 +142,7 @@
                 ObjectNode without = entry.<ObjectNode>deepCopy().without(field);
                 assertTrue(
                     PlatformUpstreams.read(Entries.object("i-1", without))
-                        instanceof Reading.Unreadable<RelayUpstream>);
+                        instanceof ParseResult.Unreadable<RelayUpstream>);
               });
     }
 
@@ -160,7 +160,7 @@
                 entry.put("address", "10.1.64.9:" + port).put("state", state);
                 assertTrue(
                     PlatformUpstreams.read(Entries.object("i-1", entry))
-                        instanceof Reading.Readable<RelayUpstream>,
+                        instanceof ParseResult.Readable<RelayUpstream>,
                     entry.toString());
               });
     }
@@ -197,9 +197,9 @@
                   o.set(field, value);
                 }
                 switch (PlatformConfiguration.read(spec)) {
-                  case Reading.Readable<RelayConfiguration> r ->
+                  case ParseResult.Readable<RelayConfiguration> r ->
                       assertTrue(r.value().revision() >= 0);
-                  case Reading.Unreadable<RelayConfiguration> u -> check(u.problem());
+                  case ParseResult.Unreadable<RelayConfiguration> u -> check(u.problem());
                 }
               });
     }
@@ -270,7 +270,7 @@
     public void isReadAsExpected(String verdict, String spec) {
       var reading = PlatformUpstreams.read(Entries.object("i-1", json(spec)));
       assertEquals(
-          reading instanceof Reading.Readable<RelayUpstream>, verdict.equals("good"), spec);
+          reading instanceof ParseResult.Readable<RelayUpstream>, verdict.equals("good"), spec);
     }
   }
 }
--- a/platform.test/src/test/java/org/larkkeel/platform/PlatformUpstreamsTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/PlatformUpstreamsTest.java
@@ -18,7 +18,7 @@
 import org.larkkeel.store.EntryProblem;
 import org.larkkeel.store.EntryProblem.Reason;
 import org.larkkeel.store.ObjectKey;
-import org.larkkeel.store.Reading;
+import org.larkkeel.store.ParseResult;
 import org.larkkeel.store.StoreVersion;
 import org.larkkeel.store.StoredObject;
 import org.testng.annotations.DataProvider;
@@ -26,7 +26,7 @@
 
 /** Tests of {@link PlatformUpstreams}. */
 public class PlatformUpstreamsTest {
-  private static Reading<RelayUpstream> read(String name, String change) throws Exception {
+  private static ParseResult<RelayUpstream> read(String name, String change) throws Exception {
     ObjectNode spec = Entries.valid();
     spec.setAll((ObjectNode) Json.parse(change.getBytes(UTF_8)));
     return PlatformUpstreams.read(
@@ -36,15 +36,15 @@
 
   private static RelayUpstream readable(String change) throws Exception {
     return switch (read("i-1", change)) {
-      case Reading.Readable<RelayUpstream> r -> r.value();
-      case Reading.Unreadable<RelayUpstream> u -> throw new AssertionError(u.problem());
+      case ParseResult.Readable<RelayUpstream> r -> r.value();
+      case ParseResult.Unreadable<RelayUpstream> u -> throw new AssertionError(u.problem());
     };
   }
 
-  private static EntryProblem problem(Reading<RelayUpstream> reading) {
+  private static EntryProblem problem(ParseResult<RelayUpstream> reading) {
     return switch (reading) {
-      case Reading.Readable<RelayUpstream> r -> throw new AssertionError(r.value());
-      case Reading.Unreadable<RelayUpstream> u -> u.problem();
+      case ParseResult.Readable<RelayUpstream> r -> throw new AssertionError(r.value());
+      case ParseResult.Unreadable<RelayUpstream> u -> u.problem();
     };
   }
 
@@ -145,7 +145,7 @@
     public void areReportedInBoundedPrintableText() throws Exception {
       String change = "{\"state\":\"" + "\\u0007\\n\\\"".repeat(100) + "\"}";
       String found = problem(read("i-1", change)).found();
-      assertEquals(found.length(), EntryProblem.MAX_FOUND);
+      assertEquals(found.length(), EntryProblem.MAX_FOUND_CHARS);
       assertTrue(found.matches("[ !#-~]+"), found);
     }
   }
--- a/platform.test/src/test/java/org/larkkeel/platform/UnreadableObjectsTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/UnreadableObjectsTest.java
@@ -73,7 +73,7 @@
               PlatformNames.SERVERS_KIND,
               scheduler,
               backoff,
-              WatchTimes.always(Duration.ofSeconds(1)),
+              WatchTimes.fixed(Duration.ofSeconds(1)),
               change -> changed());
       closer.add(mirror);
     }
