--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/Defects.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/defect/Defects.java
@@ -157,7 +157,7 @@
             "lost answer taken for a failure",
             inPlatform(
                 "log/AppendCommand",
-                "        prior = Prior.UNRESOLVED;\n        retry(this::create);",
+                "        prior = PriorAttempt.UNRESOLVED;\n        retry(this::create);",
                 "        result.complete(new NotAppended(f));")),
         Defect.of(
             "lost append taken for a success",
@@ -169,7 +169,7 @@
             "seal skipped at take-over",
             inPlatform(
                 "log/LogWriter",
-                "    seal(LogEntry.seal(last + 1, log.nextAppend()), Prior.NONE);",
+                "    seal(LogEntry.seal(last + 1, log.nextAppend()), PriorAttempt.NONE);",
                 "    phase = Phase.OWNER;\n    opened.complete(null);")),
         Defect.of(
             "claim answered before it is durable",
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/World.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/World.java
@@ -455,13 +455,13 @@
               new Observations.Accepted(new Revision(revision), leaving, time.now()));
           config.offer(appended.entry());
         }
-        case AppendResult.Lost lost -> {
+        case AppendResult.PositionTaken lost -> {
           lost.winner().ifPresent(config::offer);
           retry();
         }
         case AppendResult.NotAppended notAppended -> retry();
         case AppendResult.Unresolved unresolved -> retry();
-        case AppendResult.Forgotten forgotten -> retry();
+        case AppendResult.PositionTruncated forgotten -> retry();
       }
     }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerFeed.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerFeed.java
@@ -22,9 +22,9 @@
 import org.larkkeel.store.HttpClientOptions;
 import org.larkkeel.store.Scheduler;
 import org.larkkeel.store.StoreVersion;
-import org.larkkeel.store.internal.http.Failures.Effect;
-import org.larkkeel.store.internal.http.HttpCaller;
-import org.larkkeel.store.internal.http.JsonCalls;
+import org.larkkeel.store.internal.http.HttpFailures.Effect;
+import org.larkkeel.store.internal.http.HttpServiceClient;
+import org.larkkeel.store.internal.http.JsonHttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -110,9 +110,9 @@
 
   private void fetch(InetSocketAddress peer) {
     URI base = URI.create("http://" + peer.getAddress().getHostAddress() + ":" + peer.getPort());
-    JsonCalls calls =
-        new JsonCalls(
-            new HttpCaller(
+    JsonHttpClient calls =
+        new JsonHttpClient(
+            new HttpServiceClient(
                 HttpClientOptions.of(base).withTimeout(TIMEOUT), worker.worker(), scheduler));
     FeedChanges ownVersions = feed.versions();
     String path =
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/ObjectLogTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/ObjectLogTest.java
@@ -40,7 +40,7 @@
       var fa = a.log.append(a.entry(1, 10)).call();
       var fb = b.log.append(b.entry(1, 20)).call();
       assertTrue(rig.await(fa) instanceof AppendResult.Appended);
-      assertTrue(rig.await(fb) instanceof AppendResult.Lost l && l.winner().isPresent());
+      assertTrue(rig.await(fb) instanceof AppendResult.PositionTaken l && l.winner().isPresent());
       assertEquals(b.read(), List.of(10));
     }
 
@@ -80,7 +80,7 @@
       Fault r = Fault.REFUSE;
       setWriteFaults(a, Fault.LOSE_ANSWER, r, r, r, r, r);
       assertTrue(rig.await(a.log.append(e).call()) instanceof AppendResult.Unresolved);
-      AppendResult again = rig.await(a.log.append(e).setPrior(Prior.UNRESOLVED).call());
+      AppendResult again = rig.await(a.log.append(e).setPriorAttempt(PriorAttempt.UNRESOLVED).call());
       assertEquals(again, new AppendResult.Appended(e));
     }
 
@@ -136,7 +136,7 @@
       LogRig rig = new LogRig();
       logWithSnapshot(rig, 9);
       LogRig.Node late = rig.node("late");
-      assertEquals(late.append(3, 99), new AppendResult.Lost(Optional.empty()));
+      assertEquals(late.append(3, 99), new AppendResult.PositionTaken(Optional.empty()));
       assertEquals(rig.store.all("test").size(), 3);
     }
 
@@ -146,8 +146,8 @@
       logWithSnapshot(rig, 9);
       LogRig.Node late = rig.node("late");
       LogEntry e = late.entry(3, 99);
-      AppendResult r = rig.await(late.log.append(e).setPrior(Prior.UNRESOLVED).call());
-      assertEquals(r, new AppendResult.Forgotten());
+      AppendResult r = rig.await(late.log.append(e).setPriorAttempt(PriorAttempt.UNRESOLVED).call());
+      assertEquals(r, new AppendResult.PositionTruncated());
     }
 
     @Test
@@ -161,7 +161,7 @@
       rig.await(a.log.writeSnapshot(new LogSnapshot(9, new byte[1])));
       LogEntry old = rig.node("old").entry(1, 99);
       AppendResult r = rig.await(a.log.append(old).setGuard(TruncationGuard.RETAINED_SEAL).call());
-      assertTrue(r instanceof AppendResult.Lost);
+      assertTrue(r instanceof AppendResult.PositionTaken);
     }
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpObjectApi.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpObjectApi.java
@@ -10,7 +10,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.larkkeel.store.internal.http.HttpObjectCalls;
+import org.larkkeel.store.internal.http.HttpObjectClient;
 import org.xnio.XnioWorker;
 
 /**
@@ -20,7 +20,7 @@
  * @since 0.1
  */
 public final class HttpObjectApi implements ObjectApi, AutoCloseable {
-  private final HttpObjectCalls calls;
+  private final HttpObjectClient calls;
 
   /**
    * Creates a client, which opens no connection before the first call.
@@ -30,7 +30,7 @@
    * @param scheduler completes the futures
    */
   public HttpObjectApi(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
-    this.calls = new HttpObjectCalls(options, worker, scheduler);
+    this.calls = new HttpObjectClient(options, worker, scheduler);
   }
 
   @Override
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpWeightStore.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/HttpWeightStore.java
@@ -8,7 +8,7 @@
 
 import java.util.concurrent.CompletableFuture;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.store.internal.http.HttpWeightCalls;
+import org.larkkeel.store.internal.http.HttpWeightClient;
 import org.larkkeel.store.order.ModelVersion;
 import org.larkkeel.store.order.PullResult;
 import org.larkkeel.store.order.WeightStore;
@@ -20,7 +20,7 @@
  * @since 0.1
  */
 public final class HttpWeightStore implements WeightStore, AutoCloseable {
-  private final HttpWeightCalls calls;
+  private final HttpWeightClient calls;
 
   /**
    * Creates a client, which opens no connection before the first call.
@@ -30,7 +30,7 @@
    * @param scheduler completes the futures
    */
   public HttpWeightStore(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
-    this.calls = new HttpWeightCalls(options, worker, scheduler);
+    this.calls = new HttpWeightClient(options, worker, scheduler);
   }
 
   @Override
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/config/ConfigStore.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/config/ConfigStore.java
@@ -27,7 +27,7 @@
 import org.larkkeel.store.log.LogFollower;
 import org.larkkeel.store.log.LogSnapshot;
 import org.larkkeel.store.log.ObjectLog;
-import org.larkkeel.store.log.Prior;
+import org.larkkeel.store.log.PriorAttempt;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -124,7 +124,7 @@
    * @return the scheduler's time in nanoseconds
    */
   public CompletableFuture<Long> contactNanos() {
-    return onScheduler(() -> follower.contactNanos());
+    return onScheduler(() -> follower.lastContactNanos());
   }
 
   @Override
@@ -223,7 +223,7 @@
             result.complete(new ProposeResult.Invalid(i.problems()));
         case Checked.Valid<Configuration> v -> {
           warnings = v.warnings();
-          append(nextEntry(), Prior.NONE);
+          append(nextEntry(), PriorAttempt.NONE);
         }
       }
     }
@@ -239,8 +239,8 @@
       return LogEntry.records(follower.last() + 1, log.nextAppend(), records);
     }
 
-    private void append(LogEntry e, Prior prior) {
-      log.append(e).setPrior(prior).call().thenAccept(r -> appended(e, r));
+    private void append(LogEntry e, PriorAttempt prior) {
+      log.append(e).setPriorAttempt(prior).call().thenAccept(r -> appended(e, r));
     }
 
     private void appended(LogEntry e, AppendResult r) {
@@ -250,16 +250,16 @@
           accept(new Revision(e.number()));
           snapshotIfDue(e);
         }
-        case AppendResult.Lost l ->
+        case AppendResult.PositionTaken l ->
             continueUntilDeadline(new ProposeResult.Unavailable(), this::refresh);
-        case AppendResult.Forgotten f -> {
+        case AppendResult.PositionTruncated f -> {
           resultOfFailedRead = new ProposeResult.OutcomeUnknown();
           continueUntilDeadline(resultOfFailedRead, this::refresh);
         }
         case AppendResult.NotAppended n -> result.complete(new ProposeResult.Unavailable());
         case AppendResult.Unresolved u ->
             continueUntilDeadline(
-                new ProposeResult.OutcomeUnknown(), () -> append(e, Prior.UNRESOLVED));
+                new ProposeResult.OutcomeUnknown(), () -> append(e, PriorAttempt.UNRESOLVED));
       }
     }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/Failures.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpFailures.java
@@ -16,12 +16,12 @@
 import org.larkkeel.store.internal.http.HttpCallException.Sent;
 
 /** Maps error responses and failed calls to failures of the object API. Stateless. */
-public final class Failures {
+public final class HttpFailures {
   private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
   private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(60);
   private static final int MAX_DETAIL_CHARS = 300;
 
-  private Failures() {}
+  private HttpFailures() {}
 
   /** Returns the failure for a response with an error status. */
   public static ObjectApiException of(Effect effect, String call, HttpReply reply) {
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpObjectCalls.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpObjectClient.java
@@ -25,18 +25,18 @@
 import org.larkkeel.store.StoredObject;
 import org.larkkeel.store.Watch;
 import org.larkkeel.store.WatchEvent;
-import org.larkkeel.store.internal.http.Failures.Effect;
+import org.larkkeel.store.internal.http.HttpFailures.Effect;
 import org.xnio.XnioWorker;
 
 /** The object API over HTTP: one method for each call. Thread-safe. */
-public final class HttpObjectCalls implements AutoCloseable {
+public final class HttpObjectClient implements AutoCloseable {
   private static final String BASE = "/apis/larkkeel.org/v1/";
 
   /** Time beyond its timeout that the service has to end a watch. */
   private static final Duration WATCH_GRACE = Duration.ofSeconds(5);
 
-  private final HttpCaller client;
-  private final JsonCalls jsonClient;
+  private final HttpServiceClient client;
+  private final JsonHttpClient jsonClient;
 
   /**
    * Creates a client of the object API.
@@ -45,9 +45,9 @@
    * @param worker runs the I/O
    * @param scheduler completes the futures
    */
-  public HttpObjectCalls(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
-    this.client = new HttpCaller(options, worker, scheduler);
-    this.jsonClient = new JsonCalls(client);
+  public HttpObjectClient(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
+    this.client = new HttpServiceClient(options, worker, scheduler);
+    this.jsonClient = new JsonHttpClient(client);
   }
 
   /** See {@link org.larkkeel.store.ObjectApi#get}. */
@@ -129,11 +129,11 @@
   private static final class HttpWatch implements Watch {
     private final String collection;
     private final Consumer<WatchEvent> listener;
-    private final HttpCaller client;
+    private final HttpServiceClient client;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private HttpLineStream stream;
 
-    HttpWatch(String collection, Consumer<WatchEvent> listener, HttpCaller client) {
+    HttpWatch(String collection, Consumer<WatchEvent> listener, HttpServiceClient client) {
       this.collection = collection;
       this.listener = listener;
       this.client = client;
@@ -160,9 +160,9 @@
       String name = "watch " + collection;
       if (failure != null) {
         client.closeIdleConnections();
-        ended.completeExceptionally(Failures.of(Effect.READ, name, failure));
+        ended.completeExceptionally(HttpFailures.of(Effect.READ, name, failure));
       } else if (reply.status() / 100 != 2) {
-        ended.completeExceptionally(Failures.of(Effect.READ, name, reply));
+        ended.completeExceptionally(HttpFailures.of(Effect.READ, name, reply));
       } else {
         ended.complete(null);
       }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpCaller.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpServiceClient.java
@@ -26,14 +26,14 @@
  * A client of one HTTP service, over a pool of connections. Thread-safe. Futures complete on the
  * scheduler; they fail with {@link HttpCallException} if no complete response is received.
  */
-public final class HttpCaller implements AutoCloseable {
+public final class HttpServiceClient implements AutoCloseable {
   private final Connector connector;
   private final ConnectionPool pool;
   private final Scheduler scheduler;
   private final HttpClientOptions options;
 
   /** Creates a client whose connections use the I/O threads of a worker. */
-  public HttpCaller(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
+  public HttpServiceClient(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
     this.options = options;
     this.scheduler = scheduler;
     this.connector = new Connector(options, worker, scheduler);
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpWeightCalls.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/HttpWeightClient.java
@@ -26,13 +26,13 @@
 import org.xnio.XnioWorker;
 
 /** The weight store's API over HTTP. Thread-safe. */
-public final class HttpWeightCalls implements AutoCloseable {
+public final class HttpWeightClient implements AutoCloseable {
   private static final String BASE = "/weights/v1/";
   private static final String PULLS = "/pulls";
   private static final String LATEST_VERSION = "latest";
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final HttpCaller client;
+  private final HttpServiceClient client;
 
   /**
    * Creates a client of the weight store.
@@ -41,8 +41,8 @@
    * @param worker runs the I/O
    * @param scheduler completes the futures
    */
-  public HttpWeightCalls(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
-    this.client = new HttpCaller(options, worker, scheduler);
+  public HttpWeightClient(HttpClientOptions options, XnioWorker worker, Scheduler scheduler) {
+    this.client = new HttpServiceClient(options, worker, scheduler);
   }
 
   /** See {@link org.larkkeel.store.order.WeightStore#pull}. */
@@ -67,7 +67,7 @@
     return switch (reply.status()) {
       case StatusCodes.ACCEPTED -> parsePull(reply);
       case StatusCodes.TOO_MANY_REQUESTS ->
-          new PullResult.Throttled(Failures.retryAfter(reply.header(Headers.RETRY_AFTER)));
+          new PullResult.Throttled(HttpFailures.retryAfter(reply.header(Headers.RETRY_AFTER)));
       default -> new PullResult.Failed();
     };
   }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/JsonCalls.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/JsonHttpClient.java
@@ -16,20 +16,20 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.larkkeel.store.ObjectApiException;
-import org.larkkeel.store.internal.http.Failures.Effect;
+import org.larkkeel.store.internal.http.HttpFailures.Effect;
 
 /**
  * A client for calls with JSON bodies, whose failures are those of the object API.
  *
- * <p>Thread-safe. Futures complete on the scheduler of the {@link HttpCaller}; they fail with
+ * <p>Thread-safe. Futures complete on the scheduler of the {@link HttpServiceClient}; they fail with
  * {@link ObjectApiException} unless the response has a success status and can be parsed.
  */
-public final class JsonCalls implements AutoCloseable {
-  private final HttpCaller client;
+public final class JsonHttpClient implements AutoCloseable {
+  private final HttpServiceClient client;
   private final Consumer<HttpReply> observer;
 
   /** Creates a client over an HTTP client, which it closes with itself. */
-  public JsonCalls(HttpCaller client) {
+  public JsonHttpClient(HttpServiceClient client) {
     this(client, reply -> {});
   }
 
@@ -41,7 +41,7 @@
    * @param observer receives each complete response, whatever its status, before it is parsed;
    *     throws an {@link ObjectApiException} if the response must not be used
    */
-  public JsonCalls(HttpCaller client, Consumer<HttpReply> observer) {
+  public JsonHttpClient(HttpServiceClient client, Consumer<HttpReply> observer) {
     this.client = client;
     this.observer = observer;
   }
@@ -97,14 +97,14 @@
     return answer.handle(
         (reply, failure) -> {
           if (failure != null) {
-            throw new CompletionException(Failures.of(effect, name, failure));
+            throw new CompletionException(HttpFailures.of(effect, name, failure));
           }
           if (!isAcceptedByObserver(reply)) {
             throw new CompletionException(
-                Failures.of(effect, name, new IOException("the observer rejected the response")));
+                HttpFailures.of(effect, name, new IOException("the observer rejected the response")));
           }
           if (reply.status() / 100 != 2) {
-            throw new CompletionException(Failures.of(effect, name, reply));
+            throw new CompletionException(HttpFailures.of(effect, name, reply));
           }
           return convert(effect, name, reply, converter);
         });
@@ -115,7 +115,7 @@
     try {
       return converter.apply(reply);
     } catch (ObjectApiException e) {
-      throw new CompletionException(effect == Effect.READ ? e : Failures.of(effect, name, e));
+      throw new CompletionException(effect == Effect.READ ? e : HttpFailures.of(effect, name, e));
     }
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendCommand.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendCommand.java
@@ -13,8 +13,8 @@
 import org.larkkeel.store.ObjectApiFailure;
 import org.larkkeel.store.StoredObject;
 import org.larkkeel.store.log.AppendResult.Appended;
-import org.larkkeel.store.log.AppendResult.Forgotten;
-import org.larkkeel.store.log.AppendResult.Lost;
+import org.larkkeel.store.log.AppendResult.PositionTruncated;
+import org.larkkeel.store.log.AppendResult.PositionTaken;
 import org.larkkeel.store.log.AppendResult.NotAppended;
 import org.larkkeel.store.log.AppendResult.Unresolved;
 
@@ -31,7 +31,7 @@
   private final LogEntry entry;
   private final Backoff backoff;
   private final CompletableFuture<AppendResult> result = new CompletableFuture<>();
-  private Prior prior = Prior.NONE;
+  private PriorAttempt prior = PriorAttempt.NONE;
   private TruncationGuard guard = TruncationGuard.READ_MANIFEST;
   private int retryCount;
 
@@ -44,11 +44,11 @@
   /**
    * Sets what is known of earlier attempts to append the same entry.
    *
-   * @param newPrior {@link Prior#UNRESOLVED} if an earlier attempt returned {@link Unresolved};
-   *     {@link Prior#NONE} unless set
+   * @param newPrior {@link PriorAttempt#UNRESOLVED} if an earlier attempt returned {@link Unresolved};
+   *     {@link PriorAttempt#NONE} unless set
    * @return this
    */
-  public AppendCommand setPrior(Prior newPrior) {
+  public AppendCommand setPriorAttempt(PriorAttempt newPrior) {
     prior = newPrior;
     return this;
   }
@@ -91,7 +91,7 @@
     switch (f) {
       case ObjectApiFailure.AlreadyExists a -> readBack();
       case ObjectApiFailure.OutcomeUnknown u -> {
-        prior = Prior.UNRESOLVED;
+        prior = PriorAttempt.UNRESOLVED;
         retry(this::create);
       }
       default -> createRefused(f);
@@ -99,7 +99,7 @@
   }
 
   private void createRefused(ObjectApiFailure f) {
-    if (prior == Prior.NONE) {
+    if (prior == PriorAttempt.NONE) {
       result.complete(new NotAppended(f));
     } else {
       retry(this::create);
@@ -112,7 +112,7 @@
         .whenComplete(
             (found, failure) -> {
               if (failure != null) {
-                prior = Prior.UNRESOLVED;
+                prior = PriorAttempt.UNRESOLVED;
                 retry(this::readBack);
               } else {
                 compare(found);
@@ -122,11 +122,11 @@
 
   private void compare(Optional<LogEntry> found) {
     if (found.isEmpty()) {
-      result.complete(prior == Prior.NONE ? new Lost(found) : new Forgotten());
+      result.complete(prior == PriorAttempt.NONE ? new PositionTaken(found) : new PositionTruncated());
     } else if (found.get().id().equals(entry.id())) {
       result.complete(new Appended(entry));
     } else {
-      result.complete(new Lost(found));
+      result.complete(new PositionTaken(found));
     }
   }
 
@@ -144,7 +144,7 @@
         .whenComplete(
             (manifest, failure) -> {
               if (failure != null) {
-                prior = Prior.UNRESOLVED;
+                prior = PriorAttempt.UNRESOLVED;
                 retry(() -> checkManifest(object));
               } else if (manifest.truncatedThrough() < entry.number()) {
                 result.complete(new Appended(entry));
@@ -156,7 +156,7 @@
 
   /** Deletes an entry that was created at a truncated position; readers ignore such entries. */
   private void withdraw(StoredObject object) {
-    AppendResult r = prior == Prior.NONE ? new Lost(Optional.empty()) : new Forgotten();
+    AppendResult r = prior == PriorAttempt.NONE ? new PositionTaken(Optional.empty()) : new PositionTruncated();
     log.api()
         .delete(object.key(), object.resourceVersion())
         .whenComplete((ok, ignored) -> result.complete(r));
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendResult.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendResult.java
@@ -28,7 +28,7 @@
    *
    * @param winner the other entry, empty if it has already been truncated
    */
-  record Lost(Optional<LogEntry> winner) implements AppendResult {}
+  record PositionTaken(Optional<LogEntry> winner) implements AppendResult {}
 
   /**
    * The store refused the entry, which is not in the log.
@@ -46,5 +46,5 @@
   /**
    * The position was truncated while the outcome was unknown: the entry may have been in the log.
    */
-  record Forgotten() implements AppendResult {}
+  record PositionTruncated() implements AppendResult {}
 }
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogFollower.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogFollower.java
@@ -66,7 +66,7 @@
    *
    * @return the scheduler's time in nanoseconds; before the first response, the time of creation
    */
-  public long contactNanos() {
+  public long lastContactNanos() {
     return lastContactNanos;
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogWriter.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/LogWriter.java
@@ -156,7 +156,7 @@
     view.snapshot().ifPresent(this::restore);
     view.entries().forEach(this::apply);
     backoff.reset();
-    seal(LogEntry.seal(last + 1, log.nextAppend()), Prior.NONE);
+    seal(LogEntry.seal(last + 1, log.nextAppend()), PriorAttempt.NONE);
   }
 
   private void restore(LogSnapshot s) {
@@ -169,12 +169,12 @@
     replica.apply(e);
   }
 
-  private void seal(LogEntry seal, Prior prior) {
+  private void seal(LogEntry seal, PriorAttempt prior) {
     if (phase != Phase.OPENING) {
       return;
     }
     log.append(seal)
-        .setPrior(prior)
+        .setPriorAttempt(prior)
         .setGuard(TruncationGuard.READ_MANIFEST)
         .call()
         .thenAccept(r -> sealCompleted(seal, r));
@@ -184,10 +184,10 @@
     switch (r) {
       case AppendResult.Appended a -> becomeOwner(seal);
       case AppendResult.Unresolved u ->
-          scheduler.schedule(backoff.nextDelay(), () -> seal(seal, Prior.UNRESOLVED));
-      case AppendResult.Lost l -> readTail();
+          scheduler.schedule(backoff.nextDelay(), () -> seal(seal, PriorAttempt.UNRESOLVED));
+      case AppendResult.PositionTaken l -> readTail();
       case AppendResult.NotAppended n -> scheduler.schedule(backoff.nextDelay(), this::readTail);
-      case AppendResult.Forgotten f -> readTail();
+      case AppendResult.PositionTruncated f -> readTail();
     }
   }
 
@@ -223,7 +223,7 @@
     batch = nextBatch();
     nextAppendNanos = scheduler.nanoTime() + options.interval().toNanos();
     List<JsonNode> records = batch.stream().map(Submission::record).toList();
-    append(LogEntry.records(last + 1, log.nextAppend(), records), Prior.NONE);
+    append(LogEntry.records(last + 1, log.nextAppend(), records), PriorAttempt.NONE);
   }
 
   private List<Submission> nextBatch() {
@@ -239,9 +239,9 @@
     return next;
   }
 
-  private void append(LogEntry e, Prior prior) {
+  private void append(LogEntry e, PriorAttempt prior) {
     log.append(e)
-        .setPrior(prior)
+        .setPriorAttempt(prior)
         .setGuard(TruncationGuard.RETAINED_SEAL)
         .call()
         .thenAccept(r -> appendCompleted(e, r));
@@ -255,9 +255,9 @@
       case AppendResult.Appended a -> commit(e);
       case AppendResult.NotAppended n -> completeBatch(CommitResult.NOT_COMMITTED);
       case AppendResult.Unresolved u ->
-          scheduler.schedule(backoff.nextDelay(), () -> append(e, Prior.UNRESOLVED));
-      case AppendResult.Lost l -> endOwnership(Phase.DEPOSED, CommitResult.DEPOSED);
-      case AppendResult.Forgotten f -> endOwnership(Phase.DEPOSED, CommitResult.UNKNOWN);
+          scheduler.schedule(backoff.nextDelay(), () -> append(e, PriorAttempt.UNRESOLVED));
+      case AppendResult.PositionTaken l -> endOwnership(Phase.DEPOSED, CommitResult.DEPOSED);
+      case AppendResult.PositionTruncated f -> endOwnership(Phase.DEPOSED, CommitResult.UNKNOWN);
     }
   }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/Prior.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/PriorAttempt.java
@@ -11,7 +11,7 @@
  *
  * @since 0.1
  */
-public enum Prior {
+public enum PriorAttempt {
   /** There was no earlier attempt, or all are known to have had no effect. */
   NONE,
   /** The outcome of an earlier attempt is unknown. */
