--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodePeers.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodePeers.java
@@ -47,8 +47,8 @@
         new Membership(MembershipSettings.defaults(), self, List.of(), seed, world.time().now());
     EngineRequestId.Origin origin = new EngineRequestId.Origin(node.host, node.incarnation);
     this.adapter = new PeerAdapter(origin, node::apply, () -> world.time().now());
-    adapter.setNews(
-        new PeerAdapter.PeerNews() {
+    adapter.setListener(
+        new PeerAdapter.PeerChangeListener() {
           @Override
           public void newerRevision(Member peer, Revision revision) {
             node.config().pullFrom(peer.id().host());
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Daemon.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Daemon.java
@@ -274,8 +274,8 @@
   /** Registers the listeners between components that depend on each other in both directions. */
   private void registerListeners() {
     configuration.setListener(this::onConfigurationAccepted);
-    peerAdapter.setNews(
-        new PeerAdapter.PeerNews() {
+    peerAdapter.setListener(
+        new PeerAdapter.PeerChangeListener() {
           @Override
           public void died(EngineRequestId.Origin ended) {
             orphanSweeper.nodeDied();
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerAdapter.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerAdapter.java
@@ -41,10 +41,10 @@
   private final Set<HostName> liveHosts = ConcurrentHashMap.newKeySet();
   private final Set<EngineRequestId.Origin> dead = ConcurrentHashMap.newKeySet();
   private final Map<HostName, Incarnation> latestIncarnations = new ConcurrentHashMap<>();
-  private volatile PeerNews listener = new PeerNews() {};
+  private volatile PeerChangeListener listener = new PeerChangeListener() {};
 
   /** Callbacks for changes among the peers that other components of the node react to. */
-  public interface PeerNews {
+  public interface PeerChangeListener {
     /**
      * Called when the set of live nodes has changed.
      *
@@ -91,7 +91,7 @@
    *
    * @param newListener called on the core thread of the peer node; must not block
    */
-  public void setNews(PeerNews newListener) {
+  public void setListener(PeerChangeListener newListener) {
     listener = newListener;
   }
 
