--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodePeers.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/proof/world/NodePeers.java
@@ -113,8 +113,8 @@
         node.runs().ownersChanged();
       }
       case Effect.NewerRevision newer -> adapter.newerRevision(newer.peer(), newer.revision());
-      case Effect.LoadLearned learned -> {}
-      case Effect.Superseded superseded -> adapter.superseded(superseded.later());
+      case Effect.LoadReceived learned -> {}
+      case Effect.Superseded superseded -> adapter.superseded(superseded.successor());
     }
   }
 
--- a/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/membership/SimCluster.java
+++ b/org.larkkeel.peer.test/src/test/java/org/larkkeel/peer/membership/SimCluster.java
@@ -194,7 +194,7 @@
       case Effect.MemberChanged change ->
           node.changes.add(new Change(now, change.member(), change.leaving()));
       case Effect.NewerRevision newer -> node.revisions.add(newer);
-      case Effect.LoadLearned learned -> node.loads.put(learned.load().key(), learned.load());
+      case Effect.LoadReceived learned -> node.loads.put(learned.load().key(), learned.load());
       case Effect.Superseded ignored -> node.superseded = true;
     }
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerNode.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/PeerNode.java
@@ -336,10 +336,10 @@
       case Effect.Send send -> sockets.datagrams().send(send.to(), send.message());
       case Effect.MemberChanged change -> memberChanged(change);
       case Effect.NewerRevision newer -> listener.newerRevision(newer.peer(), newer.revision());
-      case Effect.LoadLearned learned -> listener.loadReceived(learned.load());
+      case Effect.LoadReceived learned -> listener.loadReceived(learned.load());
       case Effect.Superseded superseded -> {
-        LOG.error("event=peer_superseded later={}", superseded.later());
-        listener.superseded(superseded.later());
+        LOG.error("event=peer_superseded later={}", superseded.successor());
+        listener.superseded(superseded.successor());
       }
     }
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Effect.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Effect.java
@@ -47,13 +47,13 @@
    *
    * @param load the record
    */
-  record LoadLearned(LoadRecord load) implements Effect {}
+  record LoadReceived(LoadRecord load) implements Effect {}
 
   /**
    * Reports that a process with a greater incarnation runs under the name of this host; this node
    * must stop.
    *
-   * @param later the process with the greater incarnation
+   * @param successor the process with the greater incarnation
    */
-  record Superseded(NodeId later) implements Effect {}
+  record Superseded(NodeId successor) implements Effect {}
 }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Membership.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/membership/Membership.java
@@ -346,7 +346,7 @@
 
   private void mergeRemoteLoad(LoadRecord load) {
     if (mergeLoad(load)) {
-      effects.add(new Effect.LoadLearned(load));
+      effects.add(new Effect.LoadReceived(load));
     }
   }
 
