--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunAdapter.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/RunAdapter.java
@@ -155,7 +155,7 @@
   private ClaimOutcome alreadyDoneOutcome(RequestId request, ClaimResult.AlreadyDone result) {
     try {
       if (result.answer().isPresent()) {
-        table.keepRecorded(request, RecordedAnswer.fromBytes(result.answer().get().body()));
+        table.storeRecorded(request, RecordedAnswer.fromBytes(result.answer().get().body()));
         return ClaimOutcome.ALREADY_DONE;
       }
     } catch (IOException e) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNode.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNode.java
@@ -107,12 +107,12 @@
               facts.accept(fact);
               meters.accept(fact);
             });
-    loop.effects(executor);
+    loop.setEffectSink(executor);
     this.loadExchange = closer.add(new LoadExchange(settings, worker.worker(), loop));
-    executor.tells(loadExchange::grant, this::reportSuspect);
+    executor.setPeerReporters(loadExchange::grant, this::reportSuspect);
     thread.execute(() -> loadExchange.suspects(() -> router.suspects(loop.now())));
     thread.execute(() -> loadExchange.quotas(router));
-    loop.afterEach(this::observe);
+    loop.setAfterBatch(this::observe);
     this.status =
         closer.add(
             StatusListener.start(
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/Node.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/Node.java
@@ -41,7 +41,7 @@
 /** The HTTP layer of a node; the test takes the place of the reducer. */
 public final class Node implements AutoCloseable {
   /** The time after which a wait fails the test; no assertion depends on its length. */
-  public static final int PATIENCE_SECONDS = 10;
+  public static final int TIMEOUT_SECONDS = 10;
 
   /** The workspace that needs no token. */
   public static final String OPEN_WORKSPACE = "open";
@@ -53,7 +53,7 @@
   public static final EngineRequestId.Origin ORIGIN =
       new EngineRequestId.Origin(new HostName("n1"), new Incarnation(7));
 
-  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
 
   /** True if {@code /readyz} reports that the node is ready. */
   public final AtomicBoolean ready = new AtomicBoolean(true);
@@ -160,7 +160,7 @@
 
   /** Waits for the next event, which must be of the given type. */
   public <E extends Event> E await(Class<E> type) throws InterruptedException {
-    Event event = events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    Event event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (event == null) {
       throw new AssertionError("no event was submitted; expected " + type.getSimpleName());
     }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/ScriptedServer.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/ScriptedServer.java
@@ -56,7 +56,7 @@
     }
 
     /** Writes a complete answer. */
-    public Reply whole(int status, String body) throws IOException {
+    public Reply answer(int status, String body) throws IOException {
       int length = body.getBytes(StandardCharsets.UTF_8).length;
       return raw("HTTP/1.1 " + status + " X\r\nContent-Length: " + length + "\r\n\r\n" + body);
     }
@@ -102,7 +102,7 @@
 
   /** Waits for the next request. */
   public Request next() throws InterruptedException {
-    Request request = requests.poll(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
+    Request request = requests.poll(Node.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (request == null) {
       throw new AssertionError("the server received no request");
     }
@@ -110,7 +110,7 @@
   }
 
   /** Returns the number of requests that were received and not taken by {@link #next}. */
-  public int waitingRequests() {
+  public int pendingRequests() {
     return requests.size();
   }
 
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/CallerListenerTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/CallerListenerTest.java
@@ -319,7 +319,7 @@
           record.replay(new RecordedAnswer(200, ImmutableList.of(), new byte[32 << 20]));
         }
         int status = 503;
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Node.TIMEOUT_SECONDS);
         while (status == 503 && System.nanoTime() < end) {
           try (RawCaller next = node.call()) {
             next.send("POST", "/next", "Idempotency-Key: \r\n", body);
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/TlsTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/caller/TlsTest.java
@@ -90,7 +90,7 @@
               context(trusted)
                   .getSocketFactory()
                   .createSocket(node.address().getAddress(), node.address().getPort());
-      socket.setSoTimeout(Node.PATIENCE_SECONDS * 1_000);
+      socket.setSoTimeout(Node.TIMEOUT_SECONDS * 1_000);
       socket.startHandshake();
       return socket;
     }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/ConcurrentCallersTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/ConcurrentCallersTest.java
@@ -39,7 +39,7 @@
 public class ConcurrentCallersTest {
   private static final int CALLERS = 12;
   private static final int REQUESTS_PER_CALLER = 40;
-  private static final long TIMEOUT = TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS);
+  private static final long TIMEOUT = TimeUnit.SECONDS.toNanos(Node.TIMEOUT_SECONDS);
   private static final long SEED = 42;
 
   /** Invariants that hold for every interleaving. */
@@ -68,7 +68,7 @@
                     } else if (n % 11 == 0) {
                       a.socket().close();
                     } else {
-                      a.whole(200, "for " + q.target());
+                      a.answer(200, "for " + q.target());
                     }
                   })) {
         UpstreamName at = node.upstream("s", service.address());
@@ -78,7 +78,7 @@
           Thread.ofVirtual().start(() -> run(node, caller, callers));
         }
         reduce(node, at);
-        assertTrue(callers.await(Node.PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(callers.await(Node.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(failures.toString(), "[]");
         assertEquals(node.table.size(), 0);
         assertEquals(outcomes.size(), requests.size());
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/EffectExecutorTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/EffectExecutorTest.java
@@ -76,7 +76,7 @@
       try (ScriptedServer prefill =
               new ScriptedServer(
                   (q, a) ->
-                      a.whole(
+                      a.answer(
                           200,
                           "{\"id\":\"x\",\"usage\":{\"prompt_tokens\":2,"
                               + "\"prompt_tokens_details\":{\"cached_tokens\":1}},"
@@ -86,7 +86,7 @@
               new ScriptedServer(
                   (q, a) -> {
                     if (q.target().equals("/v1/kv/imports")) {
-                      a.whole(200, "{\"request_id\":\"n1/7/2\",\"kv_bytes\":99}");
+                      a.answer(200, "{\"request_id\":\"n1/7/2\",\"kv_bytes\":99}");
                     } else {
                       a.startEvents().token(0, "a").token(1, "b").token(2, "c").done();
                     }
@@ -220,7 +220,7 @@
               new ScriptedServer(
                   (q, a) -> {
                     if (q.method().equals("DELETE")) {
-                      a.whole(200, "{\"state\":\"cancelled\"}");
+                      a.answer(200, "{\"state\":\"cancelled\"}");
                     } else {
                       never.await();
                     }
@@ -330,7 +330,7 @@
           Event.OfAttempt outcome = node.await(Event.OfAttempt.class);
           assertEquals(outcome.attempt(), FIRST);
         }
-        assertEquals(service.waitingRequests(), 0);
+        assertEquals(service.pendingRequests(), 0);
       }
       never.countDown();
     }
@@ -342,7 +342,7 @@
         caller.send("POST", "/orders", "Idempotency-Key: k1\r\n", "x");
         RequestId id = node.arrival();
         byte[] body = "again".getBytes(StandardCharsets.UTF_8);
-        node.table.keepRecorded(id, new RecordedAnswer(200, ImmutableList.of(), body));
+        node.table.storeRecorded(id, new RecordedAnswer(200, ImmutableList.of(), body));
         node.execute(new Effect.Replay(id, FIRST));
         assertEquals(caller.answer().body(), "again");
       }
@@ -358,7 +358,7 @@
       try (RawCaller caller = node.call()) {
         caller.send("POST", "/v1/chat/completions", "Idempotency-Key: k\r\n", Answers.chat(true));
         RequestId id = node.arrival();
-        node.table.keepRecorded(id, new RecordedAnswer(200, ImmutableList.of(), body));
+        node.table.storeRecorded(id, new RecordedAnswer(200, ImmutableList.of(), body));
         node.execute(new Effect.Replay(id, FIRST));
         String answer = caller.answer().body();
         assertEquals(Answers.texts(answer), "abc");
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamFaultsTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamFaultsTest.java
@@ -36,7 +36,7 @@
 
 /** Faults of upstreams, and the failure cause and exposure that the client derives from each. */
 public class UpstreamFaultsTest {
-  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS);
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(Node.TIMEOUT_SECONDS);
   private static final long SHORT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
   private static final int MAX_RESPONSE_BYTES = 2_000;
   private static final int MAX_CONNECTIONS = 3;
@@ -115,7 +115,7 @@
     }
 
     static Object get(CompletableFuture<Object> outcome) throws Exception {
-      return outcome.get(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
+      return outcome.get(Node.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     static int status(CompletableFuture<Object> outcome) throws Exception {
@@ -188,7 +188,7 @@
         assertFailure(outcome, FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN);
         server.next();
         assertEquals(
-            server.waitingRequests(), 0, "request was sent again after connection loss " + name);
+            server.pendingRequests(), 0, "request was sent again after connection loss " + name);
       }
     }
 
@@ -214,7 +214,7 @@
           new ScriptedServer(
               (q, a) -> {
                 if (requests.incrementAndGet() == 1) {
-                  a.whole(200, "ok");
+                  a.answer(200, "ok");
                 } else {
                   a.socket().close();
                 }
@@ -235,7 +235,7 @@
       try (ScriptedServer server =
           new ScriptedServer(
               (q, a) -> {
-                a.whole(200, "ok").socket().close();
+                a.answer(200, "ok").socket().close();
                 closed.countDown();
               })) {
         for (int i = 0; i < 20; i++) {
@@ -244,7 +244,7 @@
           if (done instanceof UpstreamFailure failure) {
             assertEquals(failure.exposure(), Exposure.MAY_HAVE_RUN, failure.detail());
           }
-          assertTrue(closed.await(Node.PATIENCE_SECONDS, TimeUnit.SECONDS));
+          assertTrue(closed.await(Node.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
       }
     }
@@ -253,7 +253,7 @@
     @Test
     public void halfClosedAfterResponse() throws Exception {
       try (ScriptedServer server =
-          new ScriptedServer((q, a) -> a.whole(200, "ok").socket().shutdownOutput())) {
+          new ScriptedServer((q, a) -> a.answer(200, "ok").socket().shutdownOutput())) {
         assertEquals(status(send(server, Methods.GET, LONG_TIMEOUT_NANOS)), 200);
       }
     }
@@ -303,7 +303,7 @@
         int status, String code, FailureCause cause, Exposure exposure) throws Exception {
       try (ScriptedServer server =
           new ScriptedServer(
-              (q, a) -> a.whole(status, "{\"error\":{\"code\":\"" + code + "\"}}"))) {
+              (q, a) -> a.answer(status, "{\"error\":{\"code\":\"" + code + "\"}}"))) {
         assertFailure(decode(server, LONG_TIMEOUT_NANOS), cause, exposure);
       }
     }
@@ -316,7 +316,7 @@
           ScriptedServer endless =
               new ScriptedServer((q, a) -> a.startEvents().chunk("data: " + "x".repeat(600)));
           ScriptedServer large =
-              new ScriptedServer((q, a) -> a.whole(200, "x".repeat(MAX_RESPONSE_BYTES + 1)))) {
+              new ScriptedServer((q, a) -> a.answer(200, "x".repeat(MAX_RESPONSE_BYTES + 1)))) {
         FailureCause bad = FailureCause.BAD_ANSWER;
         assertFailure(decode(text, LONG_TIMEOUT_NANOS), bad, Exposure.MAY_HAVE_RUN);
         assertFailure(decode(endless, LONG_TIMEOUT_NANOS), bad, Exposure.MAY_HAVE_RUN);
@@ -367,7 +367,7 @@
           new ScriptedServer(
               (q, a) -> {
                 allowedResponses.acquire();
-                a.whole(200, "ok");
+                a.answer(200, "ok");
               })) {
         List<CompletableFuture<Object>> sent = new ArrayList<>();
         for (int i = 0; i < MAX_CONNECTIONS + 2; i++) {
@@ -382,7 +382,7 @@
             Exposure.NOT_SENT);
         assertEquals(
             client.openConnections(new UpstreamAddress(server.address())), MAX_CONNECTIONS);
-        assertEquals(server.waitingRequests(), 0);
+        assertEquals(server.pendingRequests(), 0);
         allowedResponses.release(sent.size());
         for (CompletableFuture<Object> outcome : sent) {
           assertEquals(status(outcome), 200);
@@ -393,7 +393,7 @@
     /** A request aborted between getting its connection and using it is never sent. */
     @Test
     public void abortedBeforeSend() throws Exception {
-      try (ScriptedServer server = new ScriptedServer((q, a) -> a.whole(200, "ok"));
+      try (ScriptedServer server = new ScriptedServer((q, a) -> a.answer(200, "ok"));
           HttpWorker oneThread = new HttpWorker(1);
           UpstreamClient single =
               new UpstreamClient(oneThread, UpstreamClientSettings.DEFAULT, System::nanoTime)) {
@@ -410,7 +410,7 @@
         assertEquals(status(next), 200);
         server.next();
         server.next();
-        assertEquals(server.waitingRequests(), 0);
+        assertEquals(server.pendingRequests(), 0);
       }
     }
 
@@ -432,7 +432,7 @@
           new ScriptedServer(
               (q, a) -> {
                 allowedResponses.acquire();
-                a.whole(200, "ok");
+                a.answer(200, "ok");
               })) {
         List<CompletableFuture<Object>> sent = new ArrayList<>();
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
@@ -447,7 +447,7 @@
         for (CompletableFuture<Object> outcome : sent) {
           assertEquals(status(outcome), 200);
         }
-        assertEquals(server.waitingRequests(), 0);
+        assertEquals(server.pendingRequests(), 0);
       }
     }
   }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamPollerTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamPollerTest.java
@@ -74,7 +74,7 @@
     UpstreamPoller poller(double random) {
       PollSettings settings =
           new PollSettings(
-              LOAD_NANOS, CACHE_NANOS, TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS), 0.2);
+              LOAD_NANOS, CACHE_NANOS, TimeUnit.SECONDS.toNanos(Node.TIMEOUT_SECONDS), 0.2);
       return new UpstreamPoller(
           engines,
           settings,
@@ -89,13 +89,13 @@
     }
 
     DelayedTask nextTask() throws InterruptedException {
-      DelayedTask task = scheduled.poll(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
+      DelayedTask task = scheduled.poll(Node.TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertTrue(task != null, "no task was scheduled");
       return task;
     }
 
     Event nextEvent() throws InterruptedException {
-      Event event = events.poll(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
+      Event event = events.poll(Node.TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertTrue(event != null, "the poller sent no event");
       return event;
     }
@@ -111,7 +111,7 @@
       try (ScriptedServer engine =
           new ScriptedServer(
               (q, a) ->
-                  a.whole(
+                  a.answer(
                       200,
                       "{\"incarnation\":5,\"age_millis\":40,\"role\":\"decode\",\"slots\":20,"
                           + "\"running\":3,\"waiting\":1,\"kv_pieces\":64,\"kv_pieces_free\":60,"
@@ -147,7 +147,7 @@
     /** A removed target is not polled again; polling of a remaining one is not restarted. */
     @Test
     public void pollsOnlyCurrentTargets() throws Exception {
-      try (ScriptedServer engine = new ScriptedServer((q, a) -> a.whole(200, "{}"))) {
+      try (ScriptedServer engine = new ScriptedServer((q, a) -> a.answer(200, "{}"))) {
         UpstreamPoller poller = poller(0.0);
         PollTarget one = target("one", engine);
         PollTarget two = target("two", engine);
@@ -160,7 +160,7 @@
         scheduled.clear();
         poller.setTargets(ImmutableSet.of(two));
         tasksOfOne.forEach(d -> d.task().run());
-        assertEquals(engine.waitingRequests(), 0);
+        assertEquals(engine.pendingRequests(), 0);
         assertEquals(scheduled.size(), 0);
       }
     }
@@ -180,7 +180,7 @@
       };
       AtomicInteger requestCount = new AtomicInteger();
       try (ScriptedServer engine =
-          new ScriptedServer((q, a) -> a.whole(200, responses[requestCount.getAndIncrement()]))) {
+          new ScriptedServer((q, a) -> a.answer(200, responses[requestCount.getAndIncrement()]))) {
         UpstreamPoller poller = poller(0.5);
         poller.setTargets(ImmutableSet.of(target("e", engine)));
         nextTask();
@@ -212,24 +212,24 @@
           new ScriptedServer(
               (q, a) -> {
                 if (q.method().equals("GET")) {
-                  a.whole(
+                  a.answer(
                       200,
                       "{\"incarnation\":1,\"requests\":[{\"id\":\"n1/7/1\"},{\"id\":\"n1/8/1\"},"
                           + "{\"id\":\"n2/7/1\"},{\"id\":\"n1/7/2\"},{\"id\":\"other\"},"
                           + "{\"id\":\"n1/7\"}]}");
                 } else {
                   cancelled.add(q.target());
-                  a.whole(q.target().endsWith("2") ? 500 : 200, "{\"state\":\"cancelled\"}");
+                  a.answer(q.target().endsWith("2") ? 500 : 200, "{\"state\":\"cancelled\"}");
                 }
               })) {
         EngineRequestId.Origin ended =
             new EngineRequestId.Origin(new HostName("n1"), new Incarnation(7));
         OrphanSweep sweep =
-            new OrphanSweep(engines, TimeUnit.SECONDS.toNanos(Node.PATIENCE_SECONDS));
+            new OrphanSweep(engines, TimeUnit.SECONDS.toNanos(Node.TIMEOUT_SECONDS));
         OrphanSweep.Result result =
             sweep
                 .sweep(new UpstreamAddress(engine.address()), ended::equals)
-                .get(Node.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                .get(Node.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(result, new OrphanSweep.Result(6, 1, 1));
         assertEquals(
             ImmutableSet.copyOf(cancelled),
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/CallFacts.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/CallMetadata.java
@@ -21,18 +21,18 @@
  *     declared
  * @param size the declared sizes of prompt and output
  * @param prompt identifies the prompt
- * @param resumes true if the caller has received the beginning of the stream before
+ * @param resumesStream true if the caller has received the beginning of the stream before
  * @param key the key that identifies the workspace of the caller; empty if the caller sent none
  * @since 0.1
  */
-public record CallFacts(
+public record CallMetadata(
     String wireId,
     long deadlineMillis,
     CallSize size,
     PromptKey prompt,
-    boolean resumes,
+    boolean resumesStream,
     Optional<CallerKey> key) {
   /** The value for a call whose headers cannot be parsed. */
-  static final CallFacts NONE =
-      new CallFacts("", 0, CallSize.NONE, PromptKey.NONE, false, Optional.empty());
+  static final CallMetadata NONE =
+      new CallMetadata("", 0, CallSize.NONE, PromptKey.NONE, false, Optional.empty());
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
@@ -70,7 +70,7 @@
     long millis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos);
     dialect.prepare(
         headers,
-        new SendFacts(
+        new SendMetadata(
             upstream,
             new RelayEffect.Purpose.Run(),
             millis,
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
@@ -284,7 +284,7 @@
 
   private RelayEvent prefillOutcome(long at) {
     return dialect
-        .promptHandle(body.toByteArray())
+        .readHandle(body.toByteArray())
         .<RelayEvent>map(handle -> new RelayEvent.PromptRead(at, id, handle))
         .orElseGet(() -> new RelayEvent.Lost(at, id, FailureCause.BAD_ANSWER));
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayDialect.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayDialect.java
@@ -34,10 +34,10 @@
    *
    * @throws org.larkkeel.errors.LarkkeelException if a header cannot be parsed
    */
-  CallFacts facts(HeaderMap headers);
+  CallMetadata readMetadata(HeaderMap headers);
 
   /** Adds the metadata for an upstream to a copy of the caller's headers, which it modifies. */
-  void prepare(ListMultimap<HttpString, String> headers, SendFacts facts);
+  void prepare(ListMultimap<HttpString, String> headers, SendMetadata facts);
 
   /**
    * Classifies an answer by its head.
@@ -63,7 +63,7 @@
    * Returns the handle in the answer of an upstream that has prefilled a prompt; empty if there is
    * none.
    */
-  Optional<String> promptHandle(byte[] body);
+  Optional<String> readHandle(byte[] body);
 
   /**
    * Returns the control call that copies the memory of a run to another upstream; {@link
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayExecutor.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayExecutor.java
@@ -102,7 +102,7 @@
    * @param grants sends a reservation granted to another node
    * @param suspects reports a suspect request
    */
-  public void tells(
+  public void setPeerReporters(
       Consumer<RelayEffect.GrantReservation> grants, Consumer<RelayEffect.ReportSuspect> suspects) {
     grantSender = grants;
     suspectReporter = suspects;
@@ -189,7 +189,7 @@
     OptionalLong resume = request.headSent ? request.lastEventId : OptionalLong.empty();
     dialect.prepare(
         headers,
-        new SendFacts(
+        new SendMetadata(
             e.upstream(), e.purpose(), leftNanos / NANOS_PER_MILLI, resume, e.workspace()));
     return ImmutableListMultimap.copyOf(headers);
   }
@@ -244,7 +244,7 @@
     return switch (answer.status()) {
       case StatusCodes.OK ->
           dialect
-              .promptHandle(answer.body())
+              .readHandle(answer.body())
               .<MoveResult>map(MoveResult.Copied::new)
               .orElseGet(MoveResult.Failed::new);
       case StatusCodes.NOT_FOUND -> new MoveResult.NoRun();
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayListener.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayListener.java
@@ -133,17 +133,17 @@
   }
 
   private void handle(HttpServerExchange exchange) {
-    CallFacts metadata = CallFacts.NONE;
+    CallMetadata metadata = CallMetadata.NONE;
     try {
-      metadata = dialect.facts(exchange.getRequestHeaders());
-      CallFacts read = metadata;
+      metadata = dialect.readMetadata(exchange.getRequestHeaders());
+      CallMetadata read = metadata;
       bodies.read(exchange, metadata.wireId(), body -> accept(exchange, read, body));
     } catch (LarkkeelException e) {
       answer(exchange, Problem.of(e.kind(), e.getMessage(), metadata.wireId()));
     }
   }
 
-  private void accept(HttpServerExchange exchange, CallFacts metadata, BodyReader.Body body) {
+  private void accept(HttpServerExchange exchange, CallMetadata metadata, BodyReader.Body body) {
     if (closing) {
       exchange.setPersistent(false);
     }
@@ -164,7 +164,7 @@
             metadata.deadlineMillis(),
             metadata.size(),
             metadata.prompt(),
-            metadata.resumes(),
+            metadata.resumesStream(),
             identity(exchange, target, metadata, body.bytes()),
             metadata.key());
     RelayRequest request =
@@ -183,7 +183,7 @@
   }
 
   private static RequestIdentity identity(
-      HttpServerExchange exchange, String target, CallFacts metadata, byte[] body) {
+      HttpServerExchange exchange, String target, CallMetadata metadata, byte[] body) {
     return new RequestIdentity(
         exchange.getRequestMethod().toString(),
         host(exchange),
@@ -192,7 +192,7 @@
         body);
   }
 
-  private void refuseStopping(HttpServerExchange exchange, CallFacts metadata) {
+  private void refuseStopping(HttpServerExchange exchange, CallMetadata metadata) {
     String detail = "This node stops.";
     Problem problem =
         new Problem(ErrorKind.NOT_READY, detail, metadata.wireId(), STOPPING_RETRY_MILLIS);
@@ -204,7 +204,7 @@
     exchange.dispatch(SameThreadExecutor.INSTANCE, () -> answer(exchange, problem));
   }
 
-  private static String printableId(CallFacts metadata) {
+  private static String printableId(CallMetadata metadata) {
     return metadata.wireId().replaceAll("[^\\x21\\x23-\\x7e]", "?");
   }
 
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayLoop.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayLoop.java
@@ -36,7 +36,7 @@
   private final RelayRouter router;
   private final BootClock clock;
   private final Deque<RelayEvent> queue = new ArrayDeque<>();
-  private Consumer<RelayEffect> effects = e -> {};
+  private Consumer<RelayEffect> setEffectSink = e -> {};
   private Runnable afterBatch = () -> {};
   private volatile boolean closed;
   private boolean applying;
@@ -52,12 +52,12 @@
   }
 
   /** Sets the consumer that executes effects. Must be called before the first event. */
-  public void effects(Consumer<RelayEffect> sink) {
-    effects = sink;
+  public void setEffectSink(Consumer<RelayEffect> sink) {
+    setEffectSink = sink;
   }
 
   /** Sets an action that runs after each batch of events. Must be called before the first event. */
-  public void afterEach(Runnable action) {
+  public void setAfterBatch(Runnable action) {
     afterBatch = action;
   }
 
@@ -131,7 +131,7 @@
 
   private void apply(RelayEvent event) {
     try {
-      router.apply(event, effects);
+      router.apply(event, setEffectSink);
     } catch (RuntimeException e) {
       log.error("event=reducer_failed type={}", event.getClass().getSimpleName(), e);
     }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/SendFacts.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/SendMetadata.java
@@ -25,7 +25,7 @@
  * @param workspace the workspace of the request; empty if the request has none
  * @since 0.1
  */
-public record SendFacts(
+public record SendMetadata(
     RelayUpstream upstream,
     RelayEffect.Purpose purpose,
     long leftMillis,
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/RequestTable.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/RequestTable.java
@@ -92,13 +92,13 @@
    * @param request the request
    * @param answer the recorded answer
    */
-  public void keepRecorded(RequestId request, RecordedAnswer answer) {
+  public void storeRecorded(RequestId request, RecordedAnswer answer) {
     if (records.containsKey(request)) {
       recorded.put(request, answer);
     }
   }
 
-  /** Returns the answer stored by {@link #keepRecorded}. */
+  /** Returns the answer stored by {@link #storeRecorded}. */
   Optional<RecordedAnswer> recorded(RequestId request) {
     return Optional.ofNullable(recorded.get(request));
   }
--- a/platform.test/src/test/java/org/larkkeel/platform/PlatformDialectTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/PlatformDialectTest.java
@@ -19,7 +19,7 @@
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.errors.LarkkeelException;
 import org.larkkeel.http.relay.AnswerVerdict;
-import org.larkkeel.http.relay.SendFacts;
+import org.larkkeel.http.relay.SendMetadata;
 import org.larkkeel.lib.DataCentreName;
 import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
@@ -85,19 +85,19 @@
     public void identifyThePromptByItsLastPart() {
       HeaderMap headers = new HeaderMap();
       headers.put(PlatformNames.PREFIX_HASH, "5c1e07a2:800, e4402b7d:250");
-      assertEquals(new PlatformDialect().facts(headers).prompt(), new PromptKey("e4402b7d"));
+      assertEquals(new PlatformDialect().readMetadata(headers).prompt(), new PromptKey("e4402b7d"));
     }
 
     @Test
     public void haveNoPromptKeyWithoutPromptParts() {
-      assertEquals(new PlatformDialect().facts(new HeaderMap()).prompt(), PromptKey.NONE);
+      assertEquals(new PlatformDialect().readMetadata(new HeaderMap()).prompt(), PromptKey.NONE);
     }
 
     @Test
     public void haveAtMostOneKey() {
       HeaderMap headers = new HeaderMap();
       headers.put(PlatformNames.CREDENTIAL, "key-a");
-      assertEquals(new PlatformDialect().facts(headers).key(), Optional.of(CallerKey.of("key-a")));
+      assertEquals(new PlatformDialect().readMetadata(headers).key(), Optional.of(CallerKey.of("key-a")));
       headers.add(PlatformNames.CREDENTIAL, "key-b");
       assertMalformed(headers);
     }
@@ -116,7 +116,7 @@
 
     private static void assertMalformed(HeaderMap headers) {
       try {
-        new PlatformDialect().facts(headers);
+        new PlatformDialect().readMetadata(headers);
       } catch (LarkkeelException e) {
         assertEquals(e.kind(), ErrorKind.MALFORMED_REQUEST);
         assertFalse(e.getMessage().contains("key-"), e.getMessage());
@@ -136,7 +136,7 @@
       if (last != null) {
         headers.put(PlatformNames.LAST_EVENT_ID, last);
       }
-      assertEquals(new PlatformDialect().facts(headers).resumes(), expected);
+      assertEquals(new PlatformDialect().readMetadata(headers).resumesStream(), expected);
     }
   }
 
@@ -152,8 +152,8 @@
             Stage.PREFILL,
             false);
 
-    private static SendFacts facts(Purpose purpose, Optional<WorkspaceName> workspace) {
-      return new SendFacts(SOURCE, purpose, 1_000, OptionalLong.empty(), workspace);
+    private static SendMetadata facts(Purpose purpose, Optional<WorkspaceName> workspace) {
+      return new SendMetadata(SOURCE, purpose, 1_000, OptionalLong.empty(), workspace);
     }
 
     /** Each purpose of an attempt. */
