--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EngineOrders.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/EngineOrders.java
@@ -24,7 +24,7 @@
 import org.larkkeel.http.upstream.EngineClient;
 import org.larkkeel.http.upstream.UpstreamAddress;
 import org.larkkeel.http.upstream.UpstreamFailure;
-import org.larkkeel.http.upstream.WholeAnswer;
+import org.larkkeel.http.upstream.ResponseCollector;
 import org.larkkeel.lib.FencingNumber;
 import org.larkkeel.lib.ModelName;
 import org.larkkeel.store.order.AdapterName;
@@ -60,7 +60,7 @@
   @Override
   public CompletableFuture<EngineReport> read(Upstream upstream) {
     CompletableFuture<EngineReport> result = new CompletableFuture<>();
-    engines.orders(
+    engines.listOrders(
         UpstreamAddress.parse(upstream.address()),
         READ_TIMEOUT_NANOS,
         new EngineClient.JsonCallback(
@@ -116,7 +116,7 @@
     ObjectNode body = Json.object();
     body.put(FENCING, fencing.value());
     writeOrder(order, body.putObject(ORDER));
-    engines.order(
+    engines.sendOrder(
         UpstreamAddress.parse(upstream.address()),
         body,
         allowed,
@@ -141,7 +141,7 @@
     }
   }
 
-  private static OrderResult toOrderResult(WholeAnswer.Answer answer) {
+  private static OrderResult toOrderResult(ResponseCollector.Response answer) {
     return switch (answer.status()) {
       case StatusCodes.OK -> OrderResult.IN_FORCE;
       case StatusCodes.CONFLICT -> OrderResult.STALE_FENCING;
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/AbortedExchangeTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/AbortedExchangeTest.java
@@ -94,11 +94,11 @@
       server.close();
     }
 
-    InFlight send(String target, byte[] body, ResponseHandler handler) {
+    InFlightRequest send(String target, byte[] body, ResponseHandler handler) {
       return client.send(
           to,
           new UpstreamRequest(Methods.POST, target, ImmutableListMultimap.of(), body),
-          AnswerTimeout.whole(TIMEOUT_NANOS),
+          ResponseTimeout.total(TIMEOUT_NANOS),
           ConnectionUse.REQUEST,
           handler);
     }
@@ -129,7 +129,7 @@
     @Test
     public void abortEndsOnceWithReset() throws Exception {
       CountingHandler handler = new CountingHandler();
-      InFlight inFlight = send("/x", new byte[64 << 20], handler);
+      InFlightRequest inFlight = send("/x", new byte[64 << 20], handler);
       try (Socket s = server.accept()) {
         readHead(s.getInputStream());
         Thread.sleep(200);
@@ -186,7 +186,7 @@
         UpstreamRequest request =
             new UpstreamRequest(Methods.POST, "/x", ImmutableListMultimap.of(), new byte[1]);
         CountingHandler active = new CountingHandler();
-        small.send(to, request, AnswerTimeout.whole(TIMEOUT_NANOS), ConnectionUse.REQUEST, active);
+        small.send(to, request, ResponseTimeout.total(TIMEOUT_NANOS), ConnectionUse.REQUEST, active);
         try (Socket s = server.accept()) {
           readHead(s.getInputStream());
           s.getInputStream().read();
@@ -194,12 +194,12 @@
             CountingHandler aborted = new CountingHandler();
             small
                 .send(
-                    to, request, AnswerTimeout.whole(TIMEOUT_NANOS), ConnectionUse.REQUEST, aborted)
+                    to, request, ResponseTimeout.total(TIMEOUT_NANOS), ConnectionUse.REQUEST, aborted)
                 .abort();
             aborted.first.get(5, TimeUnit.SECONDS);
           }
           CountingHandler next = new CountingHandler();
-          small.send(to, request, AnswerTimeout.whole(TIMEOUT_NANOS), ConnectionUse.REQUEST, next);
+          small.send(to, request, ResponseTimeout.total(TIMEOUT_NANOS), ConnectionUse.REQUEST, next);
           s.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes());
           assertTrue(!next.first.isDone(), next.first.getNow(""));
           readHead(s.getInputStream());
@@ -233,7 +233,7 @@
       for (int i = 0; i < 3_000; i++) {
         CountingHandler handler = new CountingHandler();
         all.add(handler);
-        InFlight inFlight = send("/n" + i, new byte[random.nextInt(3_000)], handler);
+        InFlightRequest inFlight = send("/n" + i, new byte[random.nextInt(3_000)], handler);
         if (random.nextInt(3) > 0) {
           int micros = random.nextInt(3_000);
           Thread.ofVirtual()
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamFaultsTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/UpstreamFaultsTest.java
@@ -78,9 +78,9 @@
       client.send(
           new UpstreamAddress(to),
           new UpstreamRequest(method, "/x", ImmutableListMultimap.of(), body),
-          AnswerTimeout.whole(timeoutNanos),
+          ResponseTimeout.total(timeoutNanos),
           ConnectionUse.REQUEST,
-          new WholeAnswer(MAX_RESPONSE_BYTES, outcome::complete, outcome::complete));
+          new ResponseCollector(MAX_RESPONSE_BYTES, outcome::complete, outcome::complete));
       return outcome;
     }
 
@@ -95,7 +95,7 @@
               Json.object(),
               0,
               idleTimeoutNanos,
-              new TokenStream() {
+              new TokenHandler() {
                 @Override
                 public boolean onToken(Token token) {
                   return tokens.add(token);
@@ -120,8 +120,8 @@
 
     static int status(CompletableFuture<Object> outcome) throws Exception {
       Object done = get(outcome);
-      assertTrue(done instanceof WholeAnswer.Answer, String.valueOf(done));
-      return ((WholeAnswer.Answer) done).status();
+      assertTrue(done instanceof ResponseCollector.Response, String.valueOf(done));
+      return ((ResponseCollector.Response) done).status();
     }
 
     static void assertFailure(
@@ -414,14 +414,14 @@
       }
     }
 
-    private static InFlight start(
+    private static InFlightRequest start(
         UpstreamClient client, UpstreamAddress to, CompletableFuture<Object> outcome) {
       return client.send(
           to,
           new UpstreamRequest(Methods.POST, "/x", ImmutableListMultimap.of(), new byte[1]),
-          AnswerTimeout.whole(LONG_TIMEOUT_NANOS),
+          ResponseTimeout.total(LONG_TIMEOUT_NANOS),
           ConnectionUse.REQUEST,
-          new WholeAnswer(MAX_RESPONSE_BYTES, outcome::complete, outcome::complete));
+          new ResponseCollector(MAX_RESPONSE_BYTES, outcome::complete, outcome::complete));
     }
 
     /** A request that times out while it waits for a connection is never sent. */
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.larkkeel.http.upstream.AnswerTimeout;
+import org.larkkeel.http.upstream.ResponseTimeout;
 import org.larkkeel.http.upstream.ConnectionUse;
 import org.larkkeel.http.upstream.UpstreamAddress;
 import org.larkkeel.http.upstream.UpstreamClient;
 import org.larkkeel.http.upstream.UpstreamFailure;
 import org.larkkeel.http.upstream.UpstreamRequest;
-import org.larkkeel.http.upstream.WholeAnswer;
+import org.larkkeel.http.upstream.ResponseCollector;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayUpstream;
 
@@ -63,7 +63,7 @@
       ControlCall call,
       long timeoutNanos,
       BooleanSupplier mayBeWritten,
-      Consumer<WholeAnswer.Answer> done,
+      Consumer<ResponseCollector.Response> done,
       Consumer<UpstreamFailure> failed) {
     final long sentAt = notices.now();
     ListMultimap<HttpString, String> headers = LinkedListMultimap.create();
@@ -87,9 +87,9 @@
     client.send(
         UpstreamAddress.parse(upstream.address()),
         wire,
-        AnswerTimeout.whole(timeoutNanos),
+        ResponseTimeout.total(timeoutNanos),
         ConnectionUse.CONTROL,
-        new WholeAnswer(
+        new ResponseCollector(
             MAX_ANSWER_BYTES,
             answer -> {
               notices.read(upstream.incarnation(), sentAt, answer);
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/NoticeReader.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/NoticeReader.java
@@ -9,7 +9,7 @@
 import io.undertow.util.HttpString;
 import java.util.List;
 import java.util.function.Function;
-import org.larkkeel.http.upstream.WholeAnswer;
+import org.larkkeel.http.upstream.ResponseCollector;
 import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RateLimitNotice;
 import org.larkkeel.relay.RelayEvent;
@@ -68,7 +68,7 @@
    * Reads the head of the answer to a control call. That it names no rate limit does not show that
    * requests have none.
    */
-  void read(UpstreamIncarnation upstream, long sentAt, WholeAnswer.Answer answer) {
+  void read(UpstreamIncarnation upstream, long sentAt, ResponseCollector.Response answer) {
     read(upstream, sentAt, answer.status(), name -> answer.headers().get(name), false);
   }
 
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
@@ -19,7 +19,7 @@
 import org.larkkeel.event.Exposure;
 import org.larkkeel.event.FailureCause;
 import org.larkkeel.http.request.RecordedAnswer;
-import org.larkkeel.http.upstream.InFlight;
+import org.larkkeel.http.upstream.InFlightRequest;
 import org.larkkeel.http.upstream.ResponseHandler;
 import org.larkkeel.http.upstream.UpstreamFailure;
 import org.larkkeel.lib.AttemptId;
@@ -56,7 +56,7 @@
   private final OptionalLong resumedAfter;
   private final long placedAt;
   private Optional<EventSplitter> splitter = Optional.empty();
-  private Optional<InFlight> inFlight = Optional.empty();
+  private Optional<InFlightRequest> inFlight = Optional.empty();
   private AnswerVerdict verdict = AnswerVerdict.UNUSABLE;
   private RecordedAnswer head = new RecordedAnswer(0, ImmutableList.of(), new byte[0]);
   private boolean endsWithConnection;
@@ -91,7 +91,7 @@
     return request;
   }
 
-  void inFlight(InFlight started) {
+  void inFlight(InFlightRequest started) {
     inFlight = Optional.of(started);
     if (ended) {
       started.abort();
@@ -111,14 +111,14 @@
   /** Aborts the attempt if the request has not been written yet. */
   void abortIfNotSent() {
     if (!sent && !ended) {
-      inFlight.ifPresent(InFlight::abort);
+      inFlight.ifPresent(InFlightRequest::abort);
     }
   }
 
   /** Aborts the attempt without submitting an outcome. */
   void cancel() {
     ended = true;
-    inFlight.ifPresent(InFlight::abort);
+    inFlight.ifPresent(InFlightRequest::abort);
   }
 
   /** Returns the fact to report when this attempt is cancelled: its progress and age. */
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayExecutor.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayExecutor.java
@@ -19,13 +19,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.larkkeel.http.Problem;
-import org.larkkeel.http.upstream.AnswerTimeout;
+import org.larkkeel.http.upstream.ResponseTimeout;
 import org.larkkeel.http.upstream.ConnectProbe;
 import org.larkkeel.http.upstream.ConnectionUse;
 import org.larkkeel.http.upstream.UpstreamAddress;
 import org.larkkeel.http.upstream.UpstreamClient;
 import org.larkkeel.http.upstream.UpstreamRequest;
-import org.larkkeel.http.upstream.WholeAnswer;
+import org.larkkeel.http.upstream.ResponseCollector;
 import org.larkkeel.lib.AttemptId;
 import org.larkkeel.lib.RequestId;
 import org.larkkeel.relay.MoveResult;
@@ -162,10 +162,10 @@
         new RelayAttempt(loop, dialect, notices, e, request, settings.maxAnswerBytes());
     attempts.put(e.attempt(), attempt);
     long leftNanos = Math.max(NANOS_PER_MILLI, e.deadline() - loop.now());
-    AnswerTimeout timeout =
+    ResponseTimeout timeout =
         e.idleTimeoutNanos() > 0
-            ? AnswerTimeout.silence(e.idleTimeoutNanos())
-            : AnswerTimeout.whole(leftNanos + ANSWER_MARGIN_NANOS);
+            ? ResponseTimeout.idle(e.idleTimeoutNanos())
+            : ResponseTimeout.total(leftNanos + ANSWER_MARGIN_NANOS);
     UpstreamRequest wire =
         new UpstreamRequest(
             request.method,
@@ -217,9 +217,9 @@
     client.send(
         UpstreamAddress.parse(source.address()),
         wire,
-        AnswerTimeout.whole(FREE_TIMEOUT_NANOS),
+        ResponseTimeout.total(FREE_TIMEOUT_NANOS),
         ConnectionUse.CONTROL,
-        new WholeAnswer(
+        new ResponseCollector(
             MAX_FREE_ANSWER_BYTES,
             answer -> notices.read(source.incarnation(), sentAt, answer),
             failure -> {}));
@@ -240,7 +240,7 @@
         failure -> submitMoved(e.attempt(), new MoveResult.Failed()));
   }
 
-  private MoveResult moveResult(WholeAnswer.Answer answer) {
+  private MoveResult moveResult(ResponseCollector.Response answer) {
     return switch (answer.status()) {
       case StatusCodes.OK ->
           dialect
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/Attempts.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/Attempts.java
@@ -13,7 +13,7 @@
 import org.larkkeel.event.Event;
 import org.larkkeel.http.upstream.EngineClient;
 import org.larkkeel.http.upstream.EngineRequestId;
-import org.larkkeel.http.upstream.InFlight;
+import org.larkkeel.http.upstream.InFlightRequest;
 import org.larkkeel.http.upstream.UpstreamClient;
 import org.larkkeel.http.upstream.UpstreamFailure;
 import org.larkkeel.lib.AttemptId;
@@ -52,10 +52,10 @@
    * after the other.
    */
   static final class RunningStep {
-    private InFlight call;
+    private InFlightRequest call;
     private boolean aborted;
 
-    synchronized void setInFlight(InFlight inFlight) {
+    synchronized void setInFlight(InFlightRequest inFlight) {
       call = inFlight;
       if (aborted) {
         inFlight.abort();
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/DecodeAttempt.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/DecodeAttempt.java
@@ -9,7 +9,7 @@
 import org.larkkeel.event.Event;
 import org.larkkeel.http.request.Attempts.RunningStep;
 import org.larkkeel.http.upstream.Token;
-import org.larkkeel.http.upstream.TokenStream;
+import org.larkkeel.http.upstream.TokenHandler;
 import org.larkkeel.http.upstream.UpstreamFailure;
 import org.larkkeel.lib.AttemptId;
 
@@ -18,7 +18,7 @@
  *
  * <p>Confined to one I/O thread.
  */
-final class DecodeAttempt implements TokenStream {
+final class DecodeAttempt implements TokenHandler {
   private final Attempts attempts;
   private final AttemptId attempt;
   private final RunningStep step;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/PlainSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/PlainSender.java
@@ -16,12 +16,12 @@
 import org.larkkeel.http.HeaderNames;
 import org.larkkeel.http.HopHeaders;
 import org.larkkeel.http.request.Attempts.RunningStep;
-import org.larkkeel.http.upstream.AnswerTimeout;
+import org.larkkeel.http.upstream.ResponseTimeout;
 import org.larkkeel.http.upstream.ConnectionUse;
 import org.larkkeel.http.upstream.Refusals;
 import org.larkkeel.http.upstream.UpstreamAddress;
 import org.larkkeel.http.upstream.UpstreamRequest;
-import org.larkkeel.http.upstream.WholeAnswer;
+import org.larkkeel.http.upstream.ResponseCollector;
 
 /**
  * Sends plain calls to services and collects their answers.
@@ -45,9 +45,9 @@
     attempts.addresses().markService(e.upstream());
     RunningStep step = attempts.begin(e.attempt());
     request.makeCurrent(e.attempt());
-    WholeAnswer collector =
-        new WholeAnswer(
-            attempts.client().settings().maxAnswerBytes(),
+    ResponseCollector collector =
+        new ResponseCollector(
+            attempts.client().settings().maxResponseBytes(),
             a -> answered(e, step, request, a),
             f -> attempts.fail(e.attempt(), step, f, 0));
     step.setInFlight(
@@ -56,13 +56,13 @@
             .send(
                 address,
                 withRequestId(request.request(), attempts.engineRequestId(e.attempt()).toString()),
-                AnswerTimeout.whole(e.timeoutNanos()),
+                ResponseTimeout.total(e.timeoutNanos()),
                 ConnectionUse.REQUEST,
                 collector));
   }
 
   private void answered(
-      Effect.SendPlain e, RunningStep step, PlainRecord request, WholeAnswer.Answer answer) {
+      Effect.SendPlain e, RunningStep step, PlainRecord request, ResponseCollector.Response answer) {
     if (UNAVAILABLE_STATUSES.contains(answer.status())) {
       attempts.fail(e.attempt(), step, Refusals.ofService(answer), 0);
       return;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/DecodeResponseHandler.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/DecodeResponseHandler.java
@@ -24,19 +24,19 @@
 final class DecodeResponseHandler implements ResponseHandler {
   private static final String END_MARKER = "[DONE]";
 
-  private final TokenStream stream;
+  private final TokenHandler stream;
   private final SseParser parser;
-  private final WholeAnswer errorResponse;
+  private final ResponseCollector errorResponse;
   private boolean streaming;
   private boolean hasEndMarker;
   private UpstreamFailure eventFailure;
 
-  DecodeResponseHandler(UpstreamClientSettings settings, TokenStream stream) {
+  DecodeResponseHandler(UpstreamClientSettings settings, TokenHandler stream) {
     this.stream = stream;
     this.parser = new SseParser(settings.maxEventBytes(), this::onEvent);
     this.errorResponse =
-        new WholeAnswer(
-            settings.maxAnswerBytes(),
+        new ResponseCollector(
+            settings.maxResponseBytes(),
             a -> stream.onFailure(Refusals.ofEngine(a)),
             stream::onFailure);
   }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/EngineClient.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/EngineClient.java
@@ -68,7 +68,7 @@
    * @param callback receives the response
    * @return a handle to abort the request
    */
-  public InFlight prefill(
+  public InFlightRequest prefill(
       UpstreamAddress address,
       EngineRequestId id,
       ObjectNode body,
@@ -90,7 +90,7 @@
    * @param callback receives the response
    * @return a handle to abort the request
    */
-  public InFlight importKv(
+  public InFlightRequest importKv(
       UpstreamAddress address,
       EngineRequestId id,
       JsonNode kvParams,
@@ -113,20 +113,20 @@
    * @param stream receives the tokens
    * @return a handle to abort the request
    */
-  public InFlight decode(
+  public InFlightRequest decode(
       UpstreamAddress address,
       EngineRequestId id,
       ObjectNode body,
       int resumeFrom,
       long idleTimeoutNanos,
-      TokenStream stream) {
+      TokenHandler stream) {
     body.put("stream", true);
     body.put("resume_from", resumeFrom);
     body.putObject(KV_PARAMS).put("do_remote_prefill", true);
     UpstreamRequest request = postRequest(COMPLETIONS, id, body);
     DecodeResponseHandler handler = new DecodeResponseHandler(client.settings(), stream);
     return client.send(
-        address, request, AnswerTimeout.silence(idleTimeoutNanos), ConnectionUse.REQUEST, handler);
+        address, request, ResponseTimeout.idle(idleTimeoutNanos), ConnectionUse.REQUEST, handler);
   }
 
   /**
@@ -184,7 +184,7 @@
    * @param timeoutNanos the timeout of the complete call
    * @param callback receives the response
    */
-  public void orders(UpstreamAddress address, long timeoutNanos, JsonCallback callback) {
+  public void listOrders(UpstreamAddress address, long timeoutNanos, JsonCallback callback) {
     sendControl(address, Methods.GET, ORDERS, timeoutNanos, callback);
   }
 
@@ -198,12 +198,12 @@
    * @param done receives the response, whatever its status
    * @param failed receives the failure if there is no complete response
    */
-  public void order(
+  public void sendOrder(
       UpstreamAddress address,
       ObjectNode body,
       BooleanSupplier allowed,
       long timeoutNanos,
-      Consumer<WholeAnswer.Answer> done,
+      Consumer<ResponseCollector.Response> done,
       Consumer<UpstreamFailure> failed) {
     UpstreamRequest request =
         new UpstreamRequest(
@@ -215,12 +215,12 @@
     client.send(
         address,
         request,
-        AnswerTimeout.whole(timeoutNanos),
+        ResponseTimeout.total(timeoutNanos),
         ConnectionUse.CONTROL,
-        new WholeAnswer(client.settings().maxAnswerBytes(), done, failed));
+        new ResponseCollector(client.settings().maxResponseBytes(), done, failed));
   }
 
-  private InFlight post(
+  private InFlightRequest post(
       UpstreamAddress address,
       String target,
       EngineRequestId id,
@@ -230,7 +230,7 @@
     return client.send(
         address,
         postRequest(target, id, body),
-        AnswerTimeout.whole(timeoutNanos),
+        ResponseTimeout.total(timeoutNanos),
         ConnectionUse.REQUEST,
         jsonHandler(callback));
   }
@@ -246,7 +246,7 @@
     client.send(
         address,
         request,
-        AnswerTimeout.whole(timeoutNanos),
+        ResponseTimeout.total(timeoutNanos),
         ConnectionUse.CONTROL,
         jsonHandler(callback));
   }
@@ -260,12 +260,12 @@
         Json.bytes(body));
   }
 
-  private WholeAnswer jsonHandler(JsonCallback callback) {
-    return new WholeAnswer(
-        client.settings().maxAnswerBytes(), a -> parse(a, callback), callback.failed());
+  private ResponseCollector jsonHandler(JsonCallback callback) {
+    return new ResponseCollector(
+        client.settings().maxResponseBytes(), a -> parse(a, callback), callback.failed());
   }
 
-  private static void parse(WholeAnswer.Answer response, JsonCallback callback) {
+  private static void parse(ResponseCollector.Response response, JsonCallback callback) {
     if (response.status() != StatusCodes.OK) {
       callback.failed().accept(Refusals.ofEngine(response));
       return;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/InFlight.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/InFlightRequest.java
@@ -14,7 +14,7 @@
  * @since 0.1
  */
 @FunctionalInterface
-public interface InFlight {
+public interface InFlightRequest {
   /**
    * Aborts the request and closes its connection. The request's handler gets {@code onFailure}
    * unless its last call has already been made. Repeated calls have no effect.
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/Refusals.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/Refusals.java
@@ -28,7 +28,7 @@
 
   private Refusals() {}
 
-  static UpstreamFailure ofEngine(WholeAnswer.Answer response) {
+  static UpstreamFailure ofEngine(ResponseCollector.Response response) {
     String code = errorCode(response.body());
     String detail = response.status() + " " + code;
     return switch (response.status()) {
@@ -48,7 +48,7 @@
    * @param response a response by which the service reports that it could not handle the request
    * @return the failure
    */
-  public static UpstreamFailure ofService(WholeAnswer.Answer response) {
+  public static UpstreamFailure ofService(ResponseCollector.Response response) {
     String detail = Integer.toString(response.status());
     boolean notRun =
         response.status() == StatusCodes.SERVICE_UNAVAILABLE
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/WholeAnswer.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ResponseCollector.java
@@ -22,9 +22,9 @@
  *
  * @since 0.1
  */
-public final class WholeAnswer implements ResponseHandler {
+public final class ResponseCollector implements ResponseHandler {
   private final int maxBytes;
-  private final Consumer<Answer> done;
+  private final Consumer<Response> done;
   private final Consumer<UpstreamFailure> failed;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private int status;
@@ -38,7 +38,7 @@
    * @param done receives the response, whatever its status
    * @param failed receives the failure if there is no complete response
    */
-  public WholeAnswer(int maxBytes, Consumer<Answer> done, Consumer<UpstreamFailure> failed) {
+  public ResponseCollector(int maxBytes, Consumer<Response> done, Consumer<UpstreamFailure> failed) {
     this.maxBytes = maxBytes;
     this.done = done;
     this.failed = failed;
@@ -52,7 +52,7 @@
    * @param body the body, which must not be modified
    */
   @SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never modified.
-  public record Answer(
+  public record Response(
       int status, ImmutableListMultimap<HttpString, String> headers, byte[] body) {}
 
   @Override
@@ -79,7 +79,7 @@
 
   @Override
   public void onEnd() {
-    done.accept(new Answer(status, headers, body.toByteArray()));
+    done.accept(new Response(status, headers, body.toByteArray()));
   }
 
   @Override
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/AnswerTimeout.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ResponseTimeout.java
@@ -15,7 +15,7 @@
  * @param nanos the timeout, nanoseconds, at least 1
  * @since 0.1
  */
-public record AnswerTimeout(Kind kind, long nanos) {
+public record ResponseTimeout(Kind kind, long nanos) {
   /** The period that a timeout limits. */
   public enum Kind {
     /** The time from the start of the request to the end of the response. */
@@ -30,8 +30,8 @@
    * @param nanos nanoseconds from the start of the request
    * @return the timeout
    */
-  public static AnswerTimeout whole(long nanos) {
-    return new AnswerTimeout(Kind.TOTAL, nanos);
+  public static ResponseTimeout total(long nanos) {
+    return new ResponseTimeout(Kind.TOTAL, nanos);
   }
 
   /**
@@ -40,7 +40,7 @@
    * @param nanos nanoseconds without a received byte
    * @return the timeout
    */
-  public static AnswerTimeout silence(long nanos) {
-    return new AnswerTimeout(Kind.IDLE, nanos);
+  public static ResponseTimeout idle(long nanos) {
+    return new ResponseTimeout(Kind.IDLE, nanos);
   }
 }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/TokenStream.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/TokenHandler.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public interface TokenStream {
+public interface TokenHandler {
   /**
    * Receives a token.
    *
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamClient.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamClient.java
@@ -58,10 +58,10 @@
    * @param handler receives the response
    * @return a handle to abort the request
    */
-  public InFlight send(
+  public InFlightRequest send(
       UpstreamAddress address,
       UpstreamRequest request,
-      AnswerTimeout timeout,
+      ResponseTimeout timeout,
       ConnectionUse use,
       ResponseHandler handler) {
     ConnectionPool pool =
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamClientSettings.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamClientSettings.java
@@ -15,7 +15,7 @@
  * @param reservedConnections the number of further connections that only cancels and polls may use
  * @param maxWaiting the maximum number of requests to one upstream that wait for a connection
  * @param idleMillis the time after which an idle connection is closed
- * @param maxAnswerBytes the maximum size of a response that is collected completely
+ * @param maxResponseBytes the maximum size of a response that is collected completely
  * @param maxEventBytes the maximum size of an event of a stream
  * @since 0.1
  */
@@ -24,7 +24,7 @@
     int reservedConnections,
     int maxWaiting,
     long idleMillis,
-    int maxAnswerBytes,
+    int maxResponseBytes,
     int maxEventBytes) {
   /** The default limits. */
   public static final UpstreamClientSettings DEFAULT =
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamExchange.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/UpstreamExchange.java
@@ -38,7 +38,7 @@
  * failure is {@code MAY_HAVE_RUN}. Once a connection is assigned, all work happens on its I/O
  * thread.
  */
-final class UpstreamExchange implements InFlight, ConnectionPool.Waiter {
+final class UpstreamExchange implements InFlightRequest, ConnectionPool.Waiter {
   private static final ImmutableSet<HttpString> BODYLESS =
       ImmutableSet.of(Methods.GET, Methods.HEAD, Methods.DELETE);
 
@@ -46,7 +46,7 @@
   private final HttpWorker worker;
   private final UpstreamAddress address;
   private final UpstreamRequest request;
-  private final AnswerTimeout timeout;
+  private final ResponseTimeout timeout;
   private final ConnectionUse use;
   private final LongSupplier clock;
   private final ResponseHandler handler;
@@ -67,7 +67,7 @@
       ConnectionPool pool,
       UpstreamAddress address,
       UpstreamRequest request,
-      AnswerTimeout timeout,
+      ResponseTimeout timeout,
       ConnectionUse use,
       LongSupplier clock,
       ResponseHandler handler) {
@@ -330,7 +330,7 @@
       return;
     }
     long remainingNanos = timeout.nanos() - (clock.getAsLong() - lastActivity);
-    if (timeout.kind() == AnswerTimeout.Kind.IDLE && remainingNanos > 0) {
+    if (timeout.kind() == ResponseTimeout.Kind.IDLE && remainingNanos > 0) {
       armTimer(remainingNanos);
       return;
     }
