--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelaySettingsReader.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelaySettingsReader.java
@@ -70,7 +70,7 @@
   /** Returns the problem of a file that can not be read. */
   static Checked<RelayNodeSettings> unreadable(String source, IOException cause) {
     ProblemCollector problems = new ProblemCollector(source, Severity.ERROR);
-    problems.error(
+    problems.addError(
         Position.NONE,
         JsonPath.ROOT,
         "",
@@ -102,12 +102,12 @@
             RelaySettingsKeys.ADDRESS,
             text -> URI.create("http://" + checkedAddress(text)),
             ADDRESS_REMEDY),
-        Duration.ofMillis(store.whole(RelaySettingsKeys.TIMEOUT_MILLIS, 1, HOUR_MILLIS, 1_000)),
-        Duration.ofMillis(store.whole(RelaySettingsKeys.WATCH_MILLIS, 1, HOUR_MILLIS, 10_000)),
+        Duration.ofMillis(store.wholeNumber(RelaySettingsKeys.TIMEOUT_MILLIS, 1, HOUR_MILLIS, 1_000)),
+        Duration.ofMillis(store.wholeNumber(RelaySettingsKeys.WATCH_MILLIS, 1, HOUR_MILLIS, 10_000)),
         router(top, dataCentre, host),
         number(top, RelaySettingsKeys.PREFILL_SHARE, 0),
-        (int) top.whole(RelaySettingsKeys.KEEPER_FROM_NODES, 2, MAX_NODES, 16),
-        Duration.ofMillis(stop.whole(RelaySettingsKeys.LEAVE_MILLIS, 0, HOUR_MILLIS, 3_000)),
+        (int) top.wholeNumber(RelaySettingsKeys.KEEPER_FROM_NODES, 2, MAX_NODES, 16),
+        Duration.ofMillis(stop.wholeNumber(RelaySettingsKeys.LEAVE_MILLIS, 0, HOUR_MILLIS, 3_000)),
         seconds(stop, RelaySettingsKeys.GRACE_SECONDS, Duration.ofSeconds(8)),
         top.choice(RelaySettingsKeys.LOG_LEVEL, LogLevel.class, LogLevel.INFO));
   }
@@ -119,8 +119,8 @@
         number(repeats, RelaySettingsKeys.SHARE, 0.1),
         number(repeats, RelaySettingsKeys.SLACK, 20),
         seconds(repeats, RelaySettingsKeys.WINDOW_SECONDS, Duration.ofSeconds(10)).toNanos(),
-        (int) repeats.whole(RelaySettingsKeys.NODES, 1, MAX_NODES, 1),
-        (int) top.whole(RelaySettingsKeys.STAGE_TOKENS, 1, Integer.MAX_VALUE, 512),
+        (int) repeats.wholeNumber(RelaySettingsKeys.NODES, 1, MAX_NODES, 1),
+        (int) top.wholeNumber(RelaySettingsKeys.STAGE_TOKENS, 1, Integer.MAX_VALUE, 512),
         missingTime(top).toNanos(),
         host == null ? 0 : host.value().hashCode(),
         tolerance(top));
@@ -140,7 +140,7 @@
    * the discovery list: the configured time less the time that the removal may take to arrive.
    */
   private static Duration missingTime(FieldReader top) {
-    long millis = top.whole(RelaySettingsKeys.MISSING_MILLIS, 0, HOUR_MILLIS, 1_500);
+    long millis = top.wholeNumber(RelaySettingsKeys.MISSING_MILLIS, 0, HOUR_MILLIS, 1_500);
     return Duration.ofMillis(Math.max(0, millis - REMOVAL_DELAY_MILLIS));
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SettingsReader.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SettingsReader.java
@@ -76,7 +76,7 @@
     HostName host = name(top, SettingsKeys.HOST).map(HostName::new).orElse(null);
     DataCentreName dataCentre =
         name(top, SettingsKeys.DATA_CENTRE).map(DataCentreName::new).orElse(null);
-    long incarnation = top.whole(SettingsKeys.INCARNATION, 0, Long.MAX_VALUE, 0);
+    long incarnation = top.wholeNumber(SettingsKeys.INCARNATION, 0, Long.MAX_VALUE, 0);
     FieldReader listeners = top.child(SettingsKeys.LISTENERS, SettingsKeys.IN_LISTENERS);
     FieldReader peer = listeners.child(SettingsKeys.PEER, SettingsKeys.IN_PEER);
     return new Settings(
@@ -109,7 +109,7 @@
   private static ListenerSettings peerListener(FieldReader fields) {
     InetSocketAddress address = address(fields, DEFAULT_PEER);
     if (address.getAddress().isAnyLocalAddress()) {
-      fields.report(
+      fields.reportError(
           SettingsKeys.ADDRESS,
           "peers can not reach a wildcard",
           "write the IP number of this host");
@@ -117,7 +117,7 @@
     Optional<Path> authority = fields.text(SettingsKeys.AUTHORITY).map(Path::of);
     Optional<TlsFiles> tls = tls(fields, authority);
     if (tls.isPresent() && authority.isEmpty()) {
-      fields.missing(SettingsKeys.AUTHORITY, "name the file with the certificates that sign peers");
+      fields.reportMissing(SettingsKeys.AUTHORITY, "name the file with the certificates that sign peers");
     }
     return new ListenerSettings(address, tls);
   }
@@ -140,10 +140,10 @@
     Optional<Path> certificate = fields.text(SettingsKeys.CERTIFICATE).map(Path::of);
     Optional<Path> key = fields.text(SettingsKeys.KEY).map(Path::of);
     if (certificate.isPresent() && key.isEmpty()) {
-      fields.missing(SettingsKeys.KEY, "name the file with the private key of the certificate");
+      fields.reportMissing(SettingsKeys.KEY, "name the file with the private key of the certificate");
     }
     if (certificate.isEmpty() && key.isPresent()) {
-      fields.missing(SettingsKeys.CERTIFICATE, "name the file with the certificate of the key");
+      fields.reportMissing(SettingsKeys.CERTIFICATE, "name the file with the certificate of the key");
     }
     return certificate.isPresent() && key.isPresent()
         ? Optional.of(new TlsFiles(certificate.get(), key.get(), authority))
@@ -157,8 +157,8 @@
         url,
         fields.text(SettingsKeys.TOKEN).map(Path::of),
         millis(fields, SettingsKeys.TIMEOUT_MILLIS, 2_000),
-        (int) fields.whole(SettingsKeys.READS_PER_SECOND, 1, MAX_CALLS_PER_SECOND, 100),
-        (int) fields.whole(SettingsKeys.WRITES_PER_SECOND, 1, MAX_CALLS_PER_SECOND, 50));
+        (int) fields.wholeNumber(SettingsKeys.READS_PER_SECOND, 1, MAX_CALLS_PER_SECOND, 100),
+        (int) fields.wholeNumber(SettingsKeys.WRITES_PER_SECOND, 1, MAX_CALLS_PER_SECOND, 50));
   }
 
   private static URI parseUrl(String text) {
@@ -197,19 +197,19 @@
   private static LimitSettings limits(FieldReader f) {
     int queuedEvents =
         (int)
-            f.whole(
+            f.wholeNumber(
                 SettingsKeys.QUEUED_EVENTS,
                 MIN_QUEUED_EVENTS,
                 MAX_QUEUED_EVENTS,
                 LimitSettings.QUEUED_EVENTS);
     if (Integer.bitCount(queuedEvents) != 1) {
-      f.report(SettingsKeys.QUEUED_EVENTS, "not a power of 2", "use a power of 2, as 16384");
+      f.reportError(SettingsKeys.QUEUED_EVENTS, "not a power of 2", "use a power of 2, as 16384");
     }
     return new LimitSettings(
-        (int) f.whole(SettingsKeys.IO_THREADS, 1, MAX_THREADS, LimitSettings.IO_THREADS),
+        (int) f.wholeNumber(SettingsKeys.IO_THREADS, 1, MAX_THREADS, LimitSettings.IO_THREADS),
         queuedEvents,
         bytes(f, SettingsKeys.MAX_BODY_BYTES, LimitSettings.MAX_BODY_BYTES),
-        f.whole(
+        f.wholeNumber(
             SettingsKeys.MAX_BODIES_BYTES,
             MIN_BYTES,
             MAX_TOTAL_BODY_BYTES,
@@ -227,11 +227,11 @@
   }
 
   private static int bytes(FieldReader fields, String key, int defaultValue) {
-    return (int) fields.whole(key, MIN_BYTES, Integer.MAX_VALUE, defaultValue);
+    return (int) fields.wholeNumber(key, MIN_BYTES, Integer.MAX_VALUE, defaultValue);
   }
 
   private static Duration millis(FieldReader fields, String key, long defaultMillis) {
-    return Duration.ofMillis(fields.whole(key, 1, DAY_MILLIS, defaultMillis));
+    return Duration.ofMillis(fields.wholeNumber(key, 1, DAY_MILLIS, defaultMillis));
   }
 
   private static RouterSettings router(FieldReader f, DataCentreName dataCentre) {
@@ -258,7 +258,7 @@
   }
 
   private static int count(FieldReader fields, String key, int max, int defaultValue) {
-    return (int) fields.whole(key, 1, max, defaultValue);
+    return (int) fields.wholeNumber(key, 1, max, defaultValue);
   }
 
   private static long nanos(FieldReader fields, String key, long defaultNanos) {
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/operator/OperatorApiTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/operator/OperatorApiTest.java
@@ -192,7 +192,7 @@
       assertEquals(read(response, ProposalOutcome.Accepted.class).revision(), new Revision(1));
       AuditPage audit = read(get(VIEWER_TOKEN, OperatorPaths.CHANGES), AuditPage.class);
       Change signed = audit.entries().getFirst().change();
-      assertEquals(signed, change("a", 0, PUT).signedBy("ana", NOW));
+      assertEquals(signed, change("a", 0, PUT).withAuthorAndTime("ana", NOW));
       Configuration now = read(get(VIEWER_TOKEN, OperatorPaths.CONFIGURATION), Configuration.class);
       assertEquals(now.workspaces().get(WORKSPACE.name()), WORKSPACE);
       assertEquals(now.revision(), new Revision(1));
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorApi.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/operator/OperatorApi.java
@@ -154,7 +154,7 @@
       case Checked.Invalid<Change> invalid ->
           send(exchange, principal.name(), ProblemDocument.of(invalid.problems()));
       case Checked.Valid<Change> valid -> {
-        Change change = valid.value().signedBy(principal.name(), clock.millis());
+        Change change = valid.value().withAuthorAndTime(principal.name(), clock.millis());
         respond(exchange, principal, service.propose(change, dryRun));
       }
     }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/Change.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/Change.java
@@ -38,7 +38,7 @@
    * @param newAtMillis the time, in milliseconds since the Unix epoch
    * @return the copy
    */
-  public Change signedBy(String newAuthor, long newAtMillis) {
+  public Change withAuthorAndTime(String newAuthor, long newAtMillis) {
     return new Change(id, newAuthor, newAtMillis, reason, base, operations);
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ChangeCodec.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ChangeCodec.java
@@ -125,7 +125,7 @@
   private static Optional<Change> readChange(LocatedValue root, ProblemCollector problems) {
     FieldReader fields = FieldReader.open(root, JsonPath.ROOT, CHANGE_KEYS, problems);
     if (fields.member(ID).isEmpty()) {
-      fields.missing(ID, "write an id that no other change has");
+      fields.reportMissing(ID, "write an id that no other change has");
     }
     ImmutableList.Builder<Operation> operations = ImmutableList.builder();
     fields
@@ -133,9 +133,9 @@
         .forEach((path, item) -> readOperation(item, path, problems).ifPresent(operations::add));
     Optional<ChangeId> id = fields.parsed(ID, ChangeId::new, "write a valid name");
     String author = fields.text(AUTHOR).orElse("");
-    long atMillis = fields.whole(AT_MILLIS, 0, Long.MAX_VALUE, 0);
+    long atMillis = fields.wholeNumber(AT_MILLIS, 0, Long.MAX_VALUE, 0);
     String reason = fields.text(REASON).orElse("");
-    Revision base = new Revision(fields.whole(BASE, 0, Long.MAX_VALUE, 0));
+    Revision base = new Revision(fields.wholeNumber(BASE, 0, Long.MAX_VALUE, 0));
     return id.map(i -> new Change(i, author, atMillis, reason, base, operations.build()));
   }
 
@@ -168,7 +168,7 @@
       ObjectId target, FieldReader fields, ProblemCollector problems) {
     Optional<LocatedValue> spec = fields.member(SPEC);
     if (spec.isEmpty()) {
-      fields.missing(SPEC, "write the object");
+      fields.reportMissing(SPEC, "write the object");
       return Optional.empty();
     }
     return new ObjectReader(problems)
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationDocument.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ConfigurationDocument.java
@@ -103,7 +103,7 @@
   private static Configuration readSections(LocatedValue root, ProblemCollector problems) {
     FieldReader fields = FieldReader.open(root, JsonPath.ROOT, SECTIONS, problems);
     ObjectReader objects = new ObjectReader(problems);
-    long revision = fields.whole(ConfigurationKeys.REVISION, 0, Long.MAX_VALUE, 0);
+    long revision = fields.wholeNumber(ConfigurationKeys.REVISION, 0, Long.MAX_VALUE, 0);
     ConfigurationBuilder builder =
         new ConfigurationBuilder(Configuration.EMPTY.withRevision(new Revision(revision)));
     for (ObjectKind kind : ObjectKind.values()) {
--- a/org.larkkeel/src/main/java/org/larkkeel/config/FieldReader.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/FieldReader.java
@@ -148,7 +148,7 @@
     if (Names.isValid(name)) {
       named.put(name, member.value());
     } else {
-      problems.error(
+      problems.addError(
           member.keyPosition(),
           path.child(name),
           '"' + name + '"',
@@ -184,7 +184,7 @@
    */
   public Optional<String> requiredText(String key, String remedy) {
     if (member(key).isEmpty()) {
-      missing(key, remedy);
+      reportMissing(key, remedy);
     }
     return text(key);
   }
@@ -208,7 +208,7 @@
     try {
       return Optional.of(parser.apply(text));
     } catch (IllegalArgumentException e) {
-      report(key, "not accepted", remedy);
+      reportError(key, "not accepted", remedy);
       return Optional.empty();
     }
   }
@@ -222,7 +222,7 @@
    * @param defaultValue the value if the member is missing or invalid
    * @return the value
    */
-  public long whole(String key, long min, long max, long defaultValue) {
+  public long wholeNumber(String key, long min, long max, long defaultValue) {
     Optional<LocatedValue> value = member(key);
     if (value.isEmpty()) {
       return defaultValue;
@@ -232,7 +232,7 @@
       return defaultValue;
     }
     if (number.value() < min || number.value() > max) {
-      report(key, "out of range", "use " + min + " to " + max);
+      reportError(key, "out of range", "use " + min + " to " + max);
       return defaultValue;
     }
     return number.value();
@@ -260,7 +260,7 @@
     Optional<E> constant =
         Arrays.stream(type.getEnumConstants()).filter(e -> Slugs.of(e).equals(text)).findFirst();
     if (constant.isEmpty()) {
-      report(key, "not one of the choices", "use one of " + slugs(type));
+      reportError(key, "not one of the choices", "use one of " + slugs(type));
     }
     return constant;
   }
@@ -288,7 +288,7 @@
     if (text.get().isEmpty() || Names.isValid(text.get())) {
       labels.put(name, text.get());
     } else {
-      problems.error(
+      problems.addError(
           value.position(), labelPath, value.displayText(), "not a valid label value", NAME_REMEDY);
     }
   }
@@ -308,7 +308,7 @@
     } catch (SelectorSyntaxException e) {
       LocatedValue value = member(key).orElseThrow();
       Position position = value.position().plus(1 + e.position());
-      problems.error(
+      problems.addError(
           position,
           path.child(key),
           value.displayText(),
@@ -330,10 +330,10 @@
   private void addName(
       JsonPath itemPath, LocatedValue item, String text, ImmutableSet.Builder<String> names) {
     if (!Names.isValid(text)) {
-      problems.error(
+      problems.addError(
           item.position(), itemPath, item.displayText(), "not a valid name", NAME_REMEDY);
     } else if (names.build().contains(text)) {
-      problems.error(
+      problems.addError(
           item.position(),
           itemPath,
           item.displayText(),
@@ -368,8 +368,8 @@
    * @param key the key
    * @param remedy what to write
    */
-  public void missing(String key, String remedy) {
-    problems.error(object.position(), path.child(key), "", MISSING_KEY, remedy);
+  public void reportMissing(String key, String remedy) {
+    problems.addError(object.position(), path.child(key), "", MISSING_KEY, remedy);
   }
 
   /**
@@ -379,14 +379,14 @@
    * @param message what is wrong
    * @param remedy what to write instead
    */
-  public void report(String key, String message, String remedy) {
+  public void reportError(String key, String message, String remedy) {
     LocatedValue value = member(key).orElse(object);
-    problems.error(value.position(), path.child(key), value.displayText(), message, remedy);
+    problems.addError(value.position(), path.child(key), value.displayText(), message, remedy);
   }
 
   private static void reportWrongType(
       ProblemCollector problems, LocatedValue value, JsonPath path, String expected) {
-    problems.error(
+    problems.addError(
         value.position(),
         path,
         value.displayText(),
--- a/org.larkkeel/src/main/java/org/larkkeel/config/LocatedValueParser.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/LocatedValueParser.java
@@ -45,13 +45,13 @@
   Optional<LocatedValue> parse(String text) {
     try (JsonParser parser = FACTORY.createParser(text)) {
       if (parser.nextToken() == null) {
-        problems.error(
+        problems.addError(
             new Position(1, 1), JsonPath.ROOT, "", "the document is empty", "write an object {}");
         return Optional.empty();
       }
       LocatedValue value = parseValue(parser, JsonPath.ROOT);
       if (parser.nextToken() != null) {
-        problems.error(
+        problems.addError(
             position(parser.currentTokenLocation()),
             JsonPath.ROOT,
             parser.getText(),
@@ -60,7 +60,7 @@
       }
       return Optional.of(value);
     } catch (JsonProcessingException e) {
-      problems.error(
+      problems.addError(
           position(e.getLocation()),
           JsonPath.ROOT,
           "",
@@ -102,7 +102,7 @@
       if (earlier == null) {
         members.put(key, member);
       } else {
-        problems.error(
+        problems.addError(
             keyPosition,
             child,
             "",
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ObjectReader.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ObjectReader.java
@@ -96,16 +96,16 @@
         readAddress(fields),
         fields.labels(LABELS),
         readModels(fields),
-        (int) fields.whole(SLOTS, 1, MAX_SLOTS, Upstream.DEFAULT_SLOTS),
+        (int) fields.wholeNumber(SLOTS, 1, MAX_SLOTS, Upstream.DEFAULT_SLOTS),
         fields.choice(FENCING, FencingSupport.class, FencingSupport.IGNORED),
-        fields.whole(
+        fields.wholeNumber(
             LINK_BYTES_PER_SECOND, 1, Long.MAX_VALUE, Upstream.DEFAULT_LINK_BYTES_PER_SECOND));
   }
 
   private static String readAddress(FieldReader fields) {
     Optional<String> text = fields.requiredText(ADDRESS, Addresses.FORMAT_REMEDY);
     if (text.isPresent() && !Addresses.isValid(text.get())) {
-      fields.report(ADDRESS, "not an IP number and port", Addresses.FORMAT_REMEDY);
+      fields.reportError(ADDRESS, "not an IP number and port", Addresses.FORMAT_REMEDY);
       return NO_ADDRESS;
     }
     return text.orElse(NO_ADDRESS);
@@ -126,20 +126,20 @@
     return new Rule(
         new RuleName(name),
         fields.labels(LABELS),
-        (int) fields.whole(PRIORITY, -MAX_PRIORITY, MAX_PRIORITY, 0),
+        (int) fields.wholeNumber(PRIORITY, -MAX_PRIORITY, MAX_PRIORITY, 0),
         readMatch(fields.child(MATCH, MATCH_KEYS)),
         fields.requiredSelector(POOLS),
         fields.choice(URGENCY, Urgency.class, Urgency.INTERACTIVE),
         readTargets(fields.child(TARGETS, TARGET_KEYS)),
         fields.choice(REPEATABILITY, Repeatability.class, Repeatability.BY_METHOD),
-        (int) fields.whole(MAX_ATTEMPTS, 1, MAX_ATTEMPTS_LIMIT, Rule.DEFAULT_MAX_ATTEMPTS));
+        (int) fields.wholeNumber(MAX_ATTEMPTS, 1, MAX_ATTEMPTS_LIMIT, Rule.DEFAULT_MAX_ATTEMPTS));
   }
 
   private static Match readMatch(FieldReader fields) {
     Optional<ModelName> model = fields.parsed(MODEL, ModelName::new, "write the name of a model");
     Optional<String> prefix = fields.text(PATH_PREFIX);
     if (prefix.isPresent() && !prefix.get().startsWith("/")) {
-      fields.report(PATH_PREFIX, "not a path", "begin it with /");
+      fields.reportError(PATH_PREFIX, "not a path", "begin it with /");
     }
     return new Match(model, prefix, fields.selector(WORKSPACES));
   }
@@ -148,7 +148,7 @@
     Duration deadline = readMillis(fields, DEADLINE_MILLIS, Targets.DEFAULT.deadline());
     Duration firstToken = readMillis(fields, FIRST_TOKEN_MILLIS, Targets.DEFAULT.firstToken());
     if (firstToken.compareTo(deadline) > 0) {
-      fields.report(
+      fields.reportError(
           FIRST_TOKEN_MILLIS,
           "the first token would be due after the deadline",
           "use at most " + deadline.toMillis());
@@ -160,7 +160,7 @@
   }
 
   private static Duration readMillis(FieldReader fields, String key, Duration defaultValue) {
-    return Duration.ofMillis(fields.whole(key, 1, MAX_DURATION_MILLIS, defaultValue.toMillis()));
+    return Duration.ofMillis(fields.wholeNumber(key, 1, MAX_DURATION_MILLIS, defaultValue.toMillis()));
   }
 
   private static ConfigurationObject readWorkspace(String name, FieldReader fields) {
@@ -173,15 +173,15 @@
 
   private static Limits readLimits(FieldReader fields) {
     return new Limits(
-        fields.whole(REQUESTS_PER_SECOND, 0, Long.MAX_VALUE, 0),
-        fields.whole(PROMPT_TOKENS_PER_SECOND, 0, Long.MAX_VALUE, 0),
-        (int) fields.whole(CONCURRENCY, 0, Integer.MAX_VALUE, 0));
+        fields.wholeNumber(REQUESTS_PER_SECOND, 0, Long.MAX_VALUE, 0),
+        fields.wholeNumber(PROMPT_TOKENS_PER_SECOND, 0, Long.MAX_VALUE, 0),
+        (int) fields.wholeNumber(CONCURRENCY, 0, Integer.MAX_VALUE, 0));
   }
 
   private static Optional<String> readTokenHash(FieldReader fields) {
     Optional<String> hash = fields.text(TOKEN_SHA256);
     if (hash.isPresent() && !SHA256.matcher(hash.get()).matches()) {
-      fields.report(
+      fields.reportError(
           TOKEN_SHA256, "not a SHA-256", "write 64 hex digits in lower case, never the token");
     }
     return hash;
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ProblemCollector.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ProblemCollector.java
@@ -41,7 +41,7 @@
   }
 
   /** Adds an error; {@link Problem} describes the parameters. */
-  public void error(Position position, JsonPath path, String value, String message, String remedy) {
+  public void addError(Position position, JsonPath path, String value, String message, String remedy) {
     problems.add(Problem.error(path, value, message, remedy).at(source, position));
   }
 
