--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Caller.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/demo/Caller.java
@@ -111,7 +111,7 @@
   private static String expected(DemoRequest request) {
     return switch (request) {
       case DemoRequest.Dossier d ->
-          AnswerOracle.whole(DemoCluster.MODEL, d.prompt(), d.maxTokens());
+          AnswerOracle.completeText(DemoCluster.MODEL, d.prompt(), d.maxTokens());
       case DemoRequest.Lookup l -> ServiceOracle.lookup(l.path());
       case DemoRequest.Order o -> ServiceOracle.change(o.path(), o.reference(), EXPECTED_RUN);
     };
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/OrderModuleTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/OrderModuleTest.java
@@ -37,7 +37,7 @@
 import org.larkkeel.standin.EngineRole;
 import org.larkkeel.standin.EngineSettings;
 import org.larkkeel.standin.EngineStandin;
-import org.larkkeel.standin.FencingHabit;
+import org.larkkeel.standin.FencingMode;
 import org.larkkeel.standin.PlatformSettings;
 import org.larkkeel.standin.PlatformStandin;
 import org.larkkeel.store.ExecutorScheduler;
@@ -91,7 +91,7 @@
       closer.close();
     }
 
-    EngineStandin engine(FencingHabit mode) {
+    EngineStandin engine(FencingMode mode) {
       return closer.add(
           EngineStandin.start(
               EngineSettings.of("u", EngineRole.PREFILL, "old")
@@ -111,14 +111,14 @@
     @DataProvider
     public Object[][] fencingModes() {
       return new Object[][] {
-        {FencingHabit.CHECK, OrderResult.STALE_FENCING},
-        {FencingHabit.IGNORE, OrderResult.IN_FORCE},
+        {FencingMode.CHECK, OrderResult.STALE_FENCING},
+        {FencingMode.IGNORE, OrderResult.IN_FORCE},
       };
     }
 
     @Test(dataProvider = "fencingModes")
     public void staleFencingNumberIsRefusedOnlyByCheckingEngine(
-        FencingHabit mode, OrderResult expected) throws Exception {
+        FencingMode mode, OrderResult expected) throws Exception {
       EngineOrders orders = new EngineOrders(engines);
       Upstream u = upstream(engine(mode));
       ModelVersion second = ModelVersion.parse("m@v2");
@@ -162,12 +162,12 @@
     @DataProvider
     public Object[][] fencingModes() {
       return new Object[][] {
-        {FencingHabit.CHECK, "checked"}, {FencingHabit.IGNORE, "ignored"},
+        {FencingMode.CHECK, "checked"}, {FencingMode.IGNORE, "ignored"},
       };
     }
 
     @Test(dataProvider = "fencingModes")
-    public void engineReachesDeclaredShape(FencingHabit mode, String fencing) throws Exception {
+    public void engineReachesDeclaredShape(FencingMode mode, String fencing) throws Exception {
       EngineStandin engine = engine(mode);
       String text =
           """
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/StandinEnginesTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/request/StandinEnginesTest.java
@@ -79,7 +79,7 @@
         Event.DecodeDone done = node.await(Event.DecodeDone.class);
         assertEquals(done.tokens(), AnswerOracle.tokens(PROMPT, MAX_TOKENS));
         node.execute(new Effect.Complete(id, attempt));
-        assertEquals(text(caller), AnswerOracle.whole(MODEL, PROMPT, MAX_TOKENS));
+        assertEquals(text(caller), AnswerOracle.completeText(MODEL, PROMPT, MAX_TOKENS));
       }
     }
 
@@ -101,7 +101,7 @@
         node.await(Event.FirstToken.class);
         node.await(Event.DecodeDone.class);
         node.execute(new Effect.Complete(id, second));
-        assertEquals(text(caller), AnswerOracle.whole(MODEL, PROMPT, MAX_TOKENS));
+        assertEquals(text(caller), AnswerOracle.completeText(MODEL, PROMPT, MAX_TOKENS));
       }
     }
 
--- a/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/EngineStandinTest.java
+++ b/org.larkkeel.standin.test/src/test/java/org/larkkeel/standin/EngineStandinTest.java
@@ -142,7 +142,7 @@
       prefillAndImport("h/1/1");
       assertEquals(decode.ledger().snapshot().slots().asList(), List.of("h/1/1"));
       assertEquals(
-          readRemainingText(stream("h/1/1", 30, 0)), AnswerOracle.whole(MODEL, PROMPT, 30));
+          readRemainingText(stream("h/1/1", 30, 0)), AnswerOracle.completeText(MODEL, PROMPT, 30));
       assertEquals(
           prefill.ledger().snapshot().prefills().getFirst().fate(), EngineLedger.Fate.IMPORTED);
       assertEquals(
@@ -169,7 +169,7 @@
       assertEquals(decode.ledger().snapshot().imports().getFirst().fate(), EngineLedger.Fate.LOST);
       prefillAndImport("h/1/2");
       text.append(readRemainingText(stream("h/1/2", 40, 5)));
-      assertEquals(text.toString(), AnswerOracle.whole(MODEL, PROMPT, 40));
+      assertEquals(text.toString(), AnswerOracle.completeText(MODEL, PROMPT, 40));
     }
 
     /**
@@ -305,7 +305,7 @@
         assertEquals(source.ledger().snapshot().slots().size(), 0);
         assertEquals(
             text + readRemainingText(stream("h/1/2", 400, 2)),
-            AnswerOracle.whole(MODEL, PROMPT, 400));
+            AnswerOracle.completeText(MODEL, PROMPT, 400));
         assertEquals(
             source.ledger().snapshot().imports().getFirst().fate(), EngineLedger.Fate.IMPORTED);
       } finally {
@@ -474,7 +474,7 @@
       assertEquals(stale.status(), 409);
       assertEquals(stale.body().at("/error/code").asText(), "stale_fencing");
       decode.close();
-      decode = EngineStandin.start(decode.settings().withFencing(FencingHabit.IGNORE));
+      decode = EngineStandin.start(decode.settings().withFencing(FencingMode.IGNORE));
       assertEquals(order(decode, 5, "prefill").status(), 200);
       assertEquals(order(decode, 4, "decode").status(), 200);
       JsonNode inForce = http(decode).call("GET", "/v1/orders", "").body();
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/AnswerOracle.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/AnswerOracle.java
@@ -119,7 +119,7 @@
    * @param maxTokens the limit in tokens
    * @return the texts of all tokens, joined
    */
-  public static String whole(String model, String prompt, int maxTokens) {
+  public static String completeText(String model, String prompt, int maxTokens) {
     return answer(model, prompt).completeText(maxTokens);
   }
 
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineSettings.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/EngineSettings.java
@@ -34,7 +34,7 @@
     EngineSpeeds speeds,
     EngineMemory memory,
     EngineReports reports,
-    FencingHabit fencing,
+    FencingMode fencing,
     ImmutableList<String> models,
     long loadMillis,
     boolean cancelOnDisconnect) {
@@ -55,7 +55,7 @@
         EngineSpeeds.NEW,
         EngineMemory.DEFAULTS,
         EngineReports.DEFAULTS,
-        FencingHabit.CHECK,
+        FencingMode.CHECK,
         ImmutableList.copyOf(models),
         500,
         false);
@@ -120,7 +120,7 @@
    * @param value the fencing mode
    * @return the copy
    */
-  public EngineSettings withFencing(FencingHabit value) {
+  public EngineSettings withFencing(FencingMode value) {
     return new EngineSettings(
         name, bind, role, speeds, memory, reports, value, models, loadMillis, cancelOnDisconnect);
   }
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/FencingHabit.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/FencingMode.java
@@ -11,7 +11,7 @@
  *
  * @since 0.1
  */
-public enum FencingHabit {
+public enum FencingMode {
   /** Refuses the order. */
   CHECK,
   /** Executes the order. */
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/StandinMain.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/StandinMain.java
@@ -72,7 +72,7 @@
       name = "--fencing",
       metaVar = "HABIT",
       usage = "what an engine does with old fencing numbers")
-  private FencingHabit fencing = FencingHabit.CHECK;
+  private FencingMode fencing = FencingMode.CHECK;
 
   @Option(name = "--slots", metaVar = "N", usage = "a decode engine's slots")
   private int slots = EngineMemory.DEFAULTS.slots();
--- a/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineOrders.java
+++ b/org.larkkeel.standin/src/main/java/org/larkkeel/standin/internal/EngineOrders.java
@@ -14,7 +14,7 @@
 import java.util.TreeSet;
 import org.larkkeel.standin.EngineRole;
 import org.larkkeel.standin.EngineSettings;
-import org.larkkeel.standin.FencingHabit;
+import org.larkkeel.standin.FencingMode;
 import org.larkkeel.standin.internal.EngineMessages.Order;
 import org.larkkeel.standin.internal.EngineMessages.OrderRequest;
 import org.larkkeel.standin.internal.EngineMessages.OrdersInForce;
@@ -22,13 +22,13 @@
 /**
  * The orders in force at one incarnation of an engine: its role, models and adapters.
  *
- * <p>Invariant: with {@link FencingHabit#CHECK} the fencing number never decreases. Safe for use by
+ * <p>Invariant: with {@link FencingMode#CHECK} the fencing number never decreases. Safe for use by
  * several threads.
  *
  * @since 0.1
  */
 final class EngineOrders {
-  private final FencingHabit fencingMode;
+  private final FencingMode fencingMode;
   private final Map<String, String> versions = new TreeMap<>();
   private final TreeSet<String> adapters = new TreeSet<>();
   private EngineRole role;
@@ -46,7 +46,7 @@
       throw RefusedException.malformed("fencing, order or order.type is missing: send all three");
     }
     check(request.order());
-    if (fencingMode == FencingHabit.CHECK && request.fencing() < fencing) {
+    if (fencingMode == FencingMode.CHECK && request.fencing() < fencing) {
       throw new RefusedException(
           409, "stale_fencing", "fencing is " + request.fencing() + ", " + fencing + " was seen");
     }
@@ -55,7 +55,7 @@
 
   /** Puts an accepted order in force, unless a higher fencing number was accepted since then. */
   synchronized void apply(OrderRequest request) {
-    if (fencingMode == FencingHabit.CHECK && request.fencing() < fencing) {
+    if (fencingMode == FencingMode.CHECK && request.fencing() < fencing) {
       throw new RefusedException(
           409, "stale_fencing", "a newer order came while this one was under way");
     }
