--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/ExperimentTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/ExperimentTest.java
@@ -17,7 +17,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.larkkeel.bench.experiment.policy.Subjects;
+import org.larkkeel.bench.experiment.policy.RoutingPolicies;
 import org.larkkeel.bench.experiment.scenario.Scenario;
 import org.larkkeel.bench.experiment.scenario.ScenarioReader;
 import org.testng.annotations.Test;
@@ -26,24 +26,24 @@
 public class ExperimentTest {
   private static final Path FILE = Path.of("../org.larkkeel.bench/scenarios/many-faults.json");
 
-  /** Runs. */
+  /** Reproducibility of runs. */
   public static class Runs {
     @Test
     public void dependOnTheSeedAlone() throws IOException {
       Scenario scenario =
           Overrides.apply(
-              ScenarioReader.read(Files.readString(FILE), Subjects.names()::contains),
+              ScenarioReader.read(Files.readString(FILE), RoutingPolicies.names()::contains),
               "larkkeel,least-outstanding",
               "1.0",
               2);
-      List<RunResult> one = new Experiment(scenario).call(1);
-      assertEquals(new Experiment(scenario).call(2), one);
+      List<RunResult> one = new Experiment(scenario).runAll(1);
+      assertEquals(new Experiment(scenario).runAll(2), one);
       assertNotEquals(one.get(0).good(), one.get(scenario.policies().size()).good());
       one.forEach(run -> assertTrue(run.violations().isEmpty(), run.toString()));
     }
   }
 
-  /** The command. */
+  /** Errors in the command line. */
   public static class Command {
     private static String run(int code, String... args) {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void refusesWrongCalls() {
+    public void rejectsInvalidArguments() {
       assertTrue(run(2).contains("--scenario is missing"));
       assertTrue(run(2, "--scenario", "no-such-file").contains("no-such-file"));
       String policy = run(2, "--scenario", FILE.toString(), "--policies", "best");
--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/Scenarios.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/Scenarios.java
@@ -9,18 +9,18 @@
 import com.google.common.collect.ImmutableList;
 import org.larkkeel.bench.experiment.fake.Cluster;
 import org.larkkeel.bench.experiment.fake.Ledger;
-import org.larkkeel.bench.experiment.policy.Subject;
+import org.larkkeel.bench.experiment.policy.RoutingPolicy;
 import org.larkkeel.bench.experiment.scenario.Arrival;
 import org.larkkeel.bench.experiment.scenario.FaultPlan;
 import org.larkkeel.bench.experiment.scenario.Scenario;
 import org.larkkeel.bench.experiment.scenario.ScenarioReader;
 import org.larkkeel.bench.experiment.scenario.Traffic;
 
-/** Small scenarios for tests. */
+/** Builds and runs small scenarios for tests. */
 public final class Scenarios {
   private Scenarios() {}
 
-  /** A scenario from its upstreams, classes and faults, written as in a file. */
+  /** Returns a scenario with the given upstreams, classes and faults in the format of a file. */
   public static Scenario of(String seconds, String upstreams, String classes, String faults) {
     String text =
         """
@@ -32,7 +32,7 @@
     return ScenarioReader.read(text, name -> true);
   }
 
-  /** Prefill engines. */
+  /** Returns a group of prefill engines as JSON. */
   public static String prefill(String name, int count, double tokensPerSecond) {
     String text =
         """
@@ -42,17 +42,18 @@
     return text.formatted(name, count, tokensPerSecond);
   }
 
-  /** Decode engines. */
-  public static String decode(String name, int count, int slots, double base, double each) {
+  /** Returns a group of decode engines as JSON. */
+  public static String decode(
+      String name, int count, int slots, double baseMillis, double perRequestMillis) {
     String text =
         """
         {"name": "%s", "count": %d, "role": "decode", "dataCentres": ["a"], "slots": %d,
          "stepBaseMillis": %s, "stepPerRequestMillis": %s, "linkBytesPerSecond": 1e8}
         """;
-    return text.formatted(name, count, slots, base, each);
+    return text.formatted(name, count, slots, baseMillis, perRequestMillis);
   }
 
-  /** Services. */
+  /** Returns a group of services as JSON. */
   public static String service(int count, double millis) {
     String text =
         """
@@ -62,7 +63,7 @@
     return text.formatted(count, millis);
   }
 
-  /** A class of completions; {@code more} is appended as it stands. */
+  /** Returns a class of completions as JSON; {@code more} is appended unchanged. */
   public static String completions(String prompt, String output, int firstMillis, String more) {
     String text =
         """
@@ -72,17 +73,16 @@
     return text.formatted(prompt, output, firstMillis, more);
   }
 
-  /** Runs one policy over the traffic of a scenario. */
-  public static Ledger run(Scenario scenario, double perSecond, long seed, Subject subject) {
+  /** Runs one policy with the traffic and the faults of a scenario. */
+  public static Ledger run(Scenario scenario, double perSecond, long seed, RoutingPolicy policy) {
     ImmutableList<Arrival> arrivals = Traffic.draw(scenario, perSecond, seed);
-    return new Cluster(scenario, arrivals, FaultPlan.draw(scenario, seed), seed, s -> subject)
-        .run();
+    return new Cluster(scenario, arrivals, FaultPlan.draw(scenario, seed), seed, s -> policy).run();
   }
 
-  /** Completions finished within both targets. */
+  /** Returns the number of completions finished within both targets. */
   public static long good(Ledger ledger) {
     return ledger.arrivals().stream()
-        .filter(a -> !a.kind().plain() && Measures.good(a, ledger.of(a)))
+        .filter(a -> !a.kind().plain() && Measures.isGood(a, ledger.outcomeOf(a)))
         .count();
   }
 }
--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/bound/FixedOrderRouter.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/bound/FixedOrderRouter.java
@@ -9,7 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.larkkeel.bench.experiment.policy.Subject;
+import org.larkkeel.bench.experiment.policy.RoutingPolicy;
 import org.larkkeel.effect.Effect;
 import org.larkkeel.effect.EffectSink;
 import org.larkkeel.errors.ErrorKind;
@@ -18,19 +18,19 @@
 import org.larkkeel.lib.RequestId;
 import org.larkkeel.lib.UpstreamName;
 
-/** Runs the given requests in the given order on one prefill and one decode engine. */
-final class FixedOrderRouter implements Subject {
+/** Runs given requests in a fixed order on one prefill and one decode engine; refuses others. */
+final class FixedOrderRouter implements RoutingPolicy {
   private static final UpstreamName PREFILL = new UpstreamName("p-0");
   private static final UpstreamName DECODE = new UpstreamName("d-0");
-  private static final long ATTEMPTS = 10_000;
-  private static final long LONG = 60_000_000_000L;
+  private static final long FIRST_TRANSFER_ATTEMPT = 10_000;
+  private static final long LONG_TIMEOUT_NANOS = 60_000_000_000L;
 
   private final List<Integer> order;
   private final Map<RequestId, Boolean> arrived = new HashMap<>();
   private final Map<AttemptId, RequestId> transfers = new HashMap<>();
-  private int next;
-  private boolean prefilling;
-  private long attempts = ATTEMPTS;
+  private int nextIndex;
+  private boolean isPrefilling;
+  private long lastTransferAttempt = FIRST_TRANSFER_ATTEMPT;
 
   FixedOrderRouter(List<Integer> order) {
     this.order = order;
@@ -46,23 +46,25 @@
         }
       }
       case Event.PrefillDone done -> {
-        prefilling = false;
+        isPrefilling = false;
         transfer(new RequestId(done.attempt().value()), sink);
       }
       case Event.TransferDone done ->
           sink.accept(
               new Effect.StartDecode(
-                  done.attempt(), transfers.get(done.attempt()), DECODE, 0, 0, LONG));
+                  done.attempt(), transfers.get(done.attempt()), DECODE, 0, 0, LONG_TIMEOUT_NANOS));
       case Event.DecodeDone done ->
           sink.accept(new Effect.Complete(transfers.get(done.attempt()), done.attempt()));
       case Event.AttemptFailed failed -> retry(failed, sink);
       default -> {}
     }
-    if (!prefilling && next < order.size() && arrived.containsKey(id(order.get(next)))) {
-      RequestId id = id(order.get(next++));
-      prefilling = true;
+    if (!isPrefilling
+        && nextIndex < order.size()
+        && arrived.containsKey(id(order.get(nextIndex)))) {
+      RequestId id = id(order.get(nextIndex++));
+      isPrefilling = true;
       AttemptId attempt = new AttemptId(id.value());
-      sink.accept(new Effect.StartPrefill(attempt, id, PREFILL, 0, 0, LONG));
+      sink.accept(new Effect.StartPrefill(attempt, id, PREFILL, 0, 0, LONG_TIMEOUT_NANOS));
     }
   }
 
@@ -75,10 +77,11 @@
   }
 
   private void transfer(RequestId request, EffectSink sink) {
-    AttemptId attempt = new AttemptId(++attempts);
+    AttemptId attempt = new AttemptId(++lastTransferAttempt);
     transfers.put(attempt, request);
     AttemptId prefill = new AttemptId(request.value());
-    sink.accept(new Effect.StartTransfer(attempt, request, prefill, PREFILL, DECODE, LONG));
+    sink.accept(
+        new Effect.StartTransfer(attempt, request, prefill, PREFILL, DECODE, LONG_TIMEOUT_NANOS));
   }
 
   private static RequestId id(int index) {
--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/bound/UpperBoundTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/bound/UpperBoundTest.java
@@ -16,7 +16,7 @@
 import org.larkkeel.bench.experiment.Scenarios;
 import org.larkkeel.bench.experiment.fake.Cluster;
 import org.larkkeel.bench.experiment.fake.Ledger;
-import org.larkkeel.bench.experiment.policy.Subjects;
+import org.larkkeel.bench.experiment.policy.RoutingPolicies;
 import org.larkkeel.bench.experiment.scenario.Arrival;
 import org.larkkeel.bench.experiment.scenario.Capacity;
 import org.larkkeel.bench.experiment.scenario.FaultPlan;
@@ -34,7 +34,7 @@
           RouterSettings.CURRENT,
           RouterSettings.STRICT,
           RouterSettings.UNRESERVED,
-          Subjects.NAIVE_LEAST);
+          RoutingPolicies.NAIVE_LEAST);
   private static final String FAULTS =
       """
       {"type": "kill", "role": "decode", "atSeconds": 2, "everySeconds": 3, "forSeconds": 1},
@@ -42,7 +42,7 @@
       {"type": "stall", "role": "decode", "atSeconds": 4, "forSeconds": 1}
       """;
 
-  private static Scenario random(SplittableRandom random) {
+  private static Scenario randomScenario(SplittableRandom random) {
     String upstreams =
         String.join(
             ",",
@@ -64,14 +64,14 @@
     return Scenarios.of("6", upstreams, classes, faults);
   }
 
-  /** Against policies. */
+  /** Compares the bound with the results of policies in random scenarios. */
   public static class Policies {
     @Test
-    public void noPolicyPassesTheBound() {
+    public void noPolicyExceedsTheBound() {
       SplittableRandom random = new SplittableRandom(7);
       int binding = 0;
       for (int i = 0; i < 40; i++) {
-        Scenario scenario = random(random);
+        Scenario scenario = randomScenario(random);
         double rate =
             Capacity.of(scenario).completionsPerSecond() * (0.5 + 2 * random.nextDouble());
         ImmutableList<Arrival> arrivals = Traffic.draw(scenario, rate, i);
@@ -80,20 +80,22 @@
         binding += bound < arrivals.size() ? 1 : 0;
         for (String policy : POLICIES) {
           Ledger ledger =
-              new Cluster(scenario, arrivals, faults, i, s -> Subjects.create(policy, s)).run();
+              new Cluster(scenario, arrivals, faults, i, s -> RoutingPolicies.create(policy, s))
+                  .run();
           assertTrue(
               Scenarios.good(ledger) <= bound,
               "run " + i + " of " + policy + ": " + Scenarios.good(ledger) + " > " + bound);
         }
       }
-      assertTrue(binding >= 20, "the bound binds in " + binding + " runs only");
+      assertTrue(
+          binding >= 20, "the bound is below the number of requests in only " + binding + " runs");
     }
   }
 
-  /** Against exhaustive search. */
+  /** Compares the bound with an exhaustive search over all orders. */
   public static class BruteForce {
     @Test
-    public void noOrderPassesTheBound() {
+    public void noOrderExceedsTheBound() {
       SplittableRandom random = new SplittableRandom(11);
       int reached = 0;
       for (int i = 0; i < 25; i++) {
@@ -119,10 +121,10 @@
         assertTrue(best <= bound, "run " + i + ": " + best + " > " + bound);
         reached += best == bound ? 1 : 0;
       }
-      assertTrue(reached >= 12, "the best order reaches the bound in " + reached + " runs only");
+      assertTrue(reached >= 12, "the best order reaches the bound in only " + reached + " runs");
     }
 
-    /** Every order of every subset. */
+    /** Returns all orders of all subsets. */
     private static List<List<Integer>> orders(int count) {
       List<List<Integer>> all = new ArrayList<>();
       extend(new ArrayList<>(), count, all);
@@ -141,11 +143,11 @@
     }
   }
 
-  /** Cases whose optimum is known. */
+  /** Scenarios with a known optimum. */
   public static class Known {
     @Test
-    public void countsWhatOnePrefillEngineFinishes() {
-      // Each prompt takes half a second plus overhead and may take a second and a half in all.
+    public void countsCompletionsOfOnePrefillEngine() {
+      // A prompt takes half a second plus overhead; the target is 1.6 s, time for three prompts.
       Scenario scenario =
           Scenarios.of(
               "0.001",
@@ -158,7 +160,7 @@
     }
 
     @Test
-    public void countsNothingOfDeadEngines() {
+    public void excludesKilledEngines() {
       Scenario scenario =
           Scenarios.of(
               "5",
--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/fake/ClusterTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/fake/ClusterTest.java
@@ -14,9 +14,9 @@
 import java.util.function.Function;
 import org.larkkeel.bench.experiment.Scenarios;
 import org.larkkeel.bench.experiment.fake.Ledger.Violation;
-import org.larkkeel.bench.experiment.policy.Choice;
 import org.larkkeel.bench.experiment.policy.NaiveRouter;
-import org.larkkeel.bench.experiment.policy.Subject;
+import org.larkkeel.bench.experiment.policy.RoutingPolicy;
+import org.larkkeel.bench.experiment.policy.SelectionStrategy;
 import org.larkkeel.bench.experiment.scenario.Scenario;
 import org.larkkeel.effect.Effect;
 import org.larkkeel.effect.EffectSink;
@@ -30,37 +30,38 @@
 public class ClusterTest {
   private static final String ENGINES =
       Scenarios.prefill("p", 1, 10_000) + "," + Scenarios.decode("d", 1, 4, 10, 5);
-  private static final String CLASS =
+  private static final String COMPLETIONS =
       Scenarios.completions("{\"fixed\": 1000}", "{\"fixed\": 20}", 5_000, "");
-  private static final String CALLS =
+  private static final String PLAIN_CALLS =
       """
       {"name": "order", "plain": true, "requestsPerSecond": 20, "firstTokenMillis": 250,
        "deadlineMillis": 2000, "nonIdempotentShare": 1, "repeatShare": 0.5}
       """;
 
-  private static Subject naive() {
-    return new NaiveRouter(Choice.LEAST_OUTSTANDING, 1);
+  private static RoutingPolicy naiveRouter() {
+    return new NaiveRouter(SelectionStrategy.LEAST_OUTSTANDING, 1);
   }
 
-  /** A naive router whose effects are changed on the way. */
-  private static Subject altered(Function<Effect, List<Effect>> change) {
-    Subject naive = naive();
+  /** Returns a naive router whose effects are replaced by those of a function. */
+  private static RoutingPolicy withChangedEffects(Function<Effect, List<Effect>> change) {
+    RoutingPolicy naive = naiveRouter();
     return (event, sink) -> naive.apply(event, e -> change.apply(e).forEach(sink::accept));
   }
 
-  /** The checks of promises find a router that breaks them. */
-  public static class Promises {
+  /** The ledger detects routers that violate guarantees. */
+  public static class Violations {
     private static Ledger run(Function<Effect, List<Effect>> change) {
-      return Scenarios.run(Scenarios.of("3", ENGINES, CLASS, ""), 3, 1, altered(change));
+      return Scenarios.run(
+          Scenarios.of("3", ENGINES, COMPLETIONS, ""), 3, 1, withChangedEffects(change));
     }
 
     @Test
-    public void honestRoutersBreakNone() {
+    public void correctRoutersHaveNone() {
       assertTrue(run(List::of).violations().isEmpty());
     }
 
     @Test
-    public void refusalsAsNotRunAfterRunsCount() {
+    public void refusalsAsNotRunAfterRunsAreCounted() {
       Ledger ledger =
           run(
               e ->
@@ -71,19 +72,19 @@
     }
 
     @Test
-    public void secondAnswersCount() {
+    public void secondAnswersAreCounted() {
       Ledger ledger = run(e -> e instanceof Effect.Complete ? List.of(e, e) : List.of(e));
       assertTrue(ledger.violations().containsKey(Violation.ANSWERED_TWICE));
     }
 
     @Test
-    public void noAnswerCounts() {
+    public void missingAnswersAreCounted() {
       Ledger ledger = run(e -> e instanceof Effect.Complete ? List.of() : List.of(e));
       assertTrue(ledger.violations().containsKey(Violation.NEVER_ANSWERED));
     }
 
     @Test
-    public void answersEndedEarlyAreCut() {
+    public void answersEndedEarlyAreCounted() {
       Ledger ledger =
           run(
               e ->
@@ -94,9 +95,9 @@
     }
 
     @Test
-    public void slotsThatNobodyFreesAreStillHeld() {
+    public void slotsThatAreNeverReleasedAreCounted() {
       Ledger ledger = run(e -> e instanceof Effect.StartDecode ? List.of() : List.of(e));
-      // The naive router cancels at the deadline; without its cancels the import stays.
+      // The naive router cancels at the deadline; without cancels the import is never released.
       assertTrue(!ledger.violations().containsKey(Violation.STILL_HELD));
       Ledger leaking =
           run(
@@ -108,17 +109,17 @@
     }
 
     @Test
-    public void secondRunsOfOneKeyCount() {
-      Scenario scenario = Scenarios.of("5", Scenarios.service(2, 5), CALLS, "");
-      assertTrue(Scenarios.run(scenario, 0, 1, naive()).violations().isEmpty());
-      Ledger ledger = Scenarios.run(scenario, 0, 1, new ClaimsAnything());
+    public void secondRunsOfOneKeyAreCounted() {
+      Scenario scenario = Scenarios.of("5", Scenarios.service(2, 5), PLAIN_CALLS, "");
+      assertTrue(Scenarios.run(scenario, 0, 1, naiveRouter()).violations().isEmpty());
+      Ledger ledger = Scenarios.run(scenario, 0, 1, new AcceptingAllClaims());
       assertTrue(ledger.violations().containsKey(Violation.RAN_TWICE));
     }
   }
 
-  /** Takes every claim for granted. */
-  private static final class ClaimsAnything implements Subject {
-    private final Subject naive = naive();
+  /** Treats every claim of a run as successful. */
+  private static final class AcceptingAllClaims implements RoutingPolicy {
+    private final RoutingPolicy naive = naiveRouter();
 
     @Override
     public void apply(Event event, EffectSink sink) {
@@ -130,11 +131,11 @@
     }
   }
 
-  /** What the fakes do. */
+  /** Behaviour of the fakes. */
   public static class Fakes {
     private static List<Event> events(Scenario scenario, double perSecond) {
       List<Event> seen = new ArrayList<>();
-      Subject naive = naive();
+      RoutingPolicy naive = naiveRouter();
       Scenarios.run(
           scenario,
           perSecond,
@@ -155,7 +156,7 @@
     @Test
     public void fullDecodeEnginesRefuse() {
       String slow = Scenarios.prefill("p", 1, 1e6) + "," + Scenarios.decode("d", 1, 1, 100, 0);
-      List<Event> events = events(Scenarios.of("3", slow, CLASS, ""), 10);
+      List<Event> events = events(Scenarios.of("3", slow, COMPLETIONS, ""), 10);
       assertTrue(count(events, FailureCause.NO_SLOT) > 0);
     }
 
@@ -165,7 +166,7 @@
           """
           {"type": "kill", "upstream": "d-0", "atSeconds": 1, "forSeconds": 1}
           """;
-      List<Event> events = events(Scenarios.of("4", ENGINES, CLASS, kill), 8);
+      List<Event> events = events(Scenarios.of("4", ENGINES, COMPLETIONS, kill), 8);
       assertTrue(count(events, FailureCause.CONNECTION_LOST) > 0);
       assertTrue(
           events.stream()
@@ -185,14 +186,14 @@
       String longer = Scenarios.completions("{\"fixed\": 100}", "{\"fixed\": 60}", 5_000, "");
       Scenario smooth = Scenarios.of("1.2", ENGINES, longer, "");
       Scenario frozen = Scenarios.of("1.2", ENGINES, longer, freeze);
-      assertTrue(slowest(smooth) < 2 * Scenario.SECOND);
-      assertTrue(slowest(frozen) > 2 * Scenario.SECOND);
+      assertTrue(maxLatency(smooth) < 2 * Scenario.NANOS_PER_SECOND);
+      assertTrue(maxLatency(frozen) > 2 * Scenario.NANOS_PER_SECOND);
     }
 
-    private static long slowest(Scenario scenario) {
-      Ledger ledger = Scenarios.run(scenario, 3, 2, naive());
+    private static long maxLatency(Scenario scenario) {
+      Ledger ledger = Scenarios.run(scenario, 3, 2, naiveRouter());
       return ledger.arrivals().stream()
-          .mapToLong(a -> ledger.of(a).endAt() - a.at())
+          .mapToLong(a -> ledger.outcomeOf(a).endAt() - a.at())
           .max()
           .orElseThrow();
     }
@@ -205,20 +206,20 @@
       List<Long> ends = new ArrayList<>();
       new Link.Transfer(source, target, 100, () -> ends.add(time.now()));
       new Link.Transfer(source, target, 200, () -> ends.add(time.now()));
-      time.runUntil(10 * Scenario.SECOND);
-      assertEquals(ends, List.of(2 * Scenario.SECOND, 3 * Scenario.SECOND));
+      time.runUntil(10 * Scenario.NANOS_PER_SECOND);
+      assertEquals(ends, List.of(2 * Scenario.NANOS_PER_SECOND, 3 * Scenario.NANOS_PER_SECOND));
     }
 
     @Test
-    public void kvCacheGoesAfterItsTime() {
-      assertEquals(evictedWithDelay(700), 0);
-      assertTrue(evictedWithDelay(900) > 0);
+    public void kvCachesAreEvictedAfterTheHoldTime() {
+      assertEquals(evictionsWithTransferDelay(700), 0);
+      assertTrue(evictionsWithTransferDelay(900) > 0);
     }
 
-    /** Transfers that find the KV cache gone when each is started so long after the prefill. */
-    private static int evictedWithDelay(long millis) {
-      Scenario scenario = Scenarios.of("3", ENGINES, CLASS, "");
-      Subject naive = naive();
+    /** Returns the number of evicted KV caches if transfers start so long after the prefill. */
+    private static int evictionsWithTransferDelay(long millis) {
+      Scenario scenario = Scenarios.of("3", ENGINES, COMPLETIONS, "");
+      RoutingPolicy naive = naiveRouter();
       List<Effect> waiting = new ArrayList<>();
       Ledger ledger =
           Scenarios.run(
--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/fleet/FleetModelTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/fleet/FleetModelTest.java
@@ -20,10 +20,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Whole fleets in virtual time. */
+/** Tests of {@link FleetModel} with whole fleets in virtual time. */
 public class FleetModelTest {
-  /** Half as many streams as memory holds, and three times as many for a while. */
-  private static final String FULL =
+  /** A load of half of the engines' memory, three times as high during a burst. */
+  private static final String SCENARIO =
       """
       {
         "seconds": 8,
@@ -43,17 +43,17 @@
       """;
 
   private static FleetResult run(int nodes, String loss, long seed) {
-    return new FleetModel(FleetScenarioReader.read(FULL.formatted(nodes, loss)), seed).run();
+    return new FleetModel(FleetScenarioReader.read(SCENARIO.formatted(nodes, loss)), seed).run();
   }
 
-  /** What a run says of itself. */
+  /** Consistency and reproducibility of results. */
   public static class Runs {
     @DataProvider
     static Object[][] fleets() {
       return new Object[][] {{3, "0"}, {20, "0"}, {20, "0.3"}};
     }
 
-    /** {@link FleetModel#run} fails by itself if a call or a token has no outcome. */
+    /** {@link FleetModel#run} throws an exception if a call or a token has no outcome. */
     @Test(dataProvider = "fleets")
     public void haveOneOutcomeForEachCallAndToken(int nodes, String loss) {
       FleetResult result = run(nodes, loss, 1);
@@ -63,8 +63,8 @@
         assertTrue(kind.calls() > 0, kind.name());
         assertTrue(kind.share(CallOutcome.IN_TIME) > 0, kind.toString());
       }
-      assertTrue(result.tokensRead() > 50_000, result.toString());
-      assertTrue(result.fullest() > 0.6, "not full: " + result);
+      assertTrue(result.prefilledTokens() > 50_000, result.toString());
+      assertTrue(result.maxMemoryShare() > 0.6, "not full: " + result);
     }
 
     @Test
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void getTheSameCallsWhateverTheFleet() {
+    public void getTheSameCallsInEveryFleet() {
       List<Integer> few = run(3, "0", 4).kinds().stream().map(FleetResult.Kind::calls).toList();
       List<Integer> many = run(20, "0.3", 4).kinds().stream().map(FleetResult.Kind::calls).toList();
       assertEquals(few, many);
@@ -86,15 +86,15 @@
 
     @Test
     public void doNotDependOnThreads() {
-      FleetScenario scenario = FleetScenarioReader.read(FULL.formatted(3, "0"));
+      FleetScenario scenario = FleetScenarioReader.read(SCENARIO.formatted(3, "0"));
       assertEquals(
-          new FleetExperiment(scenario, 3).call(1), new FleetExperiment(scenario, 3).call(3));
+          new FleetExperiment(scenario, 3).runAll(1), new FleetExperiment(scenario, 3).runAll(3));
     }
   }
 
-  /** Requests that crash the engines that run them, beside the calls of others. */
+  /** Requests that crash the engines that run them must not affect other calls. */
   public static class Crashes {
-    private static final String KIND =
+    private static final String CRASHING_CALLS =
         """
         {"name": "crash", "perSecond": 4, "promptTokens": 1000, "outputTokens": 100,
          "targetMillis": 900, "gapMillis": 300, "deadlineMillis": 6000, "worth": 0,
@@ -102,10 +102,10 @@
         ],
         "bursts"\
         """;
-    private static final int ENDS = 3;
+    private static final int CRASHES_UNTIL_QUARANTINE = 3;
 
-    /** Sends of a request that may be under way when its third end is told. */
-    private static final int UNDER_WAY = 1;
+    /** Attempts of a request that may be in transit when its third crash is reported. */
+    private static final int MAX_ATTEMPTS_IN_TRANSIT = 1;
 
     @DataProvider
     static Object[][] fleets() {
@@ -114,27 +114,30 @@
 
     private static FleetResult run(int nodes, String loss, int requests) {
       String text =
-          FULL.formatted(nodes, loss)
+          SCENARIO
+              .formatted(nodes, loss)
               .replace("\"decode\": 2", "\"decode\": 6")
-              .replaceFirst("],\\s*\"bursts\"", KIND.formatted(requests));
+              .replaceFirst("],\\s*\"bursts\"", CRASHING_CALLS.formatted(requests));
       return new FleetModel(FleetScenarioReader.read(text), 9).run();
     }
 
     @Test(dataProvider = "fleets")
-    public void endWithTheThirdOfEachRequest(int nodes, String loss, int requests) {
+    public void stopAfterTheThirdOfEachRequest(int nodes, String loss, int requests) {
       FleetResult result = run(nodes, loss, requests);
       int crashes = result.crashes();
-      assertTrue(crashes >= ENDS, crashes + " crashes");
-      assertTrue(crashes <= requests * (ENDS + UNDER_WAY), crashes + " crashes");
+      assertTrue(crashes >= CRASHES_UNTIL_QUARANTINE, crashes + " crashes");
+      assertTrue(
+          crashes <= requests * (CRASHES_UNTIL_QUARANTINE + MAX_ATTEMPTS_IN_TRANSIT),
+          crashes + " crashes");
     }
 
     @Test(dataProvider = "fleets")
-    public void turnNoOtherCallAway(int nodes, String loss, int requests) {
+    public void causeNoRefusalOfOtherCalls(int nodes, String loss, int requests) {
       assertEquals(run(nodes, loss, requests).quarantined(), 0);
     }
   }
 
-  /** Plain upstreams that name limits, beside nodes that are killed or suspended. */
+  /** Rate limits of plain upstreams hold over all nodes, also if a node is killed or suspended. */
   public static class Limits {
     private static final String LIMITS =
         """
@@ -157,16 +160,19 @@
     @Test(dataProvider = "limits")
     public void areKeptByAllNodesTogether(int nodes, String perSecond, String fault) {
       String text =
-          FULL.formatted(nodes, "0.02")
+          SCENARIO
+              .formatted(nodes, "0.02")
               .replace("\"seconds\": 8", "\"seconds\": 14")
               .replace("\"bursts\"", LIMITS.formatted(perSecond, fault));
       FleetResult result = new FleetModel(FleetScenarioReader.read(text), 3).run();
-      assertTrue(result.limitUse() > 0, "the upstream is never used");
-      assertTrue(result.limitUse() <= 1, "used " + result.limitUse() + " of what is promised");
+      assertTrue(result.maxLimitUsage() > 0, "the upstream received no requests");
+      assertTrue(
+          result.maxLimitUsage() <= 1,
+          "received " + result.maxLimitUsage() + " of the allowed requests");
     }
   }
 
-  /** Nodes whose processes end, or stand still. */
+  /** Nodes that are killed, frozen or suspended. */
   public static class NodeFaults {
     private static final String KILLED = fault("killed", 0, 1);
     private static final String FROZEN = fault("frozen", 0, 1);
@@ -181,7 +187,8 @@
 
     private static FleetResult run(int nodes, String faults, long seed) {
       String text =
-          FULL.formatted(nodes, "0.001")
+          SCENARIO
+              .formatted(nodes, "0.001")
               .replace("\"bursts\"", "\"nodeFaults\": [" + faults + "],\n\"bursts\"");
       return new FleetModel(FleetScenarioReader.read(text), seed).run();
     }
@@ -208,7 +215,7 @@
       };
     }
 
-    /** {@link FleetModel#run} fails by itself if a call or a token has no outcome. */
+    /** {@link FleetModel#run} throws an exception if a call or a token has no outcome. */
     @Test(dataProvider = "faults")
     public void leaveNoCallAndNoTokenWithoutOutcome(int nodes, String faults) {
       FleetResult result = run(nodes, faults, 1);
@@ -225,30 +232,31 @@
     }
 
     @Test
-    public void failTheStreamsOfProcessesThatEnd() {
+    public void failTheStreamsOfKilledNodes() {
       assertEquals(streams(run(3, NONE, 1), CallOutcome.FAILED), 0);
       assertTrue(streams(run(3, fault("killed", 0, 3), 1), CallOutcome.FAILED) > 0);
     }
 
     /**
-     * The first node by name sets memory aside for the calls of all. Load: three streams a second,
-     * which take half of the memory, so that the nodes that are left would have room for all.
+     * Kills the reservation coordinator, which is the first node by name. The load of three streams
+     * a second takes half of the memory, so that the remaining nodes have capacity for all calls.
      */
     @Test
-    public void ofTheAllocatorMakeNoCallOfAnotherLate() {
+    public void ofTheCoordinatorDelayNoCallOfOtherNodes() {
       for (int seed = 1; seed <= 5; seed++) {
-        FleetResult.Kind streams = calm(fault("killed", 0, 1), seed).kinds().getFirst();
+        FleetResult.Kind streams = runWithoutBurst(fault("killed", 0, 1), seed).kinds().getFirst();
         assertTrue(streams.calls() >= 10, streams.toString());
         assertEquals(streams.share(CallOutcome.LATE), 0.0, "seed " + seed + " " + streams);
         assertEquals(streams.share(CallOutcome.REFUSED), 0.0, "seed " + seed + " " + streams);
-        int own = streams.outcomes().getOrDefault(CallOutcome.FAILED, 0);
-        assertTrue(own <= 3, "seed " + seed + " " + streams);
+        int failed = streams.outcomes().getOrDefault(CallOutcome.FAILED, 0);
+        assertTrue(failed <= 3, "seed " + seed + " " + streams);
       }
     }
 
-    private static FleetResult calm(String faults, long seed) {
+    private static FleetResult runWithoutBurst(String faults, long seed) {
       String text =
-          FULL.formatted(20, "0.001")
+          SCENARIO
+              .formatted(20, "0.001")
               .replace(
                   "\"bursts\": [{\"atSecond\": 2, \"seconds\": 3, \"times\": 3}]", "\"bursts\": []")
               .replace("\"bursts\"", "\"nodeFaults\": [" + faults + "],\n\"bursts\"");
@@ -256,20 +264,21 @@
     }
 
     @Test
-    public void onlyDelayWhatAnIdleNodeHas() {
+    public void onlyDelayCallsOfAnIdleNode() {
       String text =
-          FULL.formatted(2, "0")
+          SCENARIO
+              .formatted(2, "0")
               .replace("\"perSecond\": 3,", "\"perSecond\": 0,")
               .replace("\"bursts\"", "\"nodeFaults\": [" + FROZEN + "],\n\"bursts\"");
       FleetResult.Kind lookups =
           new FleetModel(FleetScenarioReader.read(text), 1).run().kinds().get(1);
-      // One of two nodes stands still for 1.5 of 8 s; callers wait for 3 s.
+      // One of two nodes is frozen for 1.5 of 8 s; callers wait for 3 s.
       assertEquals(lookups.share(CallOutcome.IN_TIME) + lookups.share(CallOutcome.LATE), 1.0);
       assertTrue(lookups.share(CallOutcome.LATE) > 0.02, lookups.toString());
     }
   }
 
-  /** The scenarios that come with the project. */
+  /** The scenarios shipped with the project. */
   public static class Shipped {
     @Test
     public void areValid() throws IOException {
@@ -284,7 +293,7 @@
     }
   }
 
-  /** Files that are not valid. */
+  /** Invalid scenario files. */
   public static class BadInput {
     @DataProvider
     static Object[][] mistakes() {
@@ -311,8 +320,8 @@
     }
 
     @Test(dataProvider = "mistakes")
-    public void isToldWithFieldValueAndRemedy(String right, String wrong, String message) {
-      String text = FULL.formatted(3, "0");
+    public void isReportedWithFieldValueAndRemedy(String right, String wrong, String message) {
+      String text = SCENARIO.formatted(3, "0");
       assertTrue(text.contains(right), right);
       ScenarioException e =
           Assert.expectThrows(
--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/fleet/SimEngineTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/fleet/SimEngineTest.java
@@ -29,51 +29,51 @@
 import org.larkkeel.relay.Stage;
 import org.testng.annotations.Test;
 
-/** The engine alone, against times and sums worked out by hand. */
+/** Tests of {@link SimEngine} against times and sums calculated by hand. */
 public class SimEngineTest {
-  private static final double MILLI = 1e6;
-  private static final UpstreamName READS = new UpstreamName("reads");
-  private static final UpstreamName RUNS = new UpstreamName("runs");
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final UpstreamName PREFILL_ENGINE = new UpstreamName("reads");
+  private static final UpstreamName DECODE_ENGINE = new UpstreamName("runs");
 
-  /** One engine of each stage, and what they say. */
-  private static final class Rig implements Job.Sender {
+  /** One engine of each stage, with a record of their messages. */
+  private static final class Fixture implements Job.Sender {
     final Timeline time = new Timeline(0);
     final TokenLedger ledger = new TokenLedger();
-    final Map<Long, Double> ended = new HashMap<>();
+    final Map<Long, Double> endMillis = new HashMap<>();
     final List<Long> declined = new ArrayList<>();
-    final List<Double> events = new ArrayList<>();
+    final List<Double> eventMillis = new ArrayList<>();
     final Map<Long, String> handles = new HashMap<>();
-    final SimEngine reads;
-    final SimEngine runs;
+    final SimEngine prefillEngine;
+    final SimEngine decodeEngine;
 
-    Rig(int slots, int queue, long memory) {
+    Fixture(int slots, int queue, long memory) {
       FleetScenario.Engines spec =
           new FleetScenario.Engines(
               1, 1, slots, queue, memory, 16, 2, 1, 10, 2_048, 1, 500, 1, 2_500);
-      reads = new SimEngine(time, ledger, spec, Stage.PREFILL);
-      runs = new SimEngine(time, ledger, spec, Stage.DECODE);
+      prefillEngine = new SimEngine(time, ledger, spec, Stage.PREFILL);
+      decodeEngine = new SimEngine(time, ledger, spec, Stage.DECODE);
     }
 
     Job job(long id, Purpose purpose, int prompt, int output) {
-      return new Job(this, new AttemptId(id), RUNS, purpose, prompt, output, false);
+      return new Job(this, new AttemptId(id), DECODE_ENGINE, purpose, prompt, output, false);
     }
 
-    Job run(long id, int prompt, int output) {
+    Job decode(long id, int prompt, int output) {
       Job job = job(id, new Purpose.Run(), prompt, output);
-      runs.take(job);
+      decodeEngine.submit(job);
       return job;
     }
 
-    Job read(long id, int prompt) {
+    Job prefill(long id, int prompt) {
       Job job = job(id, new Purpose.ReadPrompt(), prompt, 0);
-      reads.take(job);
+      prefillEngine.submit(job);
       return job;
     }
 
     Job takeOver(long id, String handle, int prompt, int output) {
       RelayUpstream source =
           new RelayUpstream(
-              UpstreamIncarnation.unknown(READS),
+              UpstreamIncarnation.unknown(PREFILL_ENGINE),
               new ServiceName("model"),
               "127.0.0.1:80",
               new DataCentreName("dc-1"),
@@ -81,16 +81,16 @@
               Stage.PREFILL,
               false);
       Job job = job(id, new Purpose.TakeOver(source, handle), prompt, output);
-      runs.take(job);
+      decodeEngine.submit(job);
       return job;
     }
 
-    double millis() {
-      return time.now() / MILLI;
+    double nowMillis() {
+      return time.now() / NANOS_PER_MILLI;
     }
 
-    void pass(double millis) {
-      time.runUntil(time.now() + (long) (millis * MILLI));
+    void advanceMillis(double millis) {
+      time.runUntil(time.now() + (long) (millis * NANOS_PER_MILLI));
     }
 
     @Override
@@ -103,24 +103,24 @@
 
     @Override
     public void promptRead(Job job, String handle) {
-      ended.put(job.attempt.value(), millis());
+      endMillis.put(job.attempt.value(), nowMillis());
       handles.put(job.attempt.value(), handle);
     }
 
     @Override
     public void event(Job job, boolean first) {
-      events.add(millis());
+      eventMillis.add(nowMillis());
     }
 
     @Override
     public void complete(Job job, LongFunction<RelayEvent> event) {
-      ended.put(job.attempt.value(), millis());
-      job.settle(ReadCause.USED);
+      endMillis.put(job.attempt.value(), nowMillis());
+      job.settle(PrefillUse.USED);
     }
 
     @Override
     public SimEngine engine(UpstreamName id) {
-      return id.equals(READS) ? reads : runs;
+      return id.equals(PREFILL_ENGINE) ? prefillEngine : decodeEngine;
     }
   }
 
@@ -128,141 +128,141 @@
     assertEquals(actual, expected, 0.01);
   }
 
-  /** How long work takes. */
+  /** Duration of prefills, decode steps and transfers. */
   public static class Times {
     @Test
-    public void promptsAreReadInPiecesOneAfterTheOther() {
-      Rig rig = new Rig(4, 2, 100_000);
-      rig.read(1, 3_048);
-      rig.read(2, 1_000);
-      rig.pass(450);
-      // 2,048 and 1,000 tokens at ten a millisecond, then 1,000 of the second.
-      assertAt(rig.ended.get(1L), 304.8);
-      assertAt(rig.ended.get(2L), 404.8);
+    public void promptsArePrefilledInChunksInSequence() {
+      Fixture fixture = new Fixture(4, 2, 100_000);
+      fixture.prefill(1, 3_048);
+      fixture.prefill(2, 1_000);
+      fixture.advanceMillis(450);
+      // 2,048 and 1,000 tokens at 10 per millisecond, then 1,000 tokens of the second prompt.
+      assertAt(fixture.endMillis.get(1L), 304.8);
+      assertAt(fixture.endMillis.get(2L), 404.8);
     }
 
     @Test
-    public void anEngineThatRunsReadsAtHalfTheSpeed() {
-      Rig rig = new Rig(4, 2, 100_000);
-      rig.run(1, 1_000, 3);
-      rig.pass(300);
-      // 1,000 tokens at five a millisecond, then three steps of 2 + 1 ms.
-      assertAt(rig.events.getFirst(), 203);
-      assertAt(rig.ended.get(1L), 209);
+    public void decodeEnginesPrefillAtHalfTheSpeed() {
+      Fixture fixture = new Fixture(4, 2, 100_000);
+      fixture.decode(1, 1_000, 3);
+      fixture.advanceMillis(300);
+      // 1,000 tokens at 5 per millisecond, then three steps of 2 + 1 ms.
+      assertAt(fixture.eventMillis.getFirst(), 203);
+      assertAt(fixture.endMillis.get(1L), 209);
     }
 
     @Test
-    public void stepsAreLongerTheMoreRequestsThereAre() {
-      Rig rig = new Rig(4, 2, 100_000);
-      rig.run(1, 5, 4);
-      rig.run(2, 5, 4);
-      rig.pass(100);
-      // The first is read in 1 ms; its first step, with the second's reading, takes 3 + 1 ms; then
-      // three steps of both take 4 ms each, and the last of the second 3 ms.
-      assertAt(rig.ended.get(1L), 17);
-      assertAt(rig.ended.get(2L), 20);
+    public void stepsTakeLongerWithMoreRequests() {
+      Fixture fixture = new Fixture(4, 2, 100_000);
+      fixture.decode(1, 5, 4);
+      fixture.decode(2, 5, 4);
+      fixture.advanceMillis(100);
+      // The first prefill takes 1 ms; the first decode step, with the second prefill, 3 + 1 ms;
+      // then three steps with both requests 4 ms each, and the last of the second request 3 ms.
+      assertAt(fixture.endMillis.get(1L), 17);
+      assertAt(fixture.endMillis.get(2L), 20);
     }
 
     @Test
-    public void promptsAreFetchedOverTheLinkOfTheirSource() {
-      Rig rig = new Rig(4, 2, 100_000);
-      rig.read(1, 1_000);
-      rig.read(2, 1_000);
-      rig.pass(200);
-      rig.takeOver(3, rig.handles.get(1L), 1_000, 1);
-      rig.takeOver(4, rig.handles.get(2L), 1_000, 1);
-      rig.pass(100);
-      // A millisecond each, one after the other; a step of 3 ms.
-      assertAt(rig.ended.get(3L), 204);
-      assertAt(rig.ended.get(4L), 207);
+    public void promptTransfersUseTheLinkOfTheirSourceInSequence() {
+      Fixture fixture = new Fixture(4, 2, 100_000);
+      fixture.prefill(1, 1_000);
+      fixture.prefill(2, 1_000);
+      fixture.advanceMillis(200);
+      fixture.takeOver(3, fixture.handles.get(1L), 1_000, 1);
+      fixture.takeOver(4, fixture.handles.get(2L), 1_000, 1);
+      fixture.advanceMillis(100);
+      // Transfers of 1 ms each, one after the other; a step of 3 ms.
+      assertAt(fixture.endMillis.get(3L), 204);
+      assertAt(fixture.endMillis.get(4L), 207);
     }
   }
 
-  /** What there is room for. */
-  public static class Room {
+  /** Slots, queue and memory. */
+  public static class Capacity {
     @Test
-    public void oneThatIsFullDeclines() {
-      Rig rig = new Rig(1, 1, 100_000);
-      rig.run(1, 100, 10);
-      rig.run(2, 100, 10);
-      rig.run(3, 100, 10);
-      assertEquals(rig.declined, List.of(3L));
-      rig.pass(1_000);
-      assertTrue(rig.ended.keySet().containsAll(List.of(1L, 2L)));
-      assertEquals(rig.ledger.close().get(ReadCause.USED), Long.valueOf(200));
+    public void fullEnginesDecline() {
+      Fixture fixture = new Fixture(1, 1, 100_000);
+      fixture.decode(1, 100, 10);
+      fixture.decode(2, 100, 10);
+      fixture.decode(3, 100, 10);
+      assertEquals(fixture.declined, List.of(3L));
+      fixture.advanceMillis(1_000);
+      assertTrue(fixture.endMillis.keySet().containsAll(List.of(1L, 2L)));
+      assertEquals(fixture.ledger.close().get(PrefillUse.USED), Long.valueOf(200));
     }
 
     @Test
-    public void theYoungestIsDroppedAndReadAgainWhenMemoryRunsOut() {
-      Rig rig = new Rig(4, 2, 64);
-      rig.run(1, 16, 40);
-      rig.run(2, 16, 40);
-      rig.pass(2_000);
-      assertEquals(rig.runs.preemptions(), 1);
-      assertTrue(rig.ended.get(1L) < rig.ended.get(2L));
-      Map<ReadCause, Long> sums = rig.ledger.close();
-      assertEquals(sums.get(ReadCause.PREEMPTED), Long.valueOf(16));
-      // The prompts of both, and what the second had generated before it was dropped.
-      assertTrue(sums.get(ReadCause.USED) > 32, sums.toString());
-      assertAt(rig.runs.fullest(), 1);
+    public void theYoungestIsPreemptedAndPrefilledAgainWhenMemoryRunsOut() {
+      Fixture fixture = new Fixture(4, 2, 64);
+      fixture.decode(1, 16, 40);
+      fixture.decode(2, 16, 40);
+      fixture.advanceMillis(2_000);
+      assertEquals(fixture.decodeEngine.preemptions(), 1);
+      assertTrue(fixture.endMillis.get(1L) < fixture.endMillis.get(2L));
+      Map<PrefillUse, Long> sums = fixture.ledger.close();
+      assertEquals(sums.get(PrefillUse.PREEMPTED), Long.valueOf(16));
+      // Both prompts, and the tokens that the second request had generated before preemption.
+      assertTrue(sums.get(PrefillUse.USED) > 32, sums.toString());
+      assertAt(fixture.decodeEngine.maxMemoryShare(), 1);
     }
 
     @Test
     public void cancelsFreeMemoryAtOnce() {
-      Rig rig = new Rig(4, 1, 64);
-      Job first = rig.run(1, 40, 20);
-      rig.run(2, 40, 20);
-      rig.pass(9);
-      rig.runs.cancel(first);
-      rig.pass(1_000);
-      assertFalse(rig.ended.containsKey(1L));
-      assertTrue(rig.ended.containsKey(2L));
-      Map<ReadCause, Long> sums = rig.ledger.close();
-      assertEquals(sums.get(ReadCause.CANCELLED), Long.valueOf(40));
-      assertEquals(sums.get(ReadCause.USED), Long.valueOf(40));
+      Fixture fixture = new Fixture(4, 1, 64);
+      Job first = fixture.decode(1, 40, 20);
+      fixture.decode(2, 40, 20);
+      fixture.advanceMillis(9);
+      fixture.decodeEngine.cancel(first);
+      fixture.advanceMillis(1_000);
+      assertFalse(fixture.endMillis.containsKey(1L));
+      assertTrue(fixture.endMillis.containsKey(2L));
+      Map<PrefillUse, Long> sums = fixture.ledger.close();
+      assertEquals(sums.get(PrefillUse.CANCELLED), Long.valueOf(40));
+      assertEquals(sums.get(PrefillUse.USED), Long.valueOf(40));
     }
   }
 
-  /** Prompts that are kept for others. */
+  /** Prompts held for other engines. */
   public static class Handles {
     @Test
-    public void lapse() {
-      Rig rig = new Rig(4, 2, 100_000);
-      rig.read(1, 1_000);
-      rig.pass(700);
-      rig.takeOver(2, rig.handles.get(1L), 1_000, 1);
-      assertEquals(rig.declined, List.of(2L));
-      assertEquals(rig.ledger.close().get(ReadCause.HANDLE_LAPSED), Long.valueOf(1_000));
+    public void expire() {
+      Fixture fixture = new Fixture(4, 2, 100_000);
+      fixture.prefill(1, 1_000);
+      fixture.advanceMillis(700);
+      fixture.takeOver(2, fixture.handles.get(1L), 1_000, 1);
+      assertEquals(fixture.declined, List.of(2L));
+      assertEquals(fixture.ledger.close().get(PrefillUse.HANDLE_LAPSED), Long.valueOf(1_000));
     }
 
     @Test
     public void areFreed() {
-      Rig rig = new Rig(4, 2, 100_000);
-      rig.read(1, 1_000);
-      rig.pass(200);
-      rig.reads.free(rig.handles.get(1L));
-      assertEquals(rig.ledger.close().get(ReadCause.HANDLE_FREED), Long.valueOf(1_000));
+      Fixture fixture = new Fixture(4, 2, 100_000);
+      fixture.prefill(1, 1_000);
+      fixture.advanceMillis(200);
+      fixture.prefillEngine.free(fixture.handles.get(1L));
+      assertEquals(fixture.ledger.close().get(PrefillUse.HANDLE_FREED), Long.valueOf(1_000));
     }
 
     @Test
     public void areTakenOnce() {
-      Rig rig = new Rig(4, 2, 100_000);
-      rig.read(1, 1_000);
-      rig.pass(200);
-      rig.takeOver(2, rig.handles.get(1L), 1_000, 1);
-      rig.takeOver(3, rig.handles.get(1L), 1_000, 1);
-      assertEquals(rig.declined, List.of(3L));
+      Fixture fixture = new Fixture(4, 2, 100_000);
+      fixture.prefill(1, 1_000);
+      fixture.advanceMillis(200);
+      fixture.takeOver(2, fixture.handles.get(1L), 1_000, 1);
+      fixture.takeOver(3, fixture.handles.get(1L), 1_000, 1);
+      assertEquals(fixture.declined, List.of(3L));
     }
   }
 
-  /** Sums that do not close. */
+  /** Checks of the token ledger. */
   public static class Ledger {
     @Test
-    public void areRefusedWhileOneReadingHasNoCause() {
-      Rig rig = new Rig(4, 2, 100_000);
-      rig.run(1, 1_000, 100);
-      rig.pass(250);
-      assertThrows(IllegalStateException.class, rig.ledger::close);
+    public void failsToCloseWhileOnePrefillHasNoUse() {
+      Fixture fixture = new Fixture(4, 2, 100_000);
+      fixture.decode(1, 1_000, 100);
+      fixture.advanceMillis(250);
+      assertThrows(IllegalStateException.class, fixture.ledger::close);
     }
   }
 }
--- a/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/scenario/ScenarioReaderTest.java
+++ b/org.larkkeel.bench.test/src/test/java/org/larkkeel/bench/experiment/scenario/ScenarioReaderTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import org.larkkeel.bench.experiment.policy.Subjects;
+import org.larkkeel.bench.experiment.policy.RoutingPolicies;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -25,15 +25,15 @@
 public class ScenarioReaderTest {
   private static final Path SHIPPED = Path.of("../org.larkkeel.bench/scenarios");
 
-  private static String tejemanos() throws IOException {
+  private static String readTejemanosFile() throws IOException {
     return Files.readString(SHIPPED.resolve("tejemanos.json"));
   }
 
   private static Scenario read(String text) {
-    return ScenarioReader.read(text, Subjects.names()::contains);
+    return ScenarioReader.read(text, RoutingPolicies.names()::contains);
   }
 
-  /** The files that come with the product. */
+  /** The scenario files shipped with the product. */
   public static class Shipped {
     @Test
     public void areValid() throws IOException {
@@ -50,7 +50,7 @@
 
   /** Mistakes in a file. */
   public static class Mistakes {
-    /** A text of the file, what replaces it, and a part of the message. */
+    /** A piece of the file, its replacement, and the expected part of the message. */
     @DataProvider
     public Object[][] mistakes() {
       return new Object[][] {
@@ -77,11 +77,11 @@
     }
 
     @Test(dataProvider = "mistakes")
-    public void nameTheFieldAndTheRemedy(String right, String wrong, String message)
+    public void areReportedWithFieldAndRemedy(String right, String wrong, String message)
         throws IOException {
-      String text = tejemanos();
+      String text = readTejemanosFile();
       String broken = text.replaceFirst(Pattern.quote(right), wrong);
-      assertFalse(broken.equals(text), "the file has no " + right);
+      assertFalse(broken.equals(text), "the file does not contain " + right);
       ScenarioException e = expectThrows(ScenarioException.class, () -> read(broken));
       assertTrue(e.getMessage().contains(message), e.getMessage());
     }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Experiment.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Experiment.java
@@ -18,7 +18,7 @@
 import org.larkkeel.bench.experiment.bound.UpperBound;
 import org.larkkeel.bench.experiment.fake.Cluster;
 import org.larkkeel.bench.experiment.fake.Ledger;
-import org.larkkeel.bench.experiment.policy.Subjects;
+import org.larkkeel.bench.experiment.policy.RoutingPolicies;
 import org.larkkeel.bench.experiment.scenario.Arrival;
 import org.larkkeel.bench.experiment.scenario.Capacity;
 import org.larkkeel.bench.experiment.scenario.FaultPlan;
@@ -34,7 +34,7 @@
  * @since 0.1
  */
 public final class Experiment {
-  /** Reported when a run passes the upper bound, which then is none. */
+  /** Reported if a run exceeds the upper bound, which proves the bound wrong. */
   private static final String BEYOND_BOUND = "beyond-bound";
 
   private final Scenario scenario;
@@ -43,7 +43,7 @@
   /**
    * Creates the experiment.
    *
-   * @param scenario what to run
+   * @param scenario the scenario to run
    */
   public Experiment(Scenario scenario) {
     this.scenario = scenario;
@@ -51,7 +51,7 @@
   }
 
   /**
-   * The computed capacity.
+   * Returns the computed capacity.
    *
    * @return the fluid limits
    */
@@ -60,24 +60,24 @@
   }
 
   /**
-   * Runs everything.
+   * Runs all combinations of policy, load and seed.
    *
-   * @param threads runs at once
-   * @return one result a policy, load and seed, in the order of the scenario
+   * @param threads the number of concurrent runs
+   * @return one result per policy, load and seed, in the order of the scenario
    */
-  public List<RunResult> call(int threads) {
+  public List<RunResult> runAll(int threads) {
     try (ExecutorService executor = Executors.newFixedThreadPool(threads)) {
       List<CompletableFuture<List<RunResult>>> cases = new ArrayList<>();
       for (double load : scenario.loads()) {
         for (long seed : scenario.seeds()) {
-          cases.add(CompletableFuture.supplyAsync(() -> runCase(load, seed), executor));
+          cases.add(CompletableFuture.supplyAsync(() -> runPolicies(load, seed), executor));
         }
       }
       return cases.stream().flatMap(results -> results.join().stream()).toList();
     }
   }
 
-  private List<RunResult> runCase(double load, long seed) {
+  private List<RunResult> runPolicies(double load, long seed) {
     ImmutableList<Arrival> arrivals =
         Traffic.draw(scenario, load * capacity.completionsPerSecond(), seed);
     ImmutableList<FaultPlan.Occurrence> faults = FaultPlan.draw(scenario, seed);
@@ -85,7 +85,8 @@
     List<RunResult> results = new ArrayList<>();
     for (String policy : scenario.policies()) {
       Cluster cluster =
-          new Cluster(scenario, arrivals, faults, seed, place -> Subjects.create(policy, place));
+          new Cluster(
+              scenario, arrivals, faults, seed, node -> RoutingPolicies.create(policy, node));
       Ledger ledger = cluster.run();
       results.add(result(policy, load, seed, bound, cluster, ledger));
     }
@@ -99,10 +100,10 @@
     for (Arrival arrival : ledger.arrivals()) {
       if (!arrival.kind().plain()) {
         offered++;
-        good += Measures.good(arrival, ledger.of(arrival)) ? 1 : 0;
+        good += Measures.isGood(arrival, ledger.outcomeOf(arrival)) ? 1 : 0;
       }
     }
-    double seconds = (double) scenario.duration() / Scenario.SECOND;
+    double seconds = (double) scenario.duration() / Scenario.NANOS_PER_SECOND;
     return new RunResult(
         policy,
         load,
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/ExperimentCommand.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/ExperimentCommand.java
@@ -19,7 +19,7 @@
 import org.larkkeel.bench.experiment.fleet.FleetExperiment;
 import org.larkkeel.bench.experiment.fleet.FleetScenario;
 import org.larkkeel.bench.experiment.fleet.FleetScenarioReader;
-import org.larkkeel.bench.experiment.policy.Subjects;
+import org.larkkeel.bench.experiment.policy.RoutingPolicies;
 import org.larkkeel.bench.experiment.scenario.Scenario;
 import org.larkkeel.bench.experiment.scenario.ScenarioException;
 import org.larkkeel.bench.experiment.scenario.ScenarioReader;
@@ -35,17 +35,17 @@
  */
 public final class ExperimentCommand {
   private static final int OK = 0;
-  private static final int BROKEN_PROMISE = 1;
+  private static final int VIOLATIONS = 1;
   private static final int USAGE = 2;
 
   @Option(name = "--scenario", metaVar = "FILE", usage = "the scenario, JSON with comments")
-  private Path file;
+  private Path scenarioFile;
 
   @Option(name = "--fleet", metaVar = "FILE", usage = "a fleet of relay nodes instead")
-  private Path fleet;
+  private Path fleetFile;
 
   @Option(name = "--output", metaVar = "FOLDER", usage = "writes result and plot there")
-  private Path output;
+  private Path outputFolder;
 
   @Option(name = "--policies", metaVar = "A,B", usage = "runs these instead of the scenario's")
   private String policies;
@@ -60,7 +60,7 @@
   private int threads = 2;
 
   @Option(name = "--list", usage = "prints the names of the policies")
-  private boolean list;
+  private boolean listsPolicies;
 
   private final PrintStream out;
 
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Runs the command and exits with 0, 1 for a broken promise, or 2 for a wrong call.
+   * Runs the command and exits with 0, with 1 if a run has violations, or with 2 for invalid usage.
    *
    * @param args the arguments
    */
@@ -81,20 +81,21 @@
     CmdLineParser parser = new CmdLineParser(this);
     try {
       parser.parseArgument(args);
-      if (list) {
-        Subjects.names().forEach(out::println);
+      if (listsPolicies) {
+        RoutingPolicies.names().forEach(out::println);
         return OK;
       }
-      if (fleet != null) {
+      if (fleetFile != null) {
         return runFleet();
       }
-      if (file == null) {
+      if (scenarioFile == null) {
         throw new ScenarioException(
             "--scenario is missing: name a scenario file, or a fleet with --fleet");
       }
       Scenario scenario =
           Overrides.apply(
-              ScenarioReader.read(Files.readString(file), Subjects.names()::contains),
+              ScenarioReader.read(
+                  Files.readString(scenarioFile), RoutingPolicies.names()::contains),
               policies,
               loads,
               seeds);
@@ -103,30 +104,30 @@
       out.println(e.getMessage());
       return USAGE;
     } catch (IOException e) {
-      out.println("can not read or write " + e.getMessage() + ": check the path");
+      out.println("cannot read or write " + e.getMessage() + ": check the path");
       return USAGE;
     }
   }
 
   private int run(Scenario scenario) throws IOException {
     Experiment experiment = new Experiment(scenario);
-    List<RunResult> results = experiment.call(Math.max(1, threads));
+    List<RunResult> results = experiment.runAll(Math.max(1, threads));
     List<Summary> summaries = Summary.of(results);
     new Report(scenario, experiment.capacity(), summaries).print(out);
-    if (output != null) {
-      ResultWriter.write(output, scenario, experiment.capacity(), summaries, results);
-      Plot.write(output, scenario, summaries);
+    if (outputFolder != null) {
+      ResultWriter.write(outputFolder, scenario, experiment.capacity(), summaries, results);
+      Plot.write(outputFolder, scenario, summaries);
     }
-    boolean broken = results.stream().anyMatch(r -> !r.violations().isEmpty());
-    return broken ? BROKEN_PROMISE : OK;
+    boolean hasViolations = results.stream().anyMatch(r -> !r.violations().isEmpty());
+    return hasViolations ? VIOLATIONS : OK;
   }
 
   private int runFleet() throws IOException {
-    FleetScenario scenario = FleetScenarioReader.read(Files.readString(fleet));
-    // Each node logs as its process would; of a whole fleet nobody reads that.
+    FleetScenario scenario = FleetScenarioReader.read(Files.readString(fleetFile));
+    // Each simulated node logs like a real process, which is too much output for a fleet.
     ((Logger) LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME)).setLevel(Level.ERROR);
     FleetExperiment experiment = new FleetExperiment(scenario, Math.max(1, seeds));
-    FleetExperiment.print(experiment.call(Math.max(1, threads)), out);
+    FleetExperiment.print(experiment.runAll(Math.max(1, threads)), out);
     return OK;
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Measures.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Measures.java
@@ -19,14 +19,14 @@
 import org.larkkeel.bench.experiment.scenario.Scenario;
 
 /**
- * Turns the ledger of a run into measures.
+ * Computes the results per request class from the ledger of a run.
  *
  * <p>Not safe for use by several threads.
  */
 final class Measures {
-  private static final int DIGITS = 3;
-  private static final double MICROS_A_MILLI = 1000;
-  private static final long NANOS_A_MICRO = 1000;
+  private static final int SIGNIFICANT_DIGITS = 3;
+  private static final double MICROS_PER_MILLI = 1000;
+  private static final long NANOS_PER_MICRO = 1000;
 
   private final Map<String, Tally> tallies = new LinkedHashMap<>();
 
@@ -36,8 +36,8 @@
     private int late;
     private int left;
     private final Map<String, Integer> refused = new TreeMap<>();
-    private final Histogram first = new Histogram(DIGITS);
-    private final Histogram between = new Histogram(DIGITS);
+    private final Histogram first = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram between = new Histogram(SIGNIFICANT_DIGITS);
   }
 
   Measures(Scenario scenario, Ledger ledger) {
@@ -45,15 +45,15 @@
       tallies.put(kind.name(), new Tally());
     }
     for (Arrival arrival : ledger.arrivals()) {
-      count(tallies.get(arrival.kind().name()), arrival, ledger.of(arrival));
+      count(tallies.get(arrival.kind().name()), arrival, ledger.outcomeOf(arrival));
     }
   }
 
-  /** Whether a request was finished within all of its targets. */
-  static boolean good(Arrival arrival, Outcome outcome) {
+  /** Returns whether a request was answered within all of its targets. */
+  static boolean isGood(Arrival arrival, Outcome outcome) {
     return outcome.end() == End.ANSWERED
-        && first(arrival, outcome) <= arrival.kind().firstToken()
-        && between(arrival, outcome) <= arrival.kind().betweenTokens()
+        && firstNanos(arrival, outcome) <= arrival.kind().firstToken()
+        && betweenNanos(arrival, outcome) <= arrival.kind().betweenTokens()
         && outcome.endAt() - arrival.at() <= arrival.kind().deadline();
   }
 
@@ -80,23 +80,23 @@
       case LEFT -> tally.left++;
       case REFUSED -> tally.refused.merge(outcome.error().slug(), 1, Integer::sum);
       case ANSWERED -> {
-        tally.good += good(arrival, outcome) ? 1 : 0;
-        tally.late += good(arrival, outcome) ? 0 : 1;
-        tally.first.recordValue(first(arrival, outcome) / NANOS_A_MICRO);
+        tally.good += isGood(arrival, outcome) ? 1 : 0;
+        tally.late += isGood(arrival, outcome) ? 0 : 1;
+        tally.first.recordValue(firstNanos(arrival, outcome) / NANOS_PER_MICRO);
         if (!arrival.kind().plain()) {
-          tally.between.recordValue((long) between(arrival, outcome) / NANOS_A_MICRO);
+          tally.between.recordValue((long) betweenNanos(arrival, outcome) / NANOS_PER_MICRO);
         }
       }
       default -> {}
     }
   }
 
-  private static long first(Arrival arrival, Outcome outcome) {
+  private static long firstNanos(Arrival arrival, Outcome outcome) {
     long at = arrival.kind().plain() ? outcome.endAt() : outcome.firstAt();
     return at - arrival.at();
   }
 
-  private static double between(Arrival arrival, Outcome outcome) {
+  private static double betweenNanos(Arrival arrival, Outcome outcome) {
     if (arrival.kind().plain() || arrival.output() < 2) {
       return 0;
     }
@@ -105,8 +105,8 @@
 
   private static Percentiles percentiles(Histogram micros) {
     return new Percentiles(
-        micros.getValueAtPercentile(50) / MICROS_A_MILLI,
-        micros.getValueAtPercentile(95) / MICROS_A_MILLI,
-        micros.getValueAtPercentile(99) / MICROS_A_MILLI);
+        micros.getValueAtPercentile(50) / MICROS_PER_MILLI,
+        micros.getValueAtPercentile(95) / MICROS_PER_MILLI,
+        micros.getValueAtPercentile(99) / MICROS_PER_MILLI);
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Overrides.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Overrides.java
@@ -8,12 +8,12 @@
 
 import com.google.common.base.Splitter;
 import com.google.common.collect.ImmutableList;
-import org.larkkeel.bench.experiment.policy.Subjects;
+import org.larkkeel.bench.experiment.policy.RoutingPolicies;
 import org.larkkeel.bench.experiment.scenario.Scenario;
 import org.larkkeel.bench.experiment.scenario.ScenarioException;
 
 /**
- * Replaces parts of a scenario by options of the command line.
+ * Replaces parts of a scenario by command line options.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -25,12 +25,12 @@
   static Scenario apply(Scenario scenario, String policies, String loads, int seeds) {
     return new Scenario(
         scenario.name(),
-        seeds <= 0 ? scenario.seeds() : first(scenario.seeds(), seeds),
-        loads == null ? scenario.loads() : loads(loads),
+        seeds <= 0 ? scenario.seeds() : firstSeeds(scenario.seeds(), seeds),
+        loads == null ? scenario.loads() : parseLoads(loads),
         scenario.duration(),
         scenario.nodes(),
         scenario.sharedSlots(),
-        policies == null ? scenario.policies() : policies(policies),
+        policies == null ? scenario.policies() : parsePolicies(policies),
         scenario.kvBytesPerToken(),
         scenario.platform(),
         scenario.arrivals(),
@@ -39,22 +39,22 @@
         scenario.faults());
   }
 
-  private static ImmutableList<Long> first(ImmutableList<Long> seeds, int count) {
+  private static ImmutableList<Long> firstSeeds(ImmutableList<Long> seeds, int count) {
     return seeds.subList(0, Math.min(count, seeds.size()));
   }
 
-  private static ImmutableList<String> policies(String text) {
+  private static ImmutableList<String> parsePolicies(String text) {
     ImmutableList<String> names = ImmutableList.copyOf(COMMAS.split(text));
     for (String name : names) {
-      if (!Subjects.names().contains(name)) {
+      if (!RoutingPolicies.names().contains(name)) {
         throw new ScenarioException(
-            "--policies has \"" + name + "\": use " + String.join(", ", Subjects.names()));
+            "--policies has \"" + name + "\": use " + String.join(", ", RoutingPolicies.names()));
       }
     }
     return names;
   }
 
-  private static ImmutableList<Double> loads(String text) {
+  private static ImmutableList<Double> parseLoads(String text) {
     ImmutableList.Builder<Double> loads = ImmutableList.builder();
     for (String load : COMMAS.split(text)) {
       try {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Plot.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Plot.java
@@ -22,7 +22,7 @@
 import org.larkkeel.bench.experiment.scenario.Scenario;
 
 /**
- * Plots goodput and wasted prefill against load, one line a policy.
+ * Plots goodput and wasted prefill against load, with one line per policy.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -38,10 +38,10 @@
     String name = scenario.name();
     Files.createDirectories(folder);
     XYChart goodput = chart(name + ": goodput", "good completions/s");
-    fill(goodput, summaries, s -> s.goodput().mean());
-    addBound(goodput, summaries, (double) scenario.duration() / Scenario.SECOND);
+    addPolicies(goodput, summaries, s -> s.goodput().mean());
+    addBound(goodput, summaries, (double) scenario.duration() / Scenario.NANOS_PER_SECOND);
     XYChart wasted = chart(name + ": wasted prefill", "% of prefill tokens");
-    fill(wasted, summaries, s -> PERCENT * s.wasted().mean());
+    addPolicies(wasted, summaries, s -> PERCENT * s.wasted().mean());
     BitmapEncoder.saveBitmap(
         List.of(goodput, wasted), 1, 2, folder.resolve(name + ".png").toString(), BitmapFormat.PNG);
   }
@@ -60,26 +60,26 @@
     return chart;
   }
 
-  private static void fill(
+  private static void addPolicies(
       XYChart chart, List<Summary> summaries, ToDoubleFunction<Summary> value) {
     Map<String, List<Summary>> lines = new LinkedHashMap<>();
     for (Summary s : summaries) {
       lines.computeIfAbsent(s.policy(), p -> new ArrayList<>()).add(s);
     }
-    lines.forEach((policy, points) -> add(chart, policy, points, value));
+    lines.forEach((policy, points) -> addSeries(chart, policy, points, value));
   }
 
   private static void addBound(XYChart chart, List<Summary> summaries, double seconds) {
     String first = summaries.getFirst().policy();
     List<Summary> points = summaries.stream().filter(s -> s.policy().equals(first)).toList();
-    add(chart, BOUND, points, s -> bound(s) / seconds);
+    addSeries(chart, BOUND, points, s -> bound(s) / seconds);
   }
 
   private static double bound(Summary summary) {
     return summary.runs().stream().mapToDouble(RunResult::bound).average().orElse(0);
   }
 
-  private static void add(
+  private static void addSeries(
       XYChart chart, String name, List<Summary> points, ToDoubleFunction<Summary> value) {
     double[] loads = points.stream().mapToDouble(Summary::load).toArray();
     chart.addSeries(name, loads, points.stream().mapToDouble(value).toArray());
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Report.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Report.java
@@ -19,12 +19,12 @@
 import org.larkkeel.bench.experiment.scenario.Scenario;
 
 /**
- * The printed tables of an experiment, in Markdown.
+ * The result tables of an experiment in Markdown.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param scenario what ran
- * @param capacity its fluid limits
+ * @param scenario the scenario that was run
+ * @param capacity the fluid limits of the scenario
  * @param summaries the results
  */
 record Report(Scenario scenario, Capacity capacity, List<Summary> summaries) {
@@ -41,7 +41,7 @@
         capacity.transfer(),
         capacity.decode(),
         scenario.seeds().size(),
-        (double) scenario.duration() / Scenario.SECOND,
+        (double) scenario.duration() / Scenario.NANOS_PER_SECOND,
         scenario.nodes(),
         scenario.sharedSlots() ? " sharing slots" : "");
     out.println(
@@ -54,10 +54,10 @@
           "| %.2f | %s | %s | %s | %.1f | %s | %.0f | %s | %s |%n",
           s.load(),
           s.policy(),
-          show(s.goodput(), 1, 2),
-          show(s.ofBound(), PERCENT, 1),
+          format(s.goodput(), 1, 2),
+          format(s.ofBound(), PERCENT, 1),
           PERCENT * s.boundOfFluid().mean(),
-          show(s.wasted(), PERCENT, 2),
+          format(s.wasted(), PERCENT, 2),
           s.noSlots().mean(),
           busy(s),
           s.violations().isEmpty() ? "none" : s.violations());
@@ -107,7 +107,7 @@
             .toList());
   }
 
-  private static String show(Spread spread, double scale, int digits) {
+  private static String format(Spread spread, double scale, int digits) {
     String one = "%." + digits + "f";
     return String.format(
         Locale.ROOT,
@@ -117,7 +117,7 @@
         scale * spread.max());
   }
 
-  /** One class over all seeds. */
+  /** The results of one class over all seeds. */
   private record Classes(List<ClassResult> runs) {
     double mean(ToDoubleFunction<ClassResult> value) {
       return runs.stream().mapToDouble(value).average().orElse(0);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/ResultWriter.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/ResultWriter.java
@@ -26,12 +26,12 @@
 
   private ResultWriter() {}
 
-  /** What is written. */
+  /** The content of the result file; component names are its JSON fields. */
   private record Result(
-      String scenario, Capacity capacity, List<Line> summaries, List<RunResult> runs) {}
+      String scenario, Capacity capacity, List<SummaryEntry> summaries, List<RunResult> runs) {}
 
   /** A summary without its runs. */
-  private record Line(
+  private record SummaryEntry(
       String policy,
       double load,
       Summary.Spread goodput,
@@ -39,8 +39,8 @@
       Summary.Spread boundOfFluid,
       Summary.Spread wasted,
       Summary.Spread busyGap) {
-    static Line of(Summary s) {
-      return new Line(
+    static SummaryEntry of(Summary s) {
+      return new SummaryEntry(
           s.policy(),
           s.load(),
           s.goodput(),
@@ -59,7 +59,7 @@
       List<RunResult> runs)
       throws IOException {
     Files.createDirectories(folder);
-    List<Line> lines = summaries.stream().map(Line::of).toList();
+    List<SummaryEntry> lines = summaries.stream().map(SummaryEntry::of).toList();
     Result result = new Result(scenario.name(), capacity, lines, runs);
     MAPPER.writeValue(folder.resolve(scenario.name() + ".json").toFile(), result);
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/RunResult.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/RunResult.java
@@ -9,25 +9,25 @@
 import java.util.Map;
 
 /**
- * What one policy reached in one run.
+ * The result of one policy in one run; component names are JSON fields of the result file.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param policy the policy
  * @param load the load factor
  * @param seed the seed
- * @param offered completions that arrived
- * @param good completions finished within both latency targets
- * @param bound the most completions that any policy could finish within both
- * @param fluid the fluid limit: completions that the capacity allows during the arrivals
- * @param goodput good completions a second of arrivals
- * @param computedTokens prompt tokens computed
- * @param wastedTokens prompt tokens computed whose result yielded no token
- * @param noSlots transfers refused for want of a slot
- * @param evictions transfers that found the KV cache gone
- * @param busy busy share by role and generation while completions waited
- * @param classes results by class
- * @param violations broken promises by kind
+ * @param offered the number of completions that arrived
+ * @param good the number of completions finished within both latency targets
+ * @param bound an upper bound of {@code good} for any policy
+ * @param fluid the number of completions that the fluid limit allows during the arrivals
+ * @param goodput good completions per second of arrivals
+ * @param computedTokens the number of computed prompt tokens
+ * @param wastedTokens the number of computed prompt tokens whose KV cache yielded no token
+ * @param noSlots the number of transfers refused for lack of a slot
+ * @param evictions the number of transfers that failed because the KV cache was evicted
+ * @param busy the busy share by role and generation while completions waited
+ * @param classes the results by class
+ * @param violations the number of violations by kind
  * @since 0.1
  */
 public record RunResult(
@@ -50,13 +50,13 @@
   /**
    * Results of one class.
    *
-   * @param offered requests that arrived
-   * @param good finished within all targets
-   * @param late answered past a target
-   * @param refused answered with an error, by kind
-   * @param left callers that left
-   * @param firstMillis time to the first token or plain answer
-   * @param betweenMillis mean time between tokens of a request
+   * @param offered the number of requests that arrived
+   * @param good the number of requests answered within all targets
+   * @param late the number of requests answered after a target
+   * @param refused the number of requests answered with an error, by kind
+   * @param left the number of callers that disconnected
+   * @param firstMillis the time to the first token or plain answer
+   * @param betweenMillis the mean time between tokens of a request
    */
   public record ClassResult(
       int offered,
@@ -77,7 +77,7 @@
   public record Percentiles(double p50, double p95, double p99) {}
 
   /**
-   * The share of good completions among those that the bound allows.
+   * Returns the share of good completions among those that the bound allows.
    *
    * @return 0 to 1; 1 if the bound is 0
    */
@@ -86,7 +86,7 @@
   }
 
   /**
-   * The share of prefill work that was wasted.
+   * Returns the wasted share of the prefill work.
    *
    * @return 0 to 1
    */
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Summary.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/Summary.java
@@ -20,14 +20,14 @@
  *
  * @param policy the policy
  * @param load the load factor
- * @param goodput good completions a second
+ * @param goodput good completions per second
  * @param ofBound good completions relative to the upper bound
  * @param boundOfFluid the upper bound relative to the fluid limit
- * @param wasted wasted share of the prefill work
- * @param noSlots transfers refused for want of a slot
- * @param busyGap greatest difference of busy shares between generations of one role
- * @param violations broken promises by kind, added up
- * @param runs the runs themselves
+ * @param wasted the wasted share of the prefill work
+ * @param noSlots the number of transfers refused for lack of a slot
+ * @param busyGap the maximum difference of busy shares between generations of one role
+ * @param violations the total number of violations by kind
+ * @param runs the results of the runs
  * @since 0.1
  */
 public record Summary(
@@ -46,8 +46,8 @@
    * Mean and spread over seeds.
    *
    * @param mean the mean
-   * @param min the least
-   * @param max the greatest
+   * @param min the minimum
+   * @param max the maximum
    */
   public record Spread(double mean, double min, double max) {
     static Spread of(List<RunResult> runs, ToDoubleFunction<RunResult> value) {
@@ -70,7 +70,7 @@
    * Groups runs by policy and load.
    *
    * @param results the runs
-   * @return one summary a policy and load, in the order of the runs
+   * @return one summary per policy and load, in the order of the runs
    */
   public static List<Summary> of(List<RunResult> results) {
     Map<Key, List<RunResult>> groups = new LinkedHashMap<>();
@@ -80,11 +80,11 @@
           .add(result);
     }
     List<Summary> summaries = new ArrayList<>();
-    groups.forEach((key, runs) -> summaries.add(summary(key, runs)));
+    groups.forEach((key, runs) -> summaries.add(summarize(key, runs)));
     return summaries;
   }
 
-  private static Summary summary(Key key, List<RunResult> runs) {
+  private static Summary summarize(Key key, List<RunResult> runs) {
     Map<String, Integer> violations = new TreeMap<>();
     runs.forEach(r -> r.violations().forEach((kind, n) -> violations.merge(kind, n, Integer::sum)));
     return new Summary(
@@ -95,24 +95,24 @@
         Spread.of(runs, r -> r.fluid() == 0 ? 0 : r.bound() / r.fluid()),
         Spread.of(runs, RunResult::wastedShare),
         Spread.of(runs, RunResult::noSlots),
-        Spread.of(runs, Summary::gap),
+        Spread.of(runs, Summary::maxBusyGap),
         violations,
         runs);
   }
 
-  private static double gap(RunResult run) {
-    Map<String, Double> least = new TreeMap<>();
-    Map<String, Double> greatest = new TreeMap<>();
+  private static double maxBusyGap(RunResult run) {
+    Map<String, Double> minByRole = new TreeMap<>();
+    Map<String, Double> maxByRole = new TreeMap<>();
     run.busy()
         .forEach(
             (key, share) -> {
               String role = key.substring(0, key.indexOf('/'));
-              least.merge(role, share, Math::min);
-              greatest.merge(role, share, Math::max);
+              minByRole.merge(role, share, Math::min);
+              maxByRole.merge(role, share, Math::max);
             });
     double gap = 0;
-    for (Map.Entry<String, Double> entry : greatest.entrySet()) {
-      gap = Math.max(gap, entry.getValue() - least.get(entry.getKey()));
+    for (Map.Entry<String, Double> entry : maxByRole.entrySet()) {
+      gap = Math.max(gap, entry.getValue() - minByRole.get(entry.getKey()));
     }
     return gap;
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/bound/Grid.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/bound/Grid.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 
 /**
- * The cut of time into buckets, narrow while requests arrive and wide after.
+ * A partition of time into buckets, which are narrow while requests arrive and wide afterwards.
  *
  * <p>Immutable and safe for use by several threads.
  */
@@ -20,15 +20,15 @@
     this.edges = edges;
   }
 
-  /** Cuts {@code [start, end)} into narrow and {@code [end, last]} into wide buckets. */
+  /** Divides {@code [start, end)} into narrow and {@code [end, last]} into wide buckets. */
   static Grid of(long start, long end, long last, int narrow, int wide) {
     long[] edges = new long[narrow + wide + 1];
     for (int i = 0; i <= narrow; i++) {
       edges[i] = start + (end - start) * i / narrow;
     }
-    long rest = Math.max(wide, last - end);
+    long remaining = Math.max(wide, last - end);
     for (int i = 1; i <= wide; i++) {
-      edges[narrow + i] = end + (long) Math.ceil((double) rest * i / wide);
+      edges[narrow + i] = end + (long) Math.ceil((double) remaining * i / wide);
     }
     return new Grid(edges);
   }
@@ -41,13 +41,13 @@
     return edges[index];
   }
 
-  /** The bucket edge at or before a time. */
+  /** Returns the index of the last bucket edge at or before a time. */
   int floor(long time) {
     int found = Arrays.binarySearch(edges, time);
     return Math.clamp(found >= 0 ? found : -found - 2, 0, size() - 1);
   }
 
-  /** The bucket edge at or after a time. */
+  /** Returns the index of the first bucket edge at or after a time. */
   int ceiling(long time) {
     int found = Arrays.binarySearch(edges, time);
     return Math.clamp(found >= 0 ? found : -found - 1, 1, size());
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/bound/Part.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/bound/Part.java
@@ -7,7 +7,7 @@
 package org.larkkeel.bench.experiment.bound;
 
 /**
- * Work that one request needs of one resource within a window of buckets.
+ * The work that a request needs of one resource within a window of buckets.
  *
  * <p>Not safe for use by several threads.
  */
@@ -17,10 +17,10 @@
   final int to;
   final double work;
 
-  /** The share of the request's value that this part carries. */
+  /** The share of the request's value that is assigned to this part. */
   double weight;
 
-  /** The share of the work that was done in the last evaluation. */
+  /** The share of the work that was done in the last call of {@link Resource#maximize}. */
   double done;
 
   Part(int request, int from, int to, double work) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/bound/UpperBound.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/bound/UpperBound.java
@@ -23,91 +23,99 @@
 import org.larkkeel.config.Role;
 
 /**
- * The most completions that any policy, with full knowledge, could finish within both targets.
+ * An upper bound of the completions that any policy with full knowledge can finish within both
+ * targets.
  *
  * <p>It is a bound, not a schedule. Every request needs parts of four resources: prompt tokens of
  * the prefill engines, bytes of their links, bytes of the decode engines' links, and tokens of the
- * decode engines. What a real run does for the requests that it finishes in time satisfies all of
- * the constraints kept here, so that its count can't exceed the optimum under them:
+ * decode engines. The work of a real run for the requests that it finishes on target satisfies all
+ * of the following constraints, so its count can't exceed the optimum under them:
  *
  * <ul>
- *   <li><b>Capacity.</b> In each bucket of time, the amount done on a resource is at most the sum
- *       over its engines that live, of their greatest rate. A decode engine is fastest in tokens
- *       with all slots in a batch; a slot in import costs at least the tokens that the last slot of
- *       a batch adds.
- *   <li><b>Work.</b> Prompts count without every full piece that an earlier arrival had too; a lost
- *       decode costs nothing again.
- *   <li><b>Windows.</b> No part begins before the arrival plus the least time of the steps before,
- *       on the fastest engine with nobody else, and none ends after the last moment that leaves the
- *       least time of the steps that follow. Windows are widened to whole buckets. Decode work is
- *       cut into chunks with windows of their own, since a request gets its tokens one after the
- *       other. Where no engine dies or freezes, a stream ends at the latest at the pace of the
- *       slowest full batch after the target for its first token.
+ *   <li><b>Capacity.</b> In each bucket, the work done on a resource is at most the sum of the
+ *       maximum rates of its running engines. A decode engine has its maximum token rate with all
+ *       slots in the batch; a slot in import costs at least the tokens that the last slot of a
+ *       batch adds.
+ *   <li><b>Work.</b> Prompts count without every full piece that an earlier arrival contains too;
+ *       repeating a lost decode costs nothing.
+ *   <li><b>Windows.</b> No part starts before the arrival plus the minimum time of the previous
+ *       steps, on the fastest engine without other requests, and none ends later than the minimum
+ *       time of the following steps before the end. Windows are extended to complete buckets.
+ *       Decode work is divided into chunks with separate windows, since the tokens of a request are
+ *       generated in sequence. If no engine crashes or freezes, a stream that meets the target for
+ *       its first token then continues at least at the speed of the slowest full batch.
  * </ul>
  *
- * <p>Relaxed are: the whole request on one engine, the batch's effect on a single stream, eviction
- * of KV cache, latencies, lag of reports, order within a resource (work is preempted at no cost),
- * and requests done in part. With weights that add up to 1 over the parts of each request, the sum
- * over resources of the greatest weighted share done bounds the count for any choice of weights
- * (Lagrangian duality); the weights are improved by a few multiplicative steps and the least value
- * seen counts. Each resource's maximum is exact, see {@link Resource}.
+ * <p>Not modelled are: the restriction of a request to one engine, the effect of the batch on a
+ * single stream, eviction of KV caches, latencies, the lag of reports, the order within a resource
+ * (work is preempted at no cost), and the loss of requests that are done in part. For any weights
+ * that add up to 1 over the parts of each request, the sum over resources of the maximum weighted
+ * share done bounds the count (Lagrangian duality). The weights are improved by a few
+ * multiplicative steps, and the minimum value is used. Each resource's maximum is exact, see {@link
+ * Resource}.
  *
  * <p>Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
 public final class UpperBound {
-  private static final int CHUNKS = 4;
-  private static final int ROUNDS = 14;
-  private static final double STEP = 1.2;
-  private static final int MAX_NARROW = 240;
-  private static final int MIN_NARROW = 40;
-  private static final int WIDE = 40;
-  private static final double BUDGET = 6e8;
-  private static final double LEAD = 0.55;
-  private static final double SLACK = 1e-6;
+  private static final int DECODE_CHUNKS = 4;
+  private static final int WEIGHT_ROUNDS = 14;
+  private static final double WEIGHT_STEP = 1.2;
+  private static final int MAX_NARROW_BUCKETS = 240;
+  private static final int MIN_NARROW_BUCKETS = 40;
+  private static final int WIDE_BUCKETS = 40;
+  private static final double MAX_OPERATIONS = 6e8;
+  private static final double SCARCEST_WEIGHT = 0.55;
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final Scenario scenario;
-  private final List<Member> prefills;
-  private final List<Member> decodes;
+  private final List<Member> prefillEngines;
+  private final List<Member> decodeEngines;
   private final ImmutableList<Occurrence> faults;
   private final Grid grid;
-  private final Resource prompts;
-  private final Resource outgoing;
-  private final Resource incoming;
-  private final Resource tokens;
+  private final Resource prefillTokens;
+  private final Resource prefillLinks;
+  private final Resource decodeLinks;
+  private final Resource decodeTokens;
   private final List<Resource> resources;
-  private final List<List<Part>> requests = new ArrayList<>();
-  private final double prefillRate;
-  private final double overheadTokens;
-  private final long overhead;
+  private final List<List<Part>> partsByRequest = new ArrayList<>();
+  private final double maxPrefillRate;
+  private final double minOverheadTokens;
+  private final long minOverheadNanos;
   private final double linkRate;
-  private final double step;
-  private final double slowestStep;
-  private final boolean outages;
+  private final double minStepNanos;
+  private final double maxStepNanos;
+  private final boolean hasOutages;
   private final double importCost;
 
   private UpperBound(
       Scenario scenario, ImmutableList<Arrival> arrivals, ImmutableList<Occurrence> faults) {
     this.scenario = scenario;
     this.faults = faults;
-    prefills = Members.of(scenario, Role.PREFILL);
-    decodes = Members.of(scenario, Role.DECODE);
+    prefillEngines = Members.of(scenario, Role.PREFILL);
+    decodeEngines = Members.of(scenario, Role.DECODE);
     grid = grid(arrivals);
-    prefillRate = max(prefills, g -> g.tokensPerSecond() / Scenario.SECOND);
-    overheadTokens = min(prefills, g -> g.overhead() * g.tokensPerSecond() / Scenario.SECOND);
-    overhead = (long) min(prefills, UpstreamGroup::overhead);
-    linkRate = Math.min(max(prefills, UpperBound::linkRate), max(decodes, UpperBound::linkRate));
-    step = min(decodes, g -> g.step(1));
-    slowestStep = max(decodes, g -> g.step(g.slots()));
-    outages =
+    maxPrefillRate = max(prefillEngines, g -> g.tokensPerSecond() / Scenario.NANOS_PER_SECOND);
+    minOverheadTokens =
+        min(prefillEngines, g -> g.overhead() * g.tokensPerSecond() / Scenario.NANOS_PER_SECOND);
+    minOverheadNanos = (long) min(prefillEngines, UpstreamGroup::overhead);
+    linkRate =
+        Math.min(
+            max(prefillEngines, UpperBound::linkRate), max(decodeEngines, UpperBound::linkRate));
+    minStepNanos = min(decodeEngines, g -> g.stepNanos(1));
+    maxStepNanos = max(decodeEngines, g -> g.stepNanos(g.slots()));
+    hasOutages =
         faults.stream().anyMatch(f -> f.type() == FaultType.KILL || f.type() == FaultType.FREEZE);
-    importCost = min(decodes, UpperBound::lastSlot);
-    prompts = resource(prefills, g -> g.tokensPerSecond() / Scenario.SECOND, false);
-    outgoing = resource(prefills, UpperBound::linkRate, true);
-    incoming = resource(decodes, UpperBound::linkRate, true);
-    tokens = resource(decodes, g -> g.decodeTokensPerSecond() / Scenario.SECOND, false);
-    resources = List.of(prompts, outgoing, incoming, tokens);
+    importCost = min(decodeEngines, UpperBound::lastSlotRate);
+    prefillTokens =
+        createResource(prefillEngines, g -> g.tokensPerSecond() / Scenario.NANOS_PER_SECOND, false);
+    prefillLinks = createResource(prefillEngines, UpperBound::linkRate, true);
+    decodeLinks = createResource(decodeEngines, UpperBound::linkRate, true);
+    decodeTokens =
+        createResource(
+            decodeEngines, g -> g.decodeTokensPerSecond() / Scenario.NANOS_PER_SECOND, false);
+    resources = List.of(prefillTokens, prefillLinks, decodeLinks, decodeTokens);
     addRequests(arrivals);
   }
 
@@ -117,58 +125,61 @@
    * @param scenario the scenario
    * @param arrivals the requests; plain calls are ignored
    * @param faults the faults
-   * @return a whole number of completions
+   * @return the bound, an integer
    */
   public static double of(
       Scenario scenario, ImmutableList<Arrival> arrivals, ImmutableList<Occurrence> faults) {
     if (arrivals.stream().allMatch(a -> a.kind().plain())) {
       return 0;
     }
-    return Math.floor(new UpperBound(scenario, arrivals, faults).least() + SLACK);
+    return Math.floor(new UpperBound(scenario, arrivals, faults).minimize() + ROUNDING_TOLERANCE);
   }
 
-  private double least() {
-    double least = requests.size();
-    Resource scarcest = tokens;
+  private double minimize() {
+    double minValue = partsByRequest.size();
+    Resource scarcest = decodeTokens;
     for (Resource resource : resources) {
-      weigh(resource, 1);
-      double alone = resource.best();
-      if (alone < least) {
-        least = alone;
+      assignWeights(resource, 1);
+      double value = resource.maximize();
+      if (value < minValue) {
+        minValue = value;
         scarcest = resource;
       }
     }
-    weigh(scarcest, LEAD);
-    for (int round = 0; round < ROUNDS; round++) {
+    assignWeights(scarcest, SCARCEST_WEIGHT);
+    for (int round = 0; round < WEIGHT_ROUNDS; round++) {
       double value = 0;
       for (Resource resource : resources) {
-        value += resource.best();
+        value += resource.maximize();
       }
-      least = Math.min(least, value);
-      requests.forEach(UpperBound::shift);
+      minValue = Math.min(minValue, value);
+      partsByRequest.forEach(UpperBound::shiftWeights);
     }
-    return least;
+    return minValue;
   }
 
-  /** Gives the parts of one resource a share of each request's weight, by their work. */
-  private void weigh(Resource lead, double share) {
+  /**
+   * Assigns a share of each request's weight to one resource and the rest evenly to the others; the
+   * parts of a resource get weight in proportion to their work.
+   */
+  private void assignWeights(Resource favoured, double share) {
     for (Resource resource : resources) {
-      double of = resource == lead ? share : (1 - share) / (resources.size() - 1);
-      double[] whole = new double[requests.size()];
+      double resourceShare = resource == favoured ? share : (1 - share) / (resources.size() - 1);
+      double[] totalWork = new double[partsByRequest.size()];
       for (Part part : resource.parts) {
-        whole[part.request] += part.work;
+        totalWork[part.request] += part.work;
       }
       for (Part part : resource.parts) {
-        part.weight = of * part.work / whole[part.request];
+        part.weight = resourceShare * part.work / totalWork[part.request];
       }
     }
   }
 
-  /** Moves weight towards the parts of a request that were done least. */
-  private static void shift(List<Part> parts) {
+  /** Moves weight to the parts of a request with the smallest share done. */
+  private static void shiftWeights(List<Part> parts) {
     double sum = 0;
     for (Part part : parts) {
-      part.weight *= Math.exp(-STEP * part.done);
+      part.weight *= Math.exp(-WEIGHT_STEP * part.done);
       sum += part.weight;
     }
     for (Part part : parts) {
@@ -188,41 +199,56 @@
 
   private void addRequest(Arrival arrival, double uncached) {
     double bytes = (double) arrival.prompt() * scenario.kvBytesPerToken();
-    long moving = (long) (bytes / linkRate);
-    long prefilled = arrival.at() + overhead + (long) (uncached / prefillRate);
-    long imported = prefilled + moving;
+    long transferNanos = (long) (bytes / linkRate);
+    long earliestPrefilled = arrival.at() + minOverheadNanos + (long) (uncached / maxPrefillRate);
+    long earliestImported = earliestPrefilled + transferNanos;
     long latestEnd = latestEnd(arrival);
-    long firstBy =
+    long latestFirstToken =
         Math.min(
             arrival.at() + arrival.kind().firstToken(),
-            latestEnd - (long) ((arrival.output() - 1) * step));
-    long importedBy = firstBy - (long) step;
-    if (imported > importedBy) {
+            latestEnd - (long) ((arrival.output() - 1) * minStepNanos));
+    long latestImported = latestFirstToken - (long) minStepNanos;
+    if (earliestImported > latestImported) {
       return;
     }
     List<Part> parts = new ArrayList<>();
-    int number = requests.size();
-    add(parts, prompts, number, arrival.at(), importedBy - moving, uncached + overheadTokens);
-    add(parts, outgoing, number, prefilled, importedBy, bytes);
-    add(parts, incoming, number, prefilled, importedBy, bytes);
-    add(parts, tokens, number, prefilled, importedBy, importCost * moving);
+    int request = partsByRequest.size();
+    add(
+        parts,
+        prefillTokens,
+        request,
+        arrival.at(),
+        latestImported - transferNanos,
+        uncached + minOverheadTokens);
+    add(parts, prefillLinks, request, earliestPrefilled, latestImported, bytes);
+    add(parts, decodeLinks, request, earliestPrefilled, latestImported, bytes);
+    add(
+        parts,
+        decodeTokens,
+        request,
+        earliestPrefilled,
+        latestImported,
+        importCost * transferNanos);
     int done = 0;
-    for (int i = 1; i <= CHUNKS; i++) {
-      int until = (int) ((long) arrival.output() * i / CHUNKS);
-      long from = imported + (long) (done * step);
-      long to = latestEnd - (long) ((arrival.output() - until) * step);
-      add(parts, tokens, number, from, to, until - done);
+    for (int i = 1; i <= DECODE_CHUNKS; i++) {
+      int until = (int) ((long) arrival.output() * i / DECODE_CHUNKS);
+      long from = earliestImported + (long) (done * minStepNanos);
+      long to = latestEnd - (long) ((arrival.output() - until) * minStepNanos);
+      add(parts, decodeTokens, request, from, to, until - done);
       done = until;
     }
-    requests.add(parts);
+    partsByRequest.add(parts);
   }
 
-  /** Without outages, a stream goes on once it began, at the pace of the slowest full batch. */
+  /**
+   * Returns the latest end of a request on target. Without outages, a started stream continues at
+   * least at the speed of the slowest full batch.
+   */
   private long latestEnd(Arrival arrival) {
-    if (outages) {
+    if (hasOutages) {
       return arrival.latestEnd();
     }
-    long stream = (long) Math.ceil((arrival.output() - 1) * slowestStep);
+    long stream = (long) Math.ceil((arrival.output() - 1) * maxStepNanos);
     return Math.min(arrival.latestEnd(), arrival.at() + arrival.kind().firstToken() + stream);
   }
 
@@ -254,50 +280,50 @@
         count++;
       }
     }
-    int fitting = (int) Math.sqrt(BUDGET / Math.max(1, count * (CHUNKS + 4)));
-    int narrow = Math.clamp(fitting, MIN_NARROW, MAX_NARROW);
-    return Grid.of(Scenario.START, scenario.end(), last, narrow, WIDE);
+    int affordable = (int) Math.sqrt(MAX_OPERATIONS / Math.max(1, count * (DECODE_CHUNKS + 4)));
+    int narrow = Math.clamp(affordable, MIN_NARROW_BUCKETS, MAX_NARROW_BUCKETS);
+    return Grid.of(Scenario.ARRIVALS_START_NANOS, scenario.end(), last, narrow, WIDE_BUCKETS);
   }
 
-  private Resource resource(
-      List<Member> members, ToDoubleFunction<UpstreamGroup> rate, boolean link) {
+  private Resource createResource(
+      List<Member> members, ToDoubleFunction<UpstreamGroup> rate, boolean isLink) {
     double[] capacity = new double[grid.size()];
     for (Member member : members) {
       double perNano = rate.applyAsDouble(member.group());
       for (int i = 0; i < capacity.length; i++) {
-        capacity[i] += perNano * up(member, grid.edge(i), grid.edge(i + 1), link);
+        capacity[i] += perNano * operationalNanos(member, grid.edge(i), grid.edge(i + 1), isLink);
       }
     }
     return new Resource(capacity);
   }
 
-  /** Nanoseconds of a bucket in which an engine, or its link, can work. */
-  private double up(Member member, long from, long to, boolean link) {
-    long down = 0;
+  /** Returns the nanoseconds of a bucket in which an engine, or its link, is operational. */
+  private double operationalNanos(Member member, long from, long to, boolean isLink) {
+    long downNanos = 0;
     for (Occurrence fault : faults) {
       boolean stops =
           switch (fault.type()) {
             case KILL -> true;
-            case FREEZE -> !link;
-            case STALL -> link;
+            case FREEZE -> !isLink;
+            case STALL -> isLink;
             case EVICT_ALL, STORE_DOWN -> false;
           };
       if (stops && fault.upstream().equals(member.name())) {
         long overlap = Math.min(to, fault.until()) - Math.max(from, fault.from());
-        down = Math.max(down, overlap);
+        downNanos = Math.max(downNanos, overlap);
       }
     }
-    return (double) (to - from) - down;
+    return (double) (to - from) - downNanos;
   }
 
   private static double linkRate(UpstreamGroup group) {
-    return (double) group.linkBytesPerSecond() / Scenario.SECOND;
+    return (double) group.linkBytesPerSecond() / Scenario.NANOS_PER_SECOND;
   }
 
-  /** Tokens a nanosecond that the last slot of a full batch adds. */
-  private static double lastSlot(UpstreamGroup group) {
+  /** Returns the tokens per nanosecond that the last slot of a full batch adds. */
+  private static double lastSlotRate(UpstreamGroup group) {
     int slots = group.slots();
-    return slots / group.step(slots) - (slots - 1) / group.step(slots - 1);
+    return slots / group.stepNanos(slots) - (slots - 1) / group.stepNanos(slots - 1);
   }
 
   private static double max(List<Member> members, ToDoubleFunction<UpstreamGroup> value) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/bound/package-info.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/bound/package-info.java
@@ -1,2 +1,2 @@
-/** An upper bound on the goodput of a scenario, computed with full knowledge of it. */
+/** An upper bound on the goodput of a scenario, computed with full knowledge of the traffic. */
 package org.larkkeel.bench.experiment.bound;
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/BusyMeter.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/BusyMeter.java
@@ -11,7 +11,7 @@
 import org.larkkeel.config.Role;
 
 /**
- * Samples how busy each generation is while completions wait.
+ * Samples the busy share of each hardware generation while completions wait.
  *
  * <p>Prefill engines count only while decode slots are free too, since without a slot a prefill
  * would be wasted. Not safe for use by several threads.
@@ -19,7 +19,7 @@
  * @since 0.1
  */
 public final class BusyMeter {
-  private static final double SLOTS_FREE = 0.1;
+  private static final double MIN_FREE_SLOT_SHARE = 0.1;
 
   private final Map<String, Mean> means = new TreeMap<>();
 
@@ -36,10 +36,10 @@
         decode.count++;
       }
     }
-    boolean slotsFree = decode.count > 0 && decode.sum / decode.count < 1 - SLOTS_FREE;
+    boolean hasFreeSlots = decode.count > 0 && decode.sum / decode.count < 1 - MIN_FREE_SLOT_SHARE;
     for (Upstream upstream : upstreams) {
       Role role = upstream.member.group().role();
-      if (role == Role.DECODE || (role == Role.PREFILL && slotsFree)) {
+      if (role == Role.DECODE || (role == Role.PREFILL && hasFreeSlots)) {
         String key = role.name().toLowerCase(java.util.Locale.ROOT);
         Mean mean =
             means.computeIfAbsent(
@@ -51,9 +51,9 @@
   }
 
   /**
-   * The mean busy shares.
+   * Returns the mean busy shares.
    *
-   * @return shares by role and generation, as {@code decode/old}; empty if nothing waited
+   * @return shares by role and generation, such as {@code decode/old}; empty if nothing waited
    */
   public Map<String, Double> shares() {
     Map<String, Double> shares = new TreeMap<>();
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Cluster.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Cluster.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.LongFunction;
-import org.larkkeel.bench.experiment.policy.Subject;
-import org.larkkeel.bench.experiment.policy.Subjects;
+import org.larkkeel.bench.experiment.policy.RoutingPolicies;
+import org.larkkeel.bench.experiment.policy.RoutingPolicy;
 import org.larkkeel.bench.experiment.scenario.Arrival;
 import org.larkkeel.bench.experiment.scenario.FaultPlan.Occurrence;
 import org.larkkeel.bench.experiment.scenario.Members;
@@ -30,16 +30,16 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * The fakes of one run, wired together on one timeline.
+ * Connects the fakes of one run on a common timeline.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Cluster {
-  private static final long SAMPLE_EVERY = 20 * Scenario.MILLI;
+  private static final long SAMPLE_INTERVAL_NANOS = 20 * Scenario.NANOS_PER_MILLI;
   private static final long SEED_STEP = 1000;
-  private static final long SETTLING = 30 * Scenario.SECOND;
+  private static final long SETTLING_NANOS = 30 * Scenario.NANOS_PER_SECOND;
 
   private final Scenario scenario;
   private final Timeline time = new Timeline(0);
@@ -57,59 +57,59 @@
    * @param scenario the scenario
    * @param arrivals the requests
    * @param faults the faults
-   * @param seed the seed of what happens by chance outside the routers
-   * @param subjects makes the router of a node
+   * @param seed the seed of random events outside the routers
+   * @param routers creates the routers of the nodes
    */
   public Cluster(
       Scenario scenario,
       ImmutableList<Arrival> arrivals,
       ImmutableList<Occurrence> faults,
       long seed,
-      Subjects.Factory subjects) {
+      RoutingPolicies.Factory routers) {
     this.scenario = scenario;
     this.ledger = new Ledger(arrivals);
     this.random = new SplittableRandom(seed * 31 + 7);
-    int sharing = scenario.sharedSlots() ? scenario.nodes() : 1;
+    int sharingNodes = scenario.sharedSlots() ? scenario.nodes() : 1;
     this.grants =
         new SlotGrants(
             time,
-            sharing,
+            sharingNodes,
             name -> upstream(name).member.group().slots(),
-            (node, name) -> upstream(name).heldBy(node),
+            (node, name) -> upstream(name).heldByNode(node),
             (node, event) -> nodes.get(node).apply(event));
     for (Member member : Members.all(scenario)) {
       Upstream upstream = build(member);
       upstreams.put(upstream.name, upstream);
     }
-    addNodes(seed, subjects);
+    addNodes(seed, routers);
     scheduleReports();
     faults.forEach(this::schedule);
     SplittableRandom balancer = random.split();
     for (Arrival arrival : arrivals) {
       Node node = nodes.get(balancer.nextInt(nodes.size()));
-      time.at(arrival.at(), () -> node.arrive(arrival));
+      time.at(arrival.at(), () -> node.receiveRequest(arrival));
     }
-    time.at(Scenario.START, this::sample);
+    time.at(Scenario.ARRIVALS_START_NANOS, this::sample);
   }
 
   /**
-   * Runs until every request has had its time.
+   * Runs the simulation until the last request has passed its deadline.
    *
-   * @return what happened
+   * @return the results of all requests
    */
   public Ledger run() {
-    long longest = 0;
+    long maxDeadline = 0;
     for (Scenario.RequestClass kind : scenario.classes()) {
-      longest = Math.max(longest, kind.deadline());
+      maxDeadline = Math.max(maxDeadline, kind.deadline());
     }
-    time.runUntil(scenario.end() + longest + SETTLING);
-    int held = upstreams.values().stream().mapToInt(Upstream::held).sum();
-    ledger.close(held);
+    time.runUntil(scenario.end() + maxDeadline + SETTLING_NANOS);
+    int held = upstreams.values().stream().mapToInt(Upstream::heldAttempts).sum();
+    ledger.recordOpenEnds(held);
     return ledger;
   }
 
   /**
-   * How busy the generations were while completions waited.
+   * Returns the busy shares of the generations while completions waited.
    *
    * @return the meter
    */
@@ -153,19 +153,21 @@
     };
   }
 
-  private void addNodes(long seed, Subjects.Factory subjects) {
-    List<String> places =
+  private void addNodes(long seed, RoutingPolicies.Factory routers) {
+    List<String> dataCentres =
         upstreams.values().stream().map(u -> u.member.dataCentre()).distinct().toList();
     ImmutableSortedSet.Builder<HostName> hosts = ImmutableSortedSet.naturalOrder();
     for (int i = 0; i < scenario.nodes(); i++) {
       hosts.add(host(i));
     }
-    Configuration configuration = Setup.of(scenario);
+    Configuration configuration = ScenarioConfiguration.of(scenario);
     for (int i = 0; i < scenario.nodes(); i++) {
-      String place = places.get(i % places.size());
-      Subject subject =
-          subjects.create(new Subjects.Place(seed + SEED_STEP * i, place, scenario.sharedSlots()));
-      Node node = new Node(i, place, subject, this);
+      String dataCentre = dataCentres.get(i % dataCentres.size());
+      RoutingPolicy router =
+          routers.create(
+              new RoutingPolicies.NodeContext(
+                  seed + SEED_STEP * i, dataCentre, scenario.sharedSlots()));
+      Node node = new Node(i, dataCentre, router, this);
       nodes.add(node);
       ImmutableSortedSet<HostName> live =
           scenario.sharedSlots() ? hosts.build() : ImmutableSortedSet.of(host(i));
@@ -188,18 +190,18 @@
   }
 
   private void report(Upstream upstream) {
-    if (!upstream.alive() || upstream.frozen()) {
-      toAll(at -> new Event.LoadUnavailable(at, upstream.name));
+    if (!upstream.isAlive() || upstream.frozen()) {
+      sendToAllNodes(at -> new Event.LoadUnavailable(at, upstream.name));
     } else {
       LoadReport report = upstream.report();
       time.after(
           scenario.platform().reportLag(),
-          () -> toAll(at -> new Event.LoadReported(at, upstream.name, report)));
+          () -> sendToAllNodes(at -> new Event.LoadReported(at, upstream.name, report)));
     }
     time.after(scenario.platform().reportEvery(), () -> report(upstream));
   }
 
-  private void toAll(LongFunction<Event> event) {
+  private void sendToAllNodes(LongFunction<Event> event) {
     for (Node node : nodes) {
       node.apply(event.apply(time.now()));
     }
@@ -210,7 +212,7 @@
       busy.sample(upstreams.values());
     }
     if (time.now() < scenario.end()) {
-      time.after(SAMPLE_EVERY, this::sample);
+      time.after(SAMPLE_INTERVAL_NANOS, this::sample);
     }
   }
 
@@ -218,21 +220,21 @@
     Upstream upstream =
         fault.upstream().isEmpty() ? null : upstream(new UpstreamName(fault.upstream()));
     switch (fault.type()) {
-      case KILL -> between(fault, upstream::kill, upstream::restart);
-      case FREEZE -> between(fault, upstream::freeze, upstream::thaw);
+      case KILL -> scheduleBetween(fault, upstream::kill, upstream::restart);
+      case FREEZE -> scheduleBetween(fault, upstream::freeze, upstream::thaw);
       case STALL -> {
         Link link = linkOf(upstream);
         if (link != null) {
-          between(fault, link::stall, link::unstall);
+          scheduleBetween(fault, link::stall, link::unstall);
         }
       }
       case EVICT_ALL -> time.at(fault.from(), () -> evictAll(upstream));
-      case STORE_DOWN -> between(fault, store::goDown, store::comeBack);
-      default -> throw new IllegalStateException("no such fault: " + fault.type());
+      case STORE_DOWN -> scheduleBetween(fault, store::startOutage, store::endOutage);
+      default -> throw new IllegalStateException("unknown type of fault: " + fault.type());
     }
   }
 
-  private void between(Occurrence fault, Runnable begin, Runnable end) {
+  private void scheduleBetween(Occurrence fault, Runnable begin, Runnable end) {
     time.at(fault.from(), begin);
     time.at(fault.until(), end);
   }
@@ -251,7 +253,7 @@
     }
   }
 
-  /** Publishes the changes of one prefix cache, late and with gaps. */
+  /** Publishes the changes of one prefix cache with a delay and with losses. */
   private final class CacheFeed {
     private final UpstreamName name;
     private final SplittableRandom gaps;
@@ -271,7 +273,7 @@
       time.after(
           scenario.platform().cacheEventLag(),
           () ->
-              toAll(
+              sendToAllNodes(
                   at ->
                       new Event.CacheChanged(
                           at, name, incarnation, number, change.stored(), change.removed())));
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/DecodeEngine.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/DecodeEngine.java
@@ -16,20 +16,21 @@
 import org.larkkeel.event.FailureCause;
 
 /**
- * A decode engine: a number of slots, one step for the whole batch, the longer the more requests it
- * has.
+ * A decode engine with a number of slots. A step serves the whole batch and takes longer with more
+ * requests.
  *
- * <p>Invariant: an import or a decode holds exactly one slot. Not safe for use by several threads.
+ * <p>Invariant: each import and each decode occupies exactly one slot. Not safe for use by several
+ * threads.
  *
  * @since 0.1
  */
 final class DecodeEngine extends Upstream {
-  private static final double ROUNDING = 1e-6;
+  private static final double TOLERANCE_TOKENS = 1e-6;
 
-  private final Map<WorkId, Seat> seats = new LinkedHashMap<>();
+  private final Map<WorkId, Slot> occupiedSlots = new LinkedHashMap<>();
   final Link link;
-  private int batch;
-  private long since;
+  private int batchSize;
+  private long progressAt;
   private Timer timer;
 
   private enum Stage {
@@ -38,27 +39,29 @@
     DECODING
   }
 
-  private static final class Seat {
+  private static final class Slot {
     private final WorkId prefill;
     private final PrefillEngine source;
     private Stage stage = Stage.IMPORTING;
     private Work work;
     private Link.Transfer transfer;
-    private double progress;
-    private boolean first;
+    private double generatedTokens;
+    private boolean hasFirstToken;
 
-    Seat(Work work, WorkId prefill, PrefillEngine source) {
+    Slot(Work work, WorkId prefill, PrefillEngine source) {
       this.work = work;
       this.prefill = prefill;
       this.source = source;
     }
 
-    double next() {
-      return first ? work.arrival().output() : work.resumeFrom() + 1.0;
+    double nextMilestone() {
+      return hasFirstToken ? work.arrival().output() : work.resumeFrom() + 1.0;
     }
 
     int tokens() {
-      return stage == Stage.DECODING ? (int) (progress + ROUNDING) : work.resumeFrom();
+      return stage == Stage.DECODING
+          ? (int) (generatedTokens + TOLERANCE_TOKENS)
+          : work.resumeFrom();
     }
   }
 
@@ -67,70 +70,70 @@
     this.link = new Link(time, member.group().linkBytesPerSecond());
   }
 
-  /** Takes a slot and pulls the KV cache of a prefill. */
-  void transfer(Work work, WorkId prefill, PrefillEngine source) {
-    if (!alive()) {
+  /** Occupies a slot and fetches the KV cache of a prefill. */
+  void startImport(Work work, WorkId prefill, PrefillEngine source) {
+    if (!isAlive()) {
       work.reply().fail(FailureCause.CONNECT_FAILED, Exposure.NOT_SENT, work.resumeFrom());
       return;
     }
-    if (seats.size() >= member.group().slots()) {
-      ledger.noSlot();
+    if (occupiedSlots.size() >= member.group().slots()) {
+      ledger.countNoSlot();
       work.reply().fail(FailureCause.NO_SLOT, Exposure.REFUSED, work.resumeFrom());
       return;
     }
-    Runnable broken = () -> interrupted(work.id());
-    double bytes = source.alive() ? source.beginImport(prefill, broken) : -1;
+    Runnable onBroken = () -> onImportBroken(work.id());
+    double bytes = source.isAlive() ? source.beginImport(prefill, onBroken) : -1;
     if (bytes < 0) {
-      ledger.evicted();
+      ledger.countEviction();
       work.reply().fail(FailureCause.KV_EVICTED, Exposure.REFUSED, work.resumeFrom());
       return;
     }
-    Seat seat = new Seat(work, prefill, source);
-    seats.put(work.id(), seat);
-    ledger.engineActive(work.arrival(), 1);
-    seat.transfer = new Link.Transfer(source.link, link, bytes, () -> imported(seat));
+    Slot slot = new Slot(work, prefill, source);
+    occupiedSlots.put(work.id(), slot);
+    ledger.changeActiveEngines(work.arrival(), 1);
+    slot.transfer = new Link.Transfer(source.link, link, bytes, () -> onImported(slot));
   }
 
   /** Generates the tokens of an imported request. */
-  void decode(Work work) {
-    if (!alive()) {
+  void startDecode(Work work) {
+    if (!isAlive()) {
       work.reply().fail(FailureCause.CONNECT_FAILED, Exposure.NOT_SENT, work.resumeFrom());
       return;
     }
-    Seat seat = seats.get(work.id());
-    if (seat == null || seat.stage != Stage.READY) {
+    Slot slot = occupiedSlots.get(work.id());
+    if (slot == null || slot.stage != Stage.READY) {
       work.reply().fail(FailureCause.KV_EVICTED, Exposure.REFUSED, work.resumeFrom());
       return;
     }
-    ledger.ran(work.arrival());
+    ledger.recordRun(work.arrival());
     advance();
-    seat.work = work;
-    seat.stage = Stage.DECODING;
-    seat.progress = work.resumeFrom();
-    batch++;
-    schedule();
+    slot.work = work;
+    slot.stage = Stage.DECODING;
+    slot.generatedTokens = work.resumeFrom();
+    batchSize++;
+    scheduleMilestone();
   }
 
-  /** Tokens of the whole answer that an attempt has passed on. */
+  /** Returns the position in the answer, in tokens, that an attempt has reached. */
   int tokens(WorkId id) {
     advance();
-    Seat seat = seats.get(id);
-    return seat == null ? 0 : seat.tokens();
+    Slot slot = occupiedSlots.get(id);
+    return slot == null ? 0 : slot.tokens();
   }
 
   @Override
   void cancel(WorkId id) {
     advance();
-    Seat seat = seats.get(id);
-    if (seat != null) {
-      free(seat, false);
-      schedule();
+    Slot slot = occupiedSlots.get(id);
+    if (slot != null) {
+      release(slot, false);
+      scheduleMilestone();
     }
   }
 
   @Override
   int running() {
-    return seats.size();
+    return occupiedSlots.size();
   }
 
   @Override
@@ -139,27 +142,27 @@
   }
 
   @Override
-  int held() {
-    return seats.size();
+  int heldAttempts() {
+    return occupiedSlots.size();
   }
 
   @Override
-  int heldBy(int node) {
-    return (int) seats.keySet().stream().filter(id -> id.node() == node).count();
+  int heldByNode(int node) {
+    return (int) occupiedSlots.keySet().stream().filter(id -> id.node() == node).count();
   }
 
   @Override
   double busyShare() {
-    return frozen() || !alive() ? 0 : (double) seats.size() / member.group().slots();
+    return frozen() || !isAlive() ? 0 : (double) occupiedSlots.size() / member.group().slots();
   }
 
   @Override
   void dropAll() {
     advance();
-    for (Seat seat : List.copyOf(seats.values())) {
-      int tokens = seat.tokens();
-      free(seat, false);
-      seat.work.reply().fail(FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN, tokens);
+    for (Slot slot : List.copyOf(occupiedSlots.values())) {
+      int tokens = slot.tokens();
+      release(slot, false);
+      slot.work.reply().fail(FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN, tokens);
     }
     Timeline.cancel(timer);
   }
@@ -172,92 +175,94 @@
 
   @Override
   void resume() {
-    since = time.now();
-    schedule();
+    progressAt = time.now();
+    scheduleMilestone();
   }
 
-  private void imported(Seat seat) {
-    if (seats.get(seat.work.id()) != seat) {
+  private void onImported(Slot slot) {
+    if (occupiedSlots.get(slot.work.id()) != slot) {
       return;
     }
-    seat.transfer = null;
-    seat.stage = Stage.READY;
-    seat.source.endImport(seat.prefill, true);
-    seat.work.reply().end(at -> new Event.TransferDone(at, seat.work.id().attempt()));
+    slot.transfer = null;
+    slot.stage = Stage.READY;
+    slot.source.endImport(slot.prefill, true);
+    slot.work.reply().end(at -> new Event.TransferDone(at, slot.work.id().attempt()));
   }
 
-  private void interrupted(WorkId id) {
-    Seat seat = seats.get(id);
-    free(seat, false);
-    ledger.evicted();
-    seat.work.reply().fail(FailureCause.KV_EVICTED, Exposure.REFUSED, seat.work.resumeFrom());
+  private void onImportBroken(WorkId id) {
+    Slot slot = occupiedSlots.get(id);
+    release(slot, false);
+    ledger.countEviction();
+    slot.work.reply().fail(FailureCause.KV_EVICTED, Exposure.REFUSED, slot.work.resumeFrom());
   }
 
   private void advance() {
     advance(frozen());
   }
 
-  private void advance(boolean still) {
+  private void advance(boolean paused) {
     long now = time.now();
-    if (batch > 0 && !still) {
-      double steps = (now - since) / member.group().step(batch);
-      for (Seat seat : seats.values()) {
-        if (seat.stage == Stage.DECODING) {
-          seat.progress = Math.min(seat.progress + steps, seat.work.arrival().output());
+    if (batchSize > 0 && !paused) {
+      double steps = (now - progressAt) / member.group().stepNanos(batchSize);
+      for (Slot slot : occupiedSlots.values()) {
+        if (slot.stage == Stage.DECODING) {
+          slot.generatedTokens =
+              Math.min(slot.generatedTokens + steps, slot.work.arrival().output());
         }
       }
     }
-    since = now;
+    progressAt = now;
   }
 
-  private void schedule() {
+  private void scheduleMilestone() {
     Timeline.cancel(timer);
-    if (batch == 0 || frozen() || !alive()) {
+    if (batchSize == 0 || frozen() || !isAlive()) {
       return;
     }
-    double least = Double.MAX_VALUE;
-    for (Seat seat : seats.values()) {
-      if (seat.stage == Stage.DECODING) {
-        least = Math.min(least, seat.next() - seat.progress);
+    double minSteps = Double.MAX_VALUE;
+    for (Slot slot : occupiedSlots.values()) {
+      if (slot.stage == Stage.DECODING) {
+        minSteps = Math.min(minSteps, slot.nextMilestone() - slot.generatedTokens);
       }
     }
-    long wait = (long) Math.ceil(Math.max(0, least) * member.group().step(batch));
-    timer = time.after(wait, this::milestone);
+    long wait = (long) Math.ceil(Math.max(0, minSteps) * member.group().stepNanos(batchSize));
+    timer = time.after(wait, this::onTimer);
   }
 
-  private void milestone() {
+  private void onTimer() {
     advance();
-    for (Seat seat : List.copyOf(seats.values())) {
-      if (seat.stage == Stage.DECODING && seat.progress + ROUNDING >= seat.next()) {
-        reached(seat);
+    for (Slot slot : List.copyOf(occupiedSlots.values())) {
+      if (slot.stage == Stage.DECODING
+          && slot.generatedTokens + TOLERANCE_TOKENS >= slot.nextMilestone()) {
+        onMilestone(slot);
       }
     }
-    schedule();
+    scheduleMilestone();
   }
 
-  private void reached(Seat seat) {
-    Work work = seat.work;
-    if (!seat.first) {
-      seat.first = true;
-      ledger.prefillUsed(seat.prefill);
+  private void onMilestone(Slot slot) {
+    Work work = slot.work;
+    if (!slot.hasFirstToken) {
+      slot.hasFirstToken = true;
+      ledger.recordPrefillUse(slot.prefill);
       work.reply().progress(at -> new Event.FirstToken(at, work.id().attempt()));
     }
-    if (seat.progress + ROUNDING >= work.arrival().output()) {
-      free(seat, true);
+    if (slot.generatedTokens + TOLERANCE_TOKENS >= work.arrival().output()) {
+      release(slot, true);
       int tokens = work.arrival().output();
       work.reply().end(at -> new Event.DecodeDone(at, work.id().attempt(), tokens));
     }
   }
 
-  private void free(Seat seat, boolean complete) {
-    seats.remove(seat.work.id());
-    ledger.engineActive(seat.work.arrival(), -1);
-    if (seat.stage == Stage.DECODING) {
-      batch--;
+  private void release(Slot slot, boolean complete) {
+    occupiedSlots.remove(slot.work.id());
+    ledger.changeActiveEngines(slot.work.arrival(), -1);
+    if (slot.stage == Stage.DECODING) {
+      batchSize--;
     }
-    if (seat.transfer != null) {
-      seat.transfer.stop();
-      seat.source.endImport(seat.prefill, complete);
+    if (slot.transfer != null) {
+      slot.transfer.stop();
+      slot.source.endImport(slot.prefill, complete);
     }
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Ledger.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Ledger.java
@@ -19,9 +19,9 @@
 import org.larkkeel.errors.Execution;
 
 /**
- * Writes down what truly happened to each request, at the upstreams and towards its caller.
+ * Records the actual execution of each request at the upstreams and its result for the caller.
  *
- * <p>Invariant: a request is settled once; a second answer is counted as a violation. Not safe for
+ * <p>Invariant: a request has one result; a second answer is counted as a violation. Not safe for
  * use by several threads.
  *
  * @since 0.1
@@ -39,35 +39,35 @@
   private int noSlots;
   private int evictions;
 
-  /** A broken promise. */
+  /** The violations of the router's guarantees. */
   public enum Violation {
-    /** The caller was told that the request did not run, and it did. */
+    /** The request was refused as not run, but it ran. */
     RAN_THOUGH_TOLD_NOT_RUN,
-    /** The request was answered or ended twice. */
+    /** The request received a second answer or another second end. */
     ANSWERED_TWICE,
     /** A non-idempotent call ran twice. */
     RAN_TWICE,
-    /** The answer ended before its last token, or has a gap. */
+    /** The answer ended before its last token or has a gap. */
     ANSWER_CUT,
-    /** The request never got an answer. */
+    /** The request received no answer. */
     NEVER_ANSWERED,
-    /** An upstream still holds something for an ended request. */
+    /** An upstream still holds resources for an ended request. */
     STILL_HELD
   }
 
-  /** How a request ended for its caller. */
+  /** The result of a request for its caller. */
   public enum End {
-    /** Not yet. */
+    /** The request has not ended. */
     OPEN,
-    /** Answered in full. */
+    /** The answer is complete. */
     ANSWERED,
-    /** Answered with an error. */
+    /** The request was answered with an error. */
     REFUSED,
-    /** The caller left first. */
+    /** The caller disconnected before the end. */
     LEFT
   }
 
-  /** What happened to one request. */
+  /** The execution and the result of one request. */
   public static final class Outcome {
     private End end = End.OPEN;
     private ErrorKind error;
@@ -75,19 +75,19 @@
     private long endAt;
     private boolean reached;
     private boolean ran;
-    private int active;
+    private int activeEngines;
 
     /**
-     * How it ended.
+     * Returns the result for the caller.
      *
-     * @return the end
+     * @return the result
      */
     public End end() {
       return end;
     }
 
     /**
-     * The error told to the caller.
+     * Returns the error with which the request was refused.
      *
      * @return the kind; null unless refused
      */
@@ -96,7 +96,7 @@
     }
 
     /**
-     * When the first token reached the node.
+     * Returns the time at which the first token reached the node.
      *
      * @return nanoseconds, {@link Long#MIN_VALUE} if none did
      */
@@ -105,7 +105,7 @@
     }
 
     /**
-     * When it ended.
+     * Returns the time of the end.
      *
      * @return nanoseconds
      */
@@ -114,7 +114,7 @@
     }
 
     /**
-     * Whether an upstream accepted it.
+     * Returns whether an upstream accepted the request.
      *
      * @return true if one did
      */
@@ -129,35 +129,35 @@
   }
 
   /**
-   * What happened to a request.
+   * Returns the outcome of a request.
    *
    * @param arrival the request
-   * @return its outcome
+   * @return the outcome
    */
-  public Outcome of(Arrival arrival) {
+  public Outcome outcomeOf(Arrival arrival) {
     return outcomes[arrival.index()];
   }
 
   /**
-   * The requests of the run.
+   * Returns the requests of the run.
    *
-   * @return in the order of arrival
+   * @return the requests in the order of arrival
    */
   public List<Arrival> arrivals() {
     return arrivals;
   }
 
   /**
-   * The broken promises.
+   * Returns the number of violations by kind.
    *
-   * @return counts by kind, of those that happened
+   * @return counts by kind, without kinds that did not occur
    */
   public Map<Violation, Integer> violations() {
     return violations;
   }
 
   /**
-   * Prompt tokens computed by all prefill engines.
+   * Returns the number of prompt tokens that all prefill engines computed.
    *
    * @return tokens
    */
@@ -166,7 +166,7 @@
   }
 
   /**
-   * Prompt tokens computed whose KV cache yielded at least a token.
+   * Returns the number of computed prompt tokens whose KV cache yielded at least one token.
    *
    * @return tokens
    */
@@ -175,135 +175,135 @@
   }
 
   /**
-   * Transfers refused because the decode engine had no slot.
+   * Returns the number of transfers that were refused because the decode engine had no slot.
    *
-   * @return their number
+   * @return the number of transfers
    */
   public int noSlots() {
     return noSlots;
   }
 
   /**
-   * Transfers refused because the KV cache was gone.
+   * Returns the number of transfers that failed because the KV cache was evicted.
    *
-   * @return their number
+   * @return the number of transfers
    */
   public int evictions() {
     return evictions;
   }
 
-  /** Completions that arrived, are open, and are at no engine. */
+  /** Returns the number of open completions that run on no engine. */
   int waiting() {
     return waiting;
   }
 
-  void arrived(Arrival arrival) {
+  void recordArrival(Arrival arrival) {
     outcomes[arrival.index()] = new Outcome();
     waiting += arrival.kind().plain() ? 0 : 1;
   }
 
-  void reached(Arrival arrival) {
-    of(arrival).reached = true;
+  void recordReached(Arrival arrival) {
+    outcomeOf(arrival).reached = true;
   }
 
-  void ran(Arrival arrival) {
-    Outcome outcome = of(arrival);
+  void recordRun(Arrival arrival) {
+    Outcome outcome = outcomeOf(arrival);
     outcome.ran = true;
     if (outcome.error != null && outcome.error.execution() == Execution.NOT_RUN) {
-      violate(Violation.RAN_THOUGH_TOLD_NOT_RUN);
+      addViolation(Violation.RAN_THOUGH_TOLD_NOT_RUN);
     }
   }
 
-  void ranOnce(Arrival arrival) {
+  void recordAtMostOnceRun(Arrival arrival) {
     if (arrival.runKey().isPresent() && !runs.add(arrival.runKey().get())) {
-      violate(Violation.RAN_TWICE);
+      addViolation(Violation.RAN_TWICE);
     }
   }
 
-  void engineActive(Arrival arrival, int change) {
-    Outcome outcome = of(arrival);
-    boolean waited = waits(outcome);
-    outcome.active += change;
-    waiting += (waits(outcome) ? 1 : 0) - (waited ? 1 : 0);
+  void changeActiveEngines(Arrival arrival, int change) {
+    Outcome outcome = outcomeOf(arrival);
+    boolean waited = isWaiting(outcome);
+    outcome.activeEngines += change;
+    waiting += (isWaiting(outcome) ? 1 : 0) - (waited ? 1 : 0);
   }
 
-  void noSlot() {
+  void countNoSlot() {
     noSlots++;
   }
 
-  void evicted() {
+  void countEviction() {
     evictions++;
   }
 
-  void prefillComputed(WorkId id, double tokens) {
+  void recordPrefill(WorkId id, double tokens) {
     computed.put(id, tokens);
     computedTokens += tokens;
   }
 
-  void prefillUsed(WorkId id) {
+  void recordPrefillUse(WorkId id) {
     if (used.add(id)) {
       usedTokens += computed.getOrDefault(id, 0.0);
     }
   }
 
-  void firstToken(Arrival arrival, long at) {
-    Outcome outcome = of(arrival);
+  void recordFirstToken(Arrival arrival, long at) {
+    Outcome outcome = outcomeOf(arrival);
     if (outcome.firstAt == Long.MIN_VALUE) {
       outcome.firstAt = at;
     }
   }
 
-  void answered(Arrival arrival, long at, int tokens) {
+  void recordAnswer(Arrival arrival, long at, int tokens) {
     if (!arrival.kind().plain() && tokens != arrival.output()) {
-      violate(Violation.ANSWER_CUT);
+      addViolation(Violation.ANSWER_CUT);
     }
-    settle(arrival, at, End.ANSWERED);
+    recordEnd(arrival, at, End.ANSWERED);
   }
 
-  void refused(Arrival arrival, long at, ErrorKind kind) {
-    Outcome outcome = of(arrival);
+  void recordRefusal(Arrival arrival, long at, ErrorKind kind) {
+    Outcome outcome = outcomeOf(arrival);
     if (kind.execution() == Execution.NOT_RUN && outcome.ran) {
-      violate(Violation.RAN_THOUGH_TOLD_NOT_RUN);
+      addViolation(Violation.RAN_THOUGH_TOLD_NOT_RUN);
     }
-    if (settle(arrival, at, End.REFUSED)) {
+    if (recordEnd(arrival, at, End.REFUSED)) {
       outcome.error = kind;
     }
   }
 
-  void left(Arrival arrival, long at) {
-    settle(arrival, at, End.LEFT);
+  void recordDisconnect(Arrival arrival, long at) {
+    recordEnd(arrival, at, End.LEFT);
   }
 
-  void violate(Violation violation) {
+  void addViolation(Violation violation) {
     violations.merge(violation, 1, Integer::sum);
   }
 
-  void close(int held) {
+  void recordOpenEnds(int held) {
     for (Arrival arrival : arrivals) {
-      Outcome outcome = of(arrival);
+      Outcome outcome = outcomeOf(arrival);
       if (outcome == null || outcome.end == End.OPEN) {
-        violate(Violation.NEVER_ANSWERED);
+        addViolation(Violation.NEVER_ANSWERED);
       }
     }
     for (int i = 0; i < held; i++) {
-      violate(Violation.STILL_HELD);
+      addViolation(Violation.STILL_HELD);
     }
   }
 
-  private boolean settle(Arrival arrival, long at, End end) {
-    Outcome outcome = of(arrival);
+  private boolean recordEnd(Arrival arrival, long at, End end) {
+    Outcome outcome = outcomeOf(arrival);
     if (outcome.end != End.OPEN) {
-      violate(Violation.ANSWERED_TWICE);
+      addViolation(Violation.ANSWERED_TWICE);
       return false;
     }
-    boolean waited = !arrival.kind().plain() && waits(outcome);
+    boolean waited = !arrival.kind().plain() && isWaiting(outcome);
     outcome.end = end;
     outcome.endAt = at;
     waiting -= waited ? 1 : 0;
     return true;
   }
 
-  private static boolean waits(Outcome outcome) {
-    return outcome.end == End.OPEN && outcome.active == 0;
+  private static boolean isWaiting(Outcome outcome) {
+    return outcome.end == End.OPEN && outcome.activeEngines == 0;
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Link.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Link.java
@@ -13,7 +13,7 @@
 import org.larkkeel.bench.experiment.scenario.Scenario;
 
 /**
- * The link of one engine; the transfers on it share its rate evenly.
+ * The network link of one engine, whose rate is shared evenly by its transfers.
  *
  * <p>Not safe for use by several threads.
  *
@@ -30,7 +30,7 @@
     this.bytesPerSecond = bytesPerSecond;
   }
 
-  /** One KV cache on its way over the links of both its engines. */
+  /** The transfer of a KV cache over the links of two engines. */
   static final class Transfer {
     private final Timeline time;
     private final Link source;
@@ -38,41 +38,41 @@
     private final Runnable done;
     private double remaining;
     private double rate;
-    private long since;
+    private long updatedAt;
     private Timer timer;
 
-    /** Begins a transfer; {@code done} runs when the last byte is there. */
+    /** Starts a transfer; {@code done} runs after the last byte has arrived. */
     Transfer(Link source, Link target, double bytes, Runnable done) {
       this.time = source.time;
       this.source = source;
       this.target = target;
       this.done = done;
       this.remaining = bytes;
-      this.since = time.now();
+      this.updatedAt = time.now();
       source.transfers.add(this);
       target.transfers.add(this);
-      source.share();
-      target.share();
+      source.updateTransfers();
+      target.updateTransfers();
     }
 
-    /** Ends the transfer early; of no effect once it is over. */
+    /** Stops the transfer; has no effect after its end. */
     void stop() {
       Timeline.cancel(timer);
       if (source.transfers.remove(this)) {
         target.transfers.remove(this);
-        source.share();
-        target.share();
+        source.updateTransfers();
+        target.updateTransfers();
       }
     }
 
-    private void adapt() {
+    private void updateRate() {
       long now = time.now();
-      remaining -= rate * (now - since) / Scenario.SECOND;
-      since = now;
-      rate = Math.min(source.rateEach(), target.rateEach());
+      remaining -= rate * (now - updatedAt) / Scenario.NANOS_PER_SECOND;
+      updatedAt = now;
+      rate = Math.min(source.ratePerTransfer(), target.ratePerTransfer());
       Timeline.cancel(timer);
       if (rate > 0) {
-        double wait = Math.max(0, remaining) / rate * Scenario.SECOND;
+        double wait = Math.max(0, remaining) / rate * Scenario.NANOS_PER_SECOND;
         timer = time.after((long) Math.ceil(wait), this::finish);
       }
     }
@@ -85,21 +85,21 @@
 
   void stall() {
     stalls++;
-    share();
+    updateTransfers();
   }
 
   void unstall() {
     stalls--;
-    share();
+    updateTransfers();
   }
 
-  private double rateEach() {
+  private double ratePerTransfer() {
     return stalls > 0 ? 0 : bytesPerSecond / transfers.size();
   }
 
-  private void share() {
+  private void updateTransfers() {
     for (Transfer transfer : ImmutableSet.copyOf(transfers)) {
-      transfer.adapt();
+      transfer.updateRate();
     }
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Node.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Node.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.larkkeel.bench.experiment.fake.Ledger.Violation;
 import org.larkkeel.bench.experiment.fake.Timeline.Timer;
-import org.larkkeel.bench.experiment.policy.Subject;
+import org.larkkeel.bench.experiment.policy.RoutingPolicy;
 import org.larkkeel.bench.experiment.scenario.Arrival;
 import org.larkkeel.bench.experiment.scenario.Scenario;
 import org.larkkeel.effect.Effect;
@@ -22,7 +22,7 @@
 import org.larkkeel.lib.RequestId;
 
 /**
- * One node: feeds events to its router and carries out the effects against the fakes.
+ * A node, which passes events to its router and executes the effects against the fakes.
  *
  * <p>Invariant: each step of an attempt ends with at most one event. Not safe for use by several
  * threads.
@@ -30,45 +30,45 @@
  * @since 0.1
  */
 final class Node {
-  private static final long CANCEL_TIMEOUT = Scenario.SECOND;
+  private static final long CANCEL_TIMEOUT_NANOS = Scenario.NANOS_PER_SECOND;
 
   private final int number;
   private final String dataCentre;
-  private final Subject subject;
+  private final RoutingPolicy router;
   private final Cluster cluster;
   private final Timeline time;
   private final Ledger ledger;
-  private final Map<RequestId, Open> requests = new HashMap<>();
+  private final Map<RequestId, OpenRequest> requests = new HashMap<>();
   private final Map<AttemptId, Step> steps = new HashMap<>();
 
-  Node(int number, String dataCentre, Subject subject, Cluster cluster) {
+  Node(int number, String dataCentre, RoutingPolicy router, Cluster cluster) {
     this.number = number;
     this.dataCentre = dataCentre;
-    this.subject = subject;
+    this.router = router;
     this.cluster = cluster;
     this.time = cluster.time();
     this.ledger = cluster.ledger();
   }
 
-  private static final class Open {
+  private static final class OpenRequest {
     private final Arrival arrival;
-    private int passedOn;
+    private int forwardedTokens;
 
-    Open(Arrival arrival) {
+    OpenRequest(Arrival arrival) {
       this.arrival = arrival;
     }
   }
 
-  /** One step of one attempt, from its effect to its last event. */
+  /** One step of an attempt, from its effect to its last event. */
   private final class Step implements Reply {
     private final AttemptId attempt;
-    private final Open request;
+    private final OpenRequest request;
     private final Upstream upstream;
-    private boolean over;
-    private boolean onItsWay;
+    private boolean isClosed;
+    private boolean isResultInTransit;
     private Timer timeout;
 
-    Step(AttemptId attempt, Open request, Upstream upstream) {
+    Step(AttemptId attempt, OpenRequest request, Upstream upstream) {
       this.attempt = attempt;
       this.request = request;
       this.upstream = upstream;
@@ -76,14 +76,14 @@
     }
 
     @Override
-    public void progress(Builder event) {
-      back(() -> deliver(event));
+    public void progress(EventBuilder event) {
+      afterLatency(() -> deliver(event));
     }
 
     @Override
-    public void end(Builder event) {
-      onItsWay = true;
-      back(
+    public void end(EventBuilder event) {
+      isResultInTransit = true;
+      afterLatency(
           () -> {
             if (close()) {
               deliverNow(event.at(time.now()));
@@ -93,12 +93,12 @@
 
     @Override
     public void fail(FailureCause cause, Exposure exposure, int tokens) {
-      onItsWay = true;
-      back(() -> failNow(cause, exposure, tokens));
+      isResultInTransit = true;
+      afterLatency(() -> failNow(cause, exposure, tokens));
     }
 
-    private void deliver(Builder event) {
-      if (!over) {
+    private void deliver(EventBuilder event) {
+      if (!isClosed) {
         deliverNow(event.at(time.now()));
       }
     }
@@ -106,10 +106,10 @@
     private void deliverNow(Event event) {
       switch (event) {
         case Event.FirstToken first -> {
-          request.passedOn = Math.max(request.passedOn, 1);
-          ledger.firstToken(request.arrival, first.at());
+          request.forwardedTokens = Math.max(request.forwardedTokens, 1);
+          ledger.recordFirstToken(request.arrival, first.at());
         }
-        case Event.DecodeDone done -> request.passedOn = done.tokens();
+        case Event.DecodeDone done -> request.forwardedTokens = done.tokens();
         default -> {}
       }
       apply(event);
@@ -117,22 +117,22 @@
 
     private void failNow(FailureCause cause, Exposure exposure, int tokens) {
       if (close()) {
-        request.passedOn = Math.max(request.passedOn, tokens);
-        int whole = request.passedOn;
-        apply(new Event.AttemptFailed(time.now(), attempt, cause, exposure, whole));
+        request.forwardedTokens = Math.max(request.forwardedTokens, tokens);
+        int tokensSoFar = request.forwardedTokens;
+        apply(new Event.AttemptFailed(time.now(), attempt, cause, exposure, tokensSoFar));
       }
     }
 
-    private void limit(long timeoutNanos) {
+    private void startTimeout(long timeoutNanos) {
       if (timeoutNanos > 0) {
         Runnable expire =
-            () -> failNow(FailureCause.TIMED_OUT, Exposure.MAY_HAVE_RUN, request.passedOn);
+            () -> failNow(FailureCause.TIMED_OUT, Exposure.MAY_HAVE_RUN, request.forwardedTokens);
         timeout = time.after(timeoutNanos, expire);
       }
     }
 
-    /** Fails the step once no token came between two looks. */
-    private void limitSilence(DecodeEngine engine, long timeoutNanos, int seen) {
+    /** Fails the step if no token was generated within a timeout; checks once per timeout. */
+    private void startIdleTimeout(DecodeEngine engine, long timeoutNanos, int seen) {
       if (timeoutNanos <= 0) {
         return;
       }
@@ -141,8 +141,8 @@
               timeoutNanos,
               () -> {
                 int tokens = engine.tokens(new WorkId(number, attempt));
-                if (onItsWay || tokens > seen) {
-                  limitSilence(engine, timeoutNanos, tokens);
+                if (isResultInTransit || tokens > seen) {
+                  startIdleTimeout(engine, timeoutNanos, tokens);
                 } else {
                   failNow(FailureCause.TIMED_OUT, Exposure.MAY_HAVE_RUN, tokens);
                 }
@@ -152,36 +152,36 @@
     private boolean close() {
       steps.remove(attempt, this);
       Timeline.cancel(timeout);
-      boolean first = !over;
-      over = true;
-      return first;
+      boolean wasOpen = !isClosed;
+      isClosed = true;
+      return wasOpen;
     }
 
-    private void back(Runnable delivery) {
+    private void afterLatency(Runnable delivery) {
       time.after(latency(upstream), delivery);
     }
   }
 
   void apply(Event event) {
-    subject.apply(event, this::perform);
+    router.apply(event, this::execute);
   }
 
-  void arrive(Arrival arrival) {
-    ledger.arrived(arrival);
-    requests.put(arrival.id(), new Open(arrival));
+  void receiveRequest(Arrival arrival) {
+    ledger.recordArrival(arrival);
+    requests.put(arrival.id(), new OpenRequest(arrival));
     apply(new Event.RequestArrived(time.now(), arrival.call()));
     if (arrival.leavesAt() < Long.MAX_VALUE) {
-      time.at(arrival.leavesAt(), () -> leave(arrival));
+      time.at(arrival.leavesAt(), () -> onCallerLeft(arrival));
     }
   }
 
-  private void leave(Arrival arrival) {
+  private void onCallerLeft(Arrival arrival) {
     if (requests.containsKey(arrival.id())) {
       apply(new Event.CallerGone(time.now(), arrival.id()));
     }
   }
 
-  private void perform(Effect effect) {
+  private void execute(Effect effect) {
     switch (effect) {
       case Effect.StartPrefill start -> prefill(start);
       case Effect.StartTransfer start -> transfer(start);
@@ -193,18 +193,19 @@
       case Effect.Complete done -> complete(done.request());
       case Effect.Replay replay -> complete(replay.request());
       case Effect.Refuse refuse -> {
-        Open open = settle(refuse.request());
+        OpenRequest open = removeRequest(refuse.request());
         if (open != null) {
-          ledger.refused(open.arrival, time.now(), refuse.kind());
+          ledger.recordRefusal(open.arrival, time.now(), refuse.kind());
         }
       }
       case Effect.Forget forget -> {
-        Open open = settle(forget.request());
+        OpenRequest open = removeRequest(forget.request());
         if (open != null) {
-          ledger.left(open.arrival, time.now());
+          ledger.recordDisconnect(open.arrival, time.now());
         }
       }
-      case Effect.WantSlots want -> cluster.grants().want(number, want.upstream(), want.wanted());
+      case Effect.WantSlots want ->
+          cluster.grants().request(number, want.upstream(), want.wanted());
       case Effect.WantLimit want -> {}
       case Effect.Wake wake -> time.at(wake.at(), () -> apply(new Event.Ticked(time.now())));
       case Effect.Report report -> {}
@@ -212,43 +213,43 @@
   }
 
   private void prefill(Effect.StartPrefill start) {
-    Open open = open(start.request());
+    OpenRequest open = requireOpen(start.request());
     PrefillEngine engine = (PrefillEngine) cluster.upstream(start.upstream());
     Step step = new Step(start.attempt(), open, engine);
-    step.limit(start.timeoutNanos());
+    step.startTimeout(start.timeoutNanos());
     Work work = work(step, start.resumeFrom(), start.priority());
-    send(engine, () -> engine.start(work));
+    send(engine, () -> engine.submit(work));
   }
 
   private void transfer(Effect.StartTransfer start) {
-    Open open = open(start.request());
+    OpenRequest open = requireOpen(start.request());
     DecodeEngine engine = (DecodeEngine) cluster.upstream(start.to());
     PrefillEngine source = (PrefillEngine) cluster.upstream(start.from());
     Step step = new Step(start.attempt(), open, engine);
-    step.limit(start.timeoutNanos());
-    Work work = work(step, open.passedOn, 0);
+    step.startTimeout(start.timeoutNanos());
+    Work work = work(step, open.forwardedTokens, 0);
     WorkId prefill = new WorkId(number, start.prefill());
-    send(engine, () -> engine.transfer(work, prefill, source));
+    send(engine, () -> engine.startImport(work, prefill, source));
   }
 
   private void decode(Effect.StartDecode start) {
-    Open open = open(start.request());
-    if (start.resumeFrom() > open.passedOn) {
-      ledger.violate(Violation.ANSWER_CUT);
+    OpenRequest open = requireOpen(start.request());
+    if (start.resumeFrom() > open.forwardedTokens) {
+      ledger.addViolation(Violation.ANSWER_CUT);
     }
     DecodeEngine engine = (DecodeEngine) cluster.upstream(start.upstream());
     Step step = new Step(start.attempt(), open, engine);
-    step.limitSilence(engine, start.timeoutNanos(), start.resumeFrom());
+    step.startIdleTimeout(engine, start.timeoutNanos(), start.resumeFrom());
     Work work = work(step, start.resumeFrom(), start.priority());
-    send(engine, () -> engine.decode(work));
+    send(engine, () -> engine.startDecode(work));
   }
 
   private void plain(Effect.SendPlain send) {
     Service service = (Service) cluster.upstream(send.upstream());
-    Step step = new Step(send.attempt(), open(send.request()), service);
-    step.limit(send.timeoutNanos());
+    Step step = new Step(send.attempt(), requireOpen(send.request()), service);
+    step.startTimeout(send.timeoutNanos());
     Work work = work(step, 0, 0);
-    send(service, () -> service.send(work));
+    send(service, () -> service.submit(work));
   }
 
   private void cancel(Effect.Cancel cancel) {
@@ -256,17 +257,17 @@
     WorkId id = new WorkId(number, cancel.attempt());
     Step step = steps.remove(cancel.attempt());
     if (step != null && step.close() && upstream instanceof DecodeEngine engine) {
-      step.request.passedOn = Math.max(step.request.passedOn, engine.tokens(id));
+      step.request.forwardedTokens = Math.max(step.request.forwardedTokens, engine.tokens(id));
     }
     long there = latency(upstream) + cluster.platform().cancelDelay();
     time.after(there, () -> cancelAt(upstream, id));
   }
 
   private void cancelAt(Upstream upstream, WorkId id) {
-    if (!upstream.alive()) {
+    if (!upstream.isAlive()) {
       time.after(latency(upstream), () -> cancelled(id, CancelOutcome.FAILED));
     } else if (upstream.frozen()) {
-      time.after(CANCEL_TIMEOUT, () -> cancelled(id, CancelOutcome.FAILED));
+      time.after(CANCEL_TIMEOUT_NANOS, () -> cancelled(id, CancelOutcome.FAILED));
     } else {
       upstream.cancel(id);
       time.after(latency(upstream), () -> cancelled(id, CancelOutcome.ACKNOWLEDGED));
@@ -300,24 +301,24 @@
   }
 
   private void complete(RequestId request) {
-    Open open = settle(request);
+    OpenRequest open = removeRequest(request);
     if (open != null) {
-      ledger.answered(open.arrival, time.now(), open.passedOn);
+      ledger.recordAnswer(open.arrival, time.now(), open.forwardedTokens);
     }
   }
 
-  private Open settle(RequestId request) {
-    Open open = requests.remove(request);
+  private OpenRequest removeRequest(RequestId request) {
+    OpenRequest open = requests.remove(request);
     if (open == null) {
-      ledger.violate(Violation.ANSWERED_TWICE);
+      ledger.addViolation(Violation.ANSWERED_TWICE);
     }
     return open;
   }
 
-  private Open open(RequestId request) {
-    Open open = requests.get(request);
+  private OpenRequest requireOpen(RequestId request) {
+    OpenRequest open = requests.get(request);
     if (open == null) {
-      throw new IllegalStateException("effect for a request that has ended: " + request);
+      throw new IllegalStateException("the router issued an effect for ended request " + request);
     }
     return open;
   }
@@ -332,7 +333,9 @@
   }
 
   private long latency(Upstream upstream) {
-    boolean near = upstream.member.dataCentre().equals(dataCentre);
-    return near ? cluster.platform().withinDataCentre() : cluster.platform().betweenDataCentres();
+    boolean isSameDataCentre = upstream.member.dataCentre().equals(dataCentre);
+    return isSameDataCentre
+        ? cluster.platform().withinDataCentre()
+        : cluster.platform().betweenDataCentres();
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/PrefillEngine.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/PrefillEngine.java
@@ -20,11 +20,11 @@
 import org.larkkeel.event.FailureCause;
 
 /**
- * A prefill engine: one prompt at a time at a fixed speed, by priority; the KV cache is held until
- * it is imported, cancelled or evicted.
+ * A prefill engine, which computes one prompt at a time at a fixed speed, in the order of priority,
+ * and holds its KV cache until it is imported, cancelled or evicted.
  *
- * <p>Invariant: an attempt is queued, current or held, or unknown. Not safe for use by several
- * threads.
+ * <p>Invariant: an attempt is in at most one of the states queued, current and held. Not safe for
+ * use by several threads.
  *
  * @since 0.1
  */
@@ -37,7 +37,7 @@
   private final PriorityQueue<Job> queue =
       new PriorityQueue<>(
           Comparator.comparingInt((Job j) -> j.work.priority()).thenComparingLong(j -> j.sequence));
-  private final Map<WorkId, Held> held = new HashMap<>();
+  private final Map<WorkId, HeldCache> held = new HashMap<>();
   final Link link;
   private long sequence;
   private Job current;
@@ -48,7 +48,7 @@
     private int cached;
     private double tokens;
     private double remaining;
-    private long since;
+    private long updatedAt;
     private Timer timer;
 
     Job(Work work, long sequence) {
@@ -57,12 +57,12 @@
     }
   }
 
-  private static final class Held {
+  private static final class HeldCache {
     private final double bytes;
-    private Runnable broken;
+    private Runnable onEviction;
     private Timer eviction;
 
-    Held(double bytes) {
+    HeldCache(double bytes) {
       this.bytes = bytes;
     }
   }
@@ -80,8 +80,8 @@
     this.link = new Link(time, member.group().linkBytesPerSecond());
   }
 
-  void start(Work work) {
-    if (!alive()) {
+  void submit(Work work) {
+    if (!isAlive()) {
       work.reply().fail(FailureCause.CONNECT_FAILED, Exposure.NOT_SENT, work.resumeFrom());
       return;
     }
@@ -89,36 +89,38 @@
       work.reply().fail(FailureCause.BUSY, Exposure.REFUSED, work.resumeFrom());
       return;
     }
-    ledger.reached(work.arrival());
+    ledger.recordReached(work.arrival());
     queue.add(new Job(work, sequence++));
-    next();
+    startNext();
   }
 
   /**
-   * Begins to hand a KV cache over; returns its bytes, or -1 if it is not held. Runs {@code broken}
-   * if the KV cache goes before the end.
+   * Starts the import of a KV cache by a decode engine. Runs {@code onEviction} if the KV cache is
+   * evicted before the end.
+   *
+   * @return the size in bytes, or -1 if the KV cache is not held or is being imported already
    */
-  double beginImport(WorkId id, Runnable broken) {
-    Held kv = held.get(id);
-    if (kv == null || kv.broken != null) {
+  double beginImport(WorkId id, Runnable onEviction) {
+    HeldCache kv = held.get(id);
+    if (kv == null || kv.onEviction != null) {
       return -1;
     }
-    kv.broken = broken;
+    kv.onEviction = onEviction;
     Timeline.cancel(kv.eviction);
     return kv.bytes;
   }
 
-  /** Ends a hand-over; a KV cache that did not arrive is held for a while again. */
+  /** Ends an import; a KV cache that did not arrive is held again for the normal hold time. */
   void endImport(WorkId id, boolean arrived) {
-    Held kv = held.get(id);
+    HeldCache kv = held.get(id);
     if (kv == null) {
       return;
     }
     if (arrived) {
       held.remove(id);
     } else {
-      kv.broken = null;
-      holdBriefly(id, kv);
+      kv.onEviction = null;
+      scheduleEviction(id, kv);
     }
   }
 
@@ -134,7 +136,7 @@
     queue.removeIf(job -> job.work.id().equals(id));
     if (current != null && current.work.id().equals(id)) {
       abandonCurrent();
-      next();
+      startNext();
     }
     evict(id);
   }
@@ -150,13 +152,13 @@
   }
 
   @Override
-  int held() {
+  int heldAttempts() {
     return queue.size() + running() + held.size();
   }
 
   @Override
   double busyShare() {
-    return current == null || frozen() || !alive() ? 0 : 1;
+    return current == null || frozen() || !isAlive() ? 0 : 1;
   }
 
   @Override
@@ -166,9 +168,9 @@
     Job running = current;
     if (running != null) {
       abandonCurrent();
-      lose(running);
+      failLost(running);
     }
-    waiting.forEach(this::lose);
+    waiting.forEach(this::failLost);
     for (WorkId id : List.copyOf(held.keySet())) {
       evict(id);
     }
@@ -178,7 +180,7 @@
   @Override
   void pause() {
     if (current != null) {
-      settle(current);
+      updateRemaining(current);
       Timeline.cancel(current.timer);
     }
   }
@@ -186,82 +188,84 @@
   @Override
   void resume() {
     if (current == null) {
-      next();
+      startNext();
     } else {
       schedule(current);
     }
   }
 
-  private void next() {
-    if (current != null || queue.isEmpty() || frozen() || !alive()) {
+  private void startNext() {
+    if (current != null || queue.isEmpty() || frozen() || !isAlive()) {
       return;
     }
     Job job = queue.poll();
     current = job;
-    ledger.ran(job.work.arrival());
-    int whole = job.work.arrival().prompt() + job.work.resumeFrom();
-    job.cached = Math.min(whole - 1, cache.cachedTokens(job.work.arrival().prefixes()));
-    job.tokens = whole - job.cached;
+    ledger.recordRun(job.work.arrival());
+    int promptTokens = job.work.arrival().prompt() + job.work.resumeFrom();
+    job.cached = Math.min(promptTokens - 1, cache.cachedTokens(job.work.arrival().prefixes()));
+    job.tokens = promptTokens - job.cached;
     job.remaining =
-        member.group().overhead() + job.tokens / member.group().tokensPerSecond() * Scenario.SECOND;
-    ledger.engineActive(job.work.arrival(), 1);
+        member.group().overhead()
+            + job.tokens / member.group().tokensPerSecond() * Scenario.NANOS_PER_SECOND;
+    ledger.changeActiveEngines(job.work.arrival(), 1);
     schedule(job);
   }
 
   private void schedule(Job job) {
-    job.since = time.now();
+    job.updatedAt = time.now();
     job.timer = time.after((long) Math.ceil(job.remaining), this::finish);
   }
 
-  private void settle(Job job) {
-    job.remaining = Math.max(0, job.remaining - (time.now() - job.since));
-    job.since = time.now();
+  private void updateRemaining(Job job) {
+    job.remaining = Math.max(0, job.remaining - (time.now() - job.updatedAt));
+    job.updatedAt = time.now();
   }
 
   private void finish() {
     Job job = current;
     current = null;
     Work work = job.work;
-    ledger.prefillComputed(work.id(), job.tokens);
+    ledger.recordPrefill(work.id(), job.tokens);
     publish(cache.store(work.arrival().prefixes()));
     long bytes = (long) (work.arrival().prompt() + work.resumeFrom()) * kvBytesPerToken;
-    Held kv = new Held(bytes);
+    HeldCache kv = new HeldCache(bytes);
     held.put(work.id(), kv);
-    holdBriefly(work.id(), kv);
-    ledger.engineActive(work.arrival(), -1);
+    scheduleEviction(work.id(), kv);
+    ledger.changeActiveEngines(work.arrival(), -1);
     int cached = job.cached;
     work.reply().end(at -> new Event.PrefillDone(at, work.id().attempt(), bytes, cached));
-    next();
+    startNext();
   }
 
   private void abandonCurrent() {
     Job job = current;
     current = null;
     if (!frozen()) {
-      settle(job);
+      updateRemaining(job);
     }
     Timeline.cancel(job.timer);
-    double left = job.remaining / Scenario.SECOND * member.group().tokensPerSecond();
-    ledger.prefillComputed(job.work.id(), Math.max(0, job.tokens - left));
-    ledger.engineActive(job.work.arrival(), -1);
+    double remainingTokens =
+        job.remaining / Scenario.NANOS_PER_SECOND * member.group().tokensPerSecond();
+    ledger.recordPrefill(job.work.id(), Math.max(0, job.tokens - remainingTokens));
+    ledger.changeActiveEngines(job.work.arrival(), -1);
   }
 
-  private void holdBriefly(WorkId id, Held kv) {
+  private void scheduleEviction(WorkId id, HeldCache kv) {
     kv.eviction = time.after(member.group().kvHold(), () -> evict(id));
   }
 
   private void evict(WorkId id) {
-    Held kv = held.remove(id);
+    HeldCache kv = held.remove(id);
     if (kv == null) {
       return;
     }
     Timeline.cancel(kv.eviction);
-    if (kv.broken != null) {
-      kv.broken.run();
+    if (kv.onEviction != null) {
+      kv.onEviction.run();
     }
   }
 
-  private void lose(Job job) {
+  private void failLost(Job job) {
     job.work
         .reply()
         .fail(FailureCause.CONNECTION_LOST, Exposure.MAY_HAVE_RUN, job.work.resumeFrom());
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/PrefixCache.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/PrefixCache.java
@@ -14,22 +14,21 @@
 import org.larkkeel.call.PrefixKeys;
 
 /**
- * The prefix cache of a prefill engine: a bounded number of pieces, the least recently used go
- * first.
+ * The prefix cache of a prefill engine, an LRU cache with a bounded number of pieces.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 final class PrefixCache {
-  private final int pieces;
+  private final int maxPieces;
   private final Map<Long, Boolean> stored = new LinkedHashMap<>(16, 0.75f, true);
 
   PrefixCache(int pieces) {
-    this.pieces = pieces;
+    this.maxPieces = pieces;
   }
 
-  /** What a prompt changed. */
+  /** The keys that an operation stored and removed. */
   record Change(ImmutableLongArray stored, ImmutableLongArray removed) {
     boolean isEmpty() {
       return stored.isEmpty() && removed.isEmpty();
@@ -54,7 +53,7 @@
                 added.add(key);
               }
             });
-    while (stored.size() > pieces) {
+    while (stored.size() > maxPieces) {
       Long oldest = stored.keySet().iterator().next();
       stored.remove(oldest);
       removed.add(oldest);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Reply.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Reply.java
@@ -11,25 +11,25 @@
 import org.larkkeel.event.FailureCause;
 
 /**
- * Carries the results of one attempt back to its node, which receives them a latency later.
+ * Sends the results of one attempt to its node, which receives them after the network latency.
  *
  * <p>Not safe for use by several threads.
  *
  * @since 0.1
  */
 interface Reply {
-  /** Builds an event once the time of its delivery is known. */
+  /** Builds an event for the time of its delivery. */
   @FunctionalInterface
-  interface Builder {
+  interface EventBuilder {
     Event at(long time);
   }
 
-  /** Sends a result after which the attempt's step goes on. */
-  void progress(Builder event);
+  /** Sends an intermediate result of the attempt's step. */
+  void progress(EventBuilder event);
 
   /** Sends the last result of the attempt's step. */
-  void end(Builder event);
+  void end(EventBuilder event);
 
-  /** Fails the attempt's step; {@code tokens} of the whole answer were passed on. */
+  /** Fails the attempt's step after {@code tokens} of the complete answer were forwarded. */
   void fail(FailureCause cause, Exposure exposure, int tokens);
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/RunStore.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/RunStore.java
@@ -15,7 +15,7 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * The store of at-most-once runs, shared by all nodes.
+ * A fake of the store for at-most-once runs, shared by all nodes.
  *
  * <p>Not safe for use by several threads.
  *
@@ -23,22 +23,22 @@
  */
 final class RunStore {
   private final Map<Key, State> runs = new HashMap<>();
-  private int outages;
+  private int activeOutages;
 
   private record Key(WorkspaceName workspace, String key) {}
 
-  private record State(long digest, ClaimOutcome seenByOthers) {}
+  private record State(long digest, ClaimOutcome claimOutcome) {}
 
-  void goDown() {
-    outages++;
+  void startOutage() {
+    activeOutages++;
   }
 
-  void comeBack() {
-    outages--;
+  void endOutage() {
+    activeOutages--;
   }
 
   ClaimOutcome claim(WorkspaceName workspace, RunKey run) {
-    if (outages > 0) {
+    if (activeOutages > 0) {
       return ClaimOutcome.UNAVAILABLE;
     }
     Key key = new Key(workspace, run.key().value());
@@ -47,11 +47,11 @@
       runs.put(key, new State(run.bodyDigest(), ClaimOutcome.IN_PROGRESS));
       return ClaimOutcome.CLAIMED;
     }
-    return state.digest == run.bodyDigest() ? state.seenByOthers : ClaimOutcome.KEY_REUSED;
+    return state.digest == run.bodyDigest() ? state.claimOutcome : ClaimOutcome.KEY_REUSED;
   }
 
   RecordOutcome record(WorkspaceName workspace, RunKey run, RunResult result) {
-    if (outages > 0) {
+    if (activeOutages > 0) {
       return RecordOutcome.FAILED;
     }
     Key key = new Key(workspace, run.key().value());
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Setup.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/ScenarioConfiguration.java
@@ -36,19 +36,19 @@
 import org.larkkeel.selector.Selector;
 
 /**
- * Writes the configuration that an operator would apply for a scenario.
+ * Builds the configuration that an operator would apply for a scenario.
  *
  * <p>Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
-final class Setup {
+final class ScenarioConfiguration {
   private static final String USE = "use";
   private static final String MODELS = "models";
   private static final String CALLS = "calls";
-  private static final int NETWORK_SIZE = 250;
+  private static final int HOSTS_PER_SUBNET = 250;
 
-  private Setup() {}
+  private ScenarioConfiguration() {}
 
   static Configuration of(Scenario scenario) {
     ImmutableSortedMap.Builder<RuleName, Rule> rules = ImmutableSortedMap.naturalOrder();
@@ -122,7 +122,7 @@
           name,
           new Upstream(
               name,
-              "10.0." + number / NETWORK_SIZE + "." + (1 + number % NETWORK_SIZE) + ":8000",
+              "10.0." + number / HOSTS_PER_SUBNET + "." + (1 + number % HOSTS_PER_SUBNET) + ":8000",
               memberLabels(member),
               role == Role.SERVICE ? ImmutableSet.of() : models,
               member.group().slots(),
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Service.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Service.java
@@ -21,7 +21,7 @@
 import org.larkkeel.event.FailureCause;
 
 /**
- * A plain service with a number of workers and a queue before them.
+ * A plain service with a number of workers and a bounded queue.
  *
  * <p>Not safe for use by several threads.
  *
@@ -36,12 +36,12 @@
 
   private static final class Running {
     private final Work work;
-    private long ends;
+    private long endsAt;
     private Timer timer;
 
     Running(Work work, long ends) {
       this.work = work;
-      this.ends = ends;
+      this.endsAt = ends;
     }
   }
 
@@ -50,8 +50,8 @@
     this.random = random;
   }
 
-  void send(Work work) {
-    if (!alive()) {
+  void submit(Work work) {
+    if (!isAlive()) {
       work.reply().fail(FailureCause.CONNECT_FAILED, Exposure.NOT_SENT, 0);
       return;
     }
@@ -59,9 +59,9 @@
       work.reply().fail(FailureCause.BUSY, Exposure.REFUSED, 0);
       return;
     }
-    ledger.reached(work.arrival());
+    ledger.recordReached(work.arrival());
     queue.add(work);
-    next();
+    startNext();
   }
 
   @Override
@@ -75,7 +75,7 @@
     Running job = running.remove(id);
     if (job != null) {
       Timeline.cancel(job.timer);
-      next();
+      startNext();
     }
   }
 
@@ -90,7 +90,7 @@
   }
 
   @Override
-  int held() {
+  int heldAttempts() {
     return running.size() + queue.size();
   }
 
@@ -116,38 +116,38 @@
   void pause() {
     for (Running job : running.values()) {
       Timeline.cancel(job.timer);
-      job.ends -= time.now();
+      job.endsAt -= time.now();
     }
   }
 
   @Override
   void resume() {
     for (Running job : running.values()) {
-      job.ends += time.now();
+      job.endsAt += time.now();
       schedule(job);
     }
-    next();
+    startNext();
   }
 
-  private void next() {
+  private void startNext() {
     while (!queue.isEmpty() && running.size() < member.group().slots() && !frozen()) {
       Work work = queue.poll();
-      ledger.ran(work.arrival());
-      ledger.ranOnce(work.arrival());
+      ledger.recordRun(work.arrival());
+      ledger.recordAtMostOnceRun(work.arrival());
       double millis = member.group().serviceTime().draw(random);
-      Running job = new Running(work, time.now() + (long) (millis * Scenario.MILLI));
+      Running job = new Running(work, time.now() + (long) (millis * Scenario.NANOS_PER_MILLI));
       running.put(work.id(), job);
       schedule(job);
     }
   }
 
   private void schedule(Running job) {
-    job.timer = time.at(job.ends, () -> finish(job));
+    job.timer = time.at(job.endsAt, () -> finish(job));
   }
 
   private void finish(Running job) {
     running.remove(job.work.id());
     job.work.reply().end(at -> new Event.PlainDone(at, job.work.id().attempt()));
-    next();
+    startNext();
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/SlotGrants.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/SlotGrants.java
@@ -14,71 +14,79 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * Shares the slots of each upstream among the nodes by what they want.
+ * Divides the slots of each upstream among the nodes by their requests.
  *
  * <p>Invariant: the grants in force for one upstream never add up to more than its slots; a grant
- * grows only by what is free, and shrinks by one slot an ask. Not safe for use by several threads.
+ * grows only by free slots, and shrinks by at most one slot per request. Not safe for use by
+ * several threads.
  *
  * @since 0.1
  */
 final class SlotGrants {
-  private static final long DELAY = 20 * Scenario.MILLI;
-  private static final long VALID = 5 * Scenario.SECOND;
+  private static final long MESSAGE_DELAY_NANOS = 20 * Scenario.NANOS_PER_MILLI;
+  private static final long GRANT_VALIDITY_NANOS = 5 * Scenario.NANOS_PER_SECOND;
 
   /** Delivers an event to a node. */
   interface Sender {
     void send(int node, Event event);
   }
 
-  /** Tells how many slots of an upstream a node holds. */
-  interface HeldBy {
+  /** Returns the number of slots of an upstream that a node holds. */
+  interface HeldSlots {
     int count(int node, UpstreamName upstream);
   }
 
   private final Timeline time;
   private final int nodes;
   private final ToIntFunction<UpstreamName> slots;
-  private final HeldBy heldBy;
+  private final HeldSlots heldSlots;
   private final Sender sender;
-  private final Map<UpstreamName, int[]> wanted = new HashMap<>();
+  private final Map<UpstreamName, int[]> requested = new HashMap<>();
   private final Map<UpstreamName, int[]> granted = new HashMap<>();
 
   SlotGrants(
-      Timeline time, int nodes, ToIntFunction<UpstreamName> slots, HeldBy heldBy, Sender sender) {
+      Timeline time,
+      int nodes,
+      ToIntFunction<UpstreamName> slots,
+      HeldSlots heldSlots,
+      Sender sender) {
     this.time = time;
     this.nodes = nodes;
     this.slots = slots;
-    this.heldBy = heldBy;
+    this.heldSlots = heldSlots;
     this.sender = sender;
   }
 
-  void want(int node, UpstreamName upstream, int count) {
+  void request(int node, UpstreamName upstream, int count) {
     if (nodes == 1) {
       return;
     }
-    time.after(DELAY, () -> decide(node, upstream, count));
+    time.after(MESSAGE_DELAY_NANOS, () -> decide(node, upstream, count));
   }
 
   private void decide(int node, UpstreamName upstream, int count) {
-    int[] want = wanted.computeIfAbsent(upstream, u -> new int[nodes]);
-    int[] grant = granted.computeIfAbsent(upstream, u -> new int[nodes]);
-    want[node] = count;
-    int all = slots.applyAsInt(upstream);
-    int free = all;
-    int asked = 0;
+    int[] requests = requested.computeIfAbsent(upstream, u -> new int[nodes]);
+    int[] grants = granted.computeIfAbsent(upstream, u -> new int[nodes]);
+    requests[node] = count;
+    int totalSlots = slots.applyAsInt(upstream);
+    int free = totalSlots;
+    int totalRequested = 0;
     for (int i = 0; i < nodes; i++) {
-      free -= i == node ? 0 : grant[i];
-      asked += want[i];
+      free -= i == node ? 0 : grants[i];
+      totalRequested += requests[i];
     }
-    int fair = asked <= all ? count : Math.max(1, count * all / asked);
-    // A node gives slots back one by one as they become free, never those in use.
-    int kept = Math.max(heldBy.count(node, upstream), Math.min(count, grant[node] - 1));
-    grant[node] = Math.max(0, Math.min(Math.max(fair, kept), free));
-    int now = grant[node];
+    int fairShare =
+        totalRequested <= totalSlots ? count : Math.max(1, count * totalSlots / totalRequested);
+    // A node returns slots one by one as they become free, never those in use.
+    int retained = Math.max(heldSlots.count(node, upstream), Math.min(count, grants[node] - 1));
+    grants[node] = Math.max(0, Math.min(Math.max(fairShare, retained), free));
+    int grantedNow = grants[node];
     time.after(
-        DELAY,
+        MESSAGE_DELAY_NANOS,
         () ->
             sender.send(
-                node, new Event.SlotsGranted(time.now(), upstream, now, time.now() + VALID)));
+                node,
+                new Event.SlotsGranted(
+                    time.now(), upstream, grantedNow, time.now() + GRANT_VALIDITY_NANOS)));
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Timeline.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Timeline.java
@@ -10,14 +10,15 @@
 import java.util.PriorityQueue;
 
 /**
- * The virtual time of one run: what is due runs in the order of time, then of scheduling.
+ * The virtual time of one run, which runs scheduled actions in the order of their time, and actions
+ * with equal times in the order of scheduling.
  *
- * <p>Invariant: the time never goes back. Not safe for use by several threads.
+ * <p>Invariant: the time never decreases. Not safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Timeline {
-  private final PriorityQueue<Timer> due =
+  private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
           Comparator.comparingLong((Timer t) -> t.at).thenComparingLong(t -> t.sequence));
   private long now;
@@ -35,23 +36,23 @@
       this.action = action;
     }
 
-    /** Prevents the action from running; of no effect once it ran. */
+    /** Prevents the action from running; has no effect after it ran. */
     public void cancel() {
       action = null;
     }
   }
 
   /**
-   * Creates the timeline at the given time.
+   * Creates a timeline.
    *
-   * @param start the first time
+   * @param start the initial time in nanoseconds
    */
   public Timeline(long start) {
     now = start;
   }
 
   /**
-   * The present time.
+   * Returns the current time.
    *
    * @return nanoseconds
    */
@@ -62,35 +63,35 @@
   /**
    * Schedules an action.
    *
-   * @param time when; a time that has passed means now
-   * @param action what
-   * @return a handle to cancel it
+   * @param time the time in nanoseconds; a time in the past means now
+   * @param action the action
+   * @return a timer that can cancel the action
    */
   public Timer at(long time, Runnable action) {
     Timer timer = new Timer(Math.max(now, time), sequence++, action);
-    due.add(timer);
+    timers.add(timer);
     return timer;
   }
 
   /**
    * Schedules an action after a delay.
    *
-   * @param delay nanoseconds
-   * @param action what
-   * @return a handle to cancel it
+   * @param delay the delay in nanoseconds
+   * @param action the action
+   * @return a timer that can cancel the action
    */
   public Timer after(long delay, Runnable action) {
     return at(now + delay, action);
   }
 
   /**
-   * Runs everything that is due up to a time.
+   * Runs all actions that are due up to a time, and advances to that time.
    *
-   * @param end the last time
+   * @param end the last time in nanoseconds, inclusive
    */
   public void runUntil(long end) {
-    while (!due.isEmpty() && due.peek().at <= end) {
-      Timer timer = due.poll();
+    while (!timers.isEmpty() && timers.peek().at <= end) {
+      Timer timer = timers.poll();
       if (timer.action != null) {
         now = timer.at;
         timer.action.run();
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Upstream.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Upstream.java
@@ -15,9 +15,10 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * What engines and services share: they die, come back, freeze, and report their load.
+ * Common base of engines and services, which can be killed, restarted and frozen, and which report
+ * their load.
  *
- * <p>Invariant: a dead upstream holds nothing. Not safe for use by several threads.
+ * <p>Invariant: a killed upstream holds no attempts. Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -27,9 +28,9 @@
   final Member member;
   final UpstreamName name;
   private long incarnation = 1;
-  private boolean alive = true;
+  private boolean isAlive = true;
   private int frozen;
-  private final List<Runnable> unread = new ArrayList<>();
+  private final List<Runnable> unreadMessages = new ArrayList<>();
 
   Upstream(Timeline time, Ledger ledger, Member member) {
     this.time = time;
@@ -38,8 +39,8 @@
     this.name = new UpstreamName(member.name());
   }
 
-  final boolean alive() {
-    return alive;
+  final boolean isAlive() {
+    return isAlive;
   }
 
   final boolean frozen() {
@@ -51,16 +52,16 @@
   }
 
   final void kill() {
-    if (alive) {
-      alive = false;
-      unread.clear();
+    if (isAlive) {
+      isAlive = false;
+      unreadMessages.clear();
       dropAll();
     }
   }
 
   final void restart() {
-    if (!alive) {
-      alive = true;
+    if (!isAlive) {
+      isAlive = true;
       incarnation++;
     }
   }
@@ -74,16 +75,16 @@
   final void thaw() {
     if (--frozen == 0) {
       resume();
-      List<Runnable> backlog = List.copyOf(unread);
-      unread.clear();
+      List<Runnable> backlog = List.copyOf(unreadMessages);
+      unreadMessages.clear();
       backlog.forEach(Runnable::run);
     }
   }
 
-  /** Takes what a node sent; a frozen process reads it when it goes on. */
+  /** Handles a message of a node; a frozen process handles it when it continues. */
   final void receive(Runnable message) {
-    if (frozen() && alive) {
-      unread.add(message);
+    if (frozen() && isAlive) {
+      unreadMessages.add(message);
     } else {
       message.run();
     }
@@ -97,29 +98,31 @@
         running(),
         waiting(),
         kvPieces(),
-        Math.max(0, kvPieces() - held()),
+        Math.max(0, kvPieces() - heldAttempts()),
         ImmutableSet.of());
   }
 
-  /** Frees whatever is held for an attempt; of no effect if nothing is. */
+  /** Releases all resources that are held for an attempt, if any. */
   abstract void cancel(WorkId id);
 
   abstract int running();
 
   abstract int waiting();
 
-  /** Attempts that hold a slot or KV memory. */
-  abstract int held();
+  /** Returns the number of attempts that are queued, running, or hold a slot or KV memory. */
+  abstract int heldAttempts();
 
-  /** Slots that the attempts of a node hold; 0 where attempts queue instead. */
-  int heldBy(int node) {
+  /**
+   * Returns the number of slots held by attempts of a node; 0 for upstreams that queue attempts.
+   */
+  int heldByNode(int node) {
     return 0;
   }
 
-  /** The share of the upstream that works, 0 to 1. */
+  /** Returns the utilized share of the upstream's capacity, from 0 to 1. */
   abstract double busyShare();
 
-  /** The process died: forget everything, and break every connection. */
+  /** Handles a crash of the process: drops all attempts and breaks all connections. */
   abstract void dropAll();
 
   abstract void pause();
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Work.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/Work.java
@@ -13,11 +13,11 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param id the attempt
+ * @param id the id of the attempt
  * @param arrival the request
- * @param resumeFrom tokens of the answer that are already passed on
- * @param priority lower runs earlier
- * @param reply takes the results
+ * @param resumeFrom the number of tokens of the answer that were forwarded already
+ * @param priority the priority; lower values run earlier
+ * @param reply receives the results
  * @since 0.1
  */
 record Work(WorkId id, Arrival arrival, int resumeFrom, int priority, Reply reply) {}
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/WorkId.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fake/WorkId.java
@@ -9,7 +9,7 @@
 import org.larkkeel.lib.AttemptId;
 
 /**
- * An attempt as upstreams see it, unique over all nodes.
+ * The id of an attempt at upstreams, unique over all nodes.
  *
  * <p>Immutable and safe for use by several threads.
  *
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/CallLedger.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/CallLedger.java
@@ -13,60 +13,61 @@
 import java.util.List;
 import java.util.Map;
 
-/** Every call of one kind, in exactly one outcome. Not safe for use by several threads. */
+/** Counts the calls of one kind by outcome. Not safe for use by several threads. */
 final class CallLedger {
-  private static final double MILLI = 1e6;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  private final FleetScenario.Calls kind;
+  private final FleetScenario.CallClass kind;
   private final Map<CallOutcome, Integer> outcomes = new EnumMap<>(CallOutcome.class);
-  private final List<Long> firstNanos = new ArrayList<>();
-  private int begun;
+  private final List<Long> firstEventNanos = new ArrayList<>();
+  private int started;
   private int ended;
 
-  CallLedger(FleetScenario.Calls kind) {
+  CallLedger(FleetScenario.CallClass kind) {
     this.kind = kind;
   }
 
-  void begun() {
-    begun++;
+  void started() {
+    started++;
   }
 
   void ended(Caller caller, CallOutcome outcome) {
     ended++;
     outcomes.merge(outcome, 1, Integer::sum);
     if (outcome == CallOutcome.IN_TIME || outcome == CallOutcome.LATE) {
-      firstNanos.add(caller.firstNanos());
+      firstEventNanos.add(caller.firstEventNanos());
     }
   }
 
   /**
-   * The sums.
+   * Returns the totals.
    *
    * @throws IllegalStateException if a call has no outcome
    */
   FleetResult.Kind close() {
-    if (begun != ended) {
+    if (started != ended) {
       throw new IllegalStateException(
-          "calls of %s do not close: %d begun, %d ended".formatted(kind.name(), begun, ended));
+          "calls of kind %s without an outcome: %d started, %d ended"
+              .formatted(kind.name(), started, ended));
     }
-    Collections.sort(firstNanos);
+    Collections.sort(firstEventNanos);
     int inTime = outcomes.getOrDefault(CallOutcome.IN_TIME, 0);
     int late = outcomes.getOrDefault(CallOutcome.LATE, 0);
     return new FleetResult.Kind(
         kind.name(),
-        begun,
+        started,
         ImmutableMap.copyOf(outcomes),
         quantile(0.5),
         quantile(0.99),
         inTime * kind.worth() + late * kind.worthLate(),
-        begun * kind.worth());
+        started * kind.worth());
   }
 
   private double quantile(double share) {
-    if (firstNanos.isEmpty()) {
+    if (firstEventNanos.isEmpty()) {
       return 0;
     }
-    int index = Math.min(firstNanos.size() - 1, (int) (share * firstNanos.size()));
-    return firstNanos.get(index) / MILLI;
+    int index = Math.min(firstEventNanos.size() - 1, (int) (share * firstEventNanos.size()));
+    return firstEventNanos.get(index) / NANOS_PER_MILLI;
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/CallOutcome.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/CallOutcome.java
@@ -7,19 +7,19 @@
 package org.larkkeel.bench.experiment.fleet;
 
 /**
- * How a call ended for its caller, over all its tries.
+ * The result of a call for its caller, after all its attempts.
  *
  * @since 0.1
  */
 public enum CallOutcome {
-  /** Whole, and its first event or answer within the target. */
+  /** Complete, with the first event or the answer within the target and no pause too long. */
   IN_TIME,
-  /** Whole, and later, or with too long a pause. */
+  /** Complete, but after the target or with too long a pause between events. */
   LATE,
-  /** Told that it has not run, and not served when it came back. */
+  /** Refused as not run, and refused again on every retry. */
   REFUSED,
-  /** Ended by the node otherwise. */
+  /** Ended by the node in any other way. */
   FAILED,
-  /** Given up by its caller. */
+  /** Abandoned by its caller. */
   LEFT
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/Caller.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/Caller.java
@@ -14,62 +14,62 @@
 import org.larkkeel.relay.RequestIdentity;
 
 /**
- * A caller with one call: sends it, comes back after refusals when it is told to, and leaves when
- * it has heard nothing for too long.
+ * A caller with one call: sends it, retries refused attempts after the Retry-After time, and
+ * disconnects if it receives nothing for too long.
  *
- * <p>Invariant: it has one outcome in the end. Not safe for use by several threads.
+ * <p>Invariant: the call ends with exactly one outcome. Not safe for use by several threads.
  */
 final class Caller {
-  private static final long MILLI = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** Callers of streams bear no pause over the longest of these. */
-  private static final double LEAST_PATIENCE_MILLIS = 2_000;
+  /** The idle timeout of a stream's caller is the maximum of this and the two multiples below. */
+  private static final double MIN_IDLE_TIMEOUT_MILLIS = 2_000;
 
-  private static final double PATIENCE_OF_TARGET = 4;
-  private static final double PATIENCE_OF_GAP = 8;
+  private static final double IDLE_TIMEOUT_PER_TARGET = 4;
+  private static final double IDLE_TIMEOUT_PER_GAP = 8;
 
-  /** The share of the time left for which a caller waits at most before it comes back. */
-  private static final double LONGEST_RETURN = 1.0 / 3;
+  /** The maximum wait before a retry, as a share of the time left until the deadline. */
+  private static final double MAX_RETRY_WAIT_SHARE = 1.0 / 3;
 
   private static final int SERVICE_UNAVAILABLE = 503;
   private static final int TOO_MANY_REQUESTS = 429;
 
-  private final FleetModel fleet;
-  private final FleetScenario.Calls kind;
+  private final FleetModel model;
+  private final FleetScenario.CallClass kind;
   private final String name;
   private final int prompt;
   private final int output;
-  private final boolean hints;
-  private final long firstAt;
+  private final boolean announcesOutput;
+  private final long startedAt;
   private final long deadlineAt;
-  private int returnsLeft;
+  private int retriesLeft;
   private SimNode node;
   private RequestId call;
   private long firstEventAt = -1;
-  private long heardAt;
-  private boolean paused;
-  private boolean over;
-  private Timeline.Timer patience;
+  private long lastActivityAt;
+  private boolean isGapExceeded;
+  private boolean isEnded;
+  private Timeline.Timer idleTimer;
 
   Caller(
-      FleetModel fleet,
-      FleetScenario.Calls kind,
+      FleetModel model,
+      FleetScenario.CallClass kind,
       String name,
       int prompt,
       int output,
-      boolean hints) {
-    this.fleet = fleet;
+      boolean announcesOutput) {
+    this.model = model;
     this.kind = kind;
     this.name = name;
     this.prompt = prompt;
     this.output = output;
-    this.hints = hints;
-    this.firstAt = fleet.time().now();
-    this.deadlineAt = firstAt + (long) (kind.deadlineMillis() * MILLI);
-    this.returnsLeft = kind.returns();
+    this.announcesOutput = announcesOutput;
+    this.startedAt = model.time().now();
+    this.deadlineAt = startedAt + (long) (kind.deadlineMillis() * NANOS_PER_MILLI);
+    this.retriesLeft = kind.returns();
   }
 
-  FleetScenario.Calls kind() {
+  FleetScenario.CallClass kind() {
     return kind;
   }
 
@@ -85,175 +85,180 @@
     return output;
   }
 
-  /** The same for all its tries. */
+  /** Returns the identity of the request, which is equal for all attempts of this caller. */
   RequestIdentity identity() {
     byte[] body = name.getBytes(StandardCharsets.UTF_8);
     return new RequestIdentity("POST", FleetModel.HOST, FleetModel.path(kind), "", body);
   }
 
-  /** What it declares of its size. */
+  /** Returns the size that the caller declares. */
   CallSize size() {
     return kind.isStream()
-        ? new CallSize(prompt, kind.mostOutput(), hints ? output : 0)
+        ? new CallSize(prompt, kind.maxOutputTokens(), announcesOutput ? output : 0)
         : CallSize.NONE;
   }
 
-  /** How long the first event, or the answer, took from the first try. */
-  long firstNanos() {
-    return firstEventAt - firstAt;
+  /** Returns the time from the first attempt to the first event, or to the answer. */
+  long firstEventNanos() {
+    return firstEventAt - startedAt;
   }
 
-  void begin() {
-    fleet.time().at(deadlineAt, this::leave);
+  void start() {
+    model.time().at(deadlineAt, this::disconnect);
     attempt();
   }
 
   private void attempt() {
-    node = fleet.otherNode(node);
+    node = model.randomNodeExcept(node);
     call = null;
-    heardAt = fleet.time().now();
-    watch();
-    SimNode to = node;
-    fleet.overNetwork(
+    lastActivityAt = model.time().now();
+    restartIdleTimer();
+    SimNode target = node;
+    model.afterUpstreamDelay(
         () -> {
-          if (!over) {
-            to.arrive(this);
+          if (!isEnded) {
+            target.receiveCall(this);
           }
         });
   }
 
-  boolean isOver() {
-    return over;
+  boolean hasEnded() {
+    return isEnded;
   }
 
-  /** The node has read its call. */
-  void isRead(RequestId id) {
+  /** Records the id that the node gave to the call. */
+  void onAccepted(RequestId id) {
     call = id;
   }
 
-  /** What is left until its deadline. */
-  long leftMillis() {
-    return (deadlineAt - fleet.time().now()) / MILLI;
+  /** Returns the time left until the deadline. */
+  long remainingMillis() {
+    return (deadlineAt - model.time().now()) / NANOS_PER_MILLI;
   }
 
   /**
-   * Its connection breaks without an answer. It comes back at once if that is no harm: with what
-   * was not read, or may run again.
+   * Handles a connection that broke without an answer. Retries at once if that is safe, that is if
+   * the node did not read the call or the call may run again.
    */
-  void lost(boolean read) {
-    if (over) {
+  void onConnectionLost(boolean read) {
+    if (isEnded) {
       return;
     }
-    if (returnsLeft == 0 || read && kind.isStream()) {
+    if (retriesLeft == 0 || read && kind.isStream()) {
       end(CallOutcome.FAILED);
     } else {
-      returnsLeft--;
+      retriesLeft--;
       attempt();
     }
   }
 
-  private void watch() {
+  private void restartIdleTimer() {
     if (!kind.isStream()) {
       return;
     }
-    if (patience != null) {
-      patience.cancel();
+    if (idleTimer != null) {
+      idleTimer.cancel();
     }
     double millis =
         Math.max(
-            LEAST_PATIENCE_MILLIS,
-            Math.max(PATIENCE_OF_TARGET * kind.targetMillis(), PATIENCE_OF_GAP * kind.gapMillis()));
-    patience = fleet.time().after((long) (millis * MILLI), this::leave);
+            MIN_IDLE_TIMEOUT_MILLIS,
+            Math.max(
+                IDLE_TIMEOUT_PER_TARGET * kind.targetMillis(),
+                IDLE_TIMEOUT_PER_GAP * kind.gapMillis()));
+    idleTimer = model.time().after((long) (millis * NANOS_PER_MILLI), this::disconnect);
   }
 
-  /** An event of its stream leaves the node. */
-  void event() {
-    fleet.overNetwork(this::seen);
+  /** Sends an event of the stream from the node to the caller. */
+  void sendEvent() {
+    model.afterUpstreamDelay(this::receiveEvent);
   }
 
-  private void seen() {
-    if (over) {
+  private void receiveEvent() {
+    if (isEnded) {
       return;
     }
-    long now = fleet.time().now();
+    long now = model.time().now();
     if (firstEventAt < 0) {
       firstEventAt = now;
     } else {
-      paused |= now - heardAt > kind.gapMillis() * MILLI;
+      isGapExceeded |= now - lastActivityAt > kind.gapMillis() * NANOS_PER_MILLI;
     }
-    heardAt = now;
-    watch();
+    lastActivityAt = now;
+    restartIdleTimer();
   }
 
-  /** Its answer is there, whole. */
-  void delivered() {
-    if (over) {
+  /** Receives the complete answer. */
+  void receiveAnswer() {
+    if (isEnded) {
       return;
     }
     if (firstEventAt < 0) {
-      firstEventAt = fleet.time().now();
+      firstEventAt = model.time().now();
     }
-    boolean inTime = !paused && firstNanos() <= kind.targetMillis() * MILLI;
-    end(inTime ? CallOutcome.IN_TIME : CallOutcome.LATE);
+    boolean isOnTarget =
+        !isGapExceeded && firstEventNanos() <= kind.targetMillis() * NANOS_PER_MILLI;
+    end(isOnTarget ? CallOutcome.IN_TIME : CallOutcome.LATE);
   }
 
-  /** It is refused; it comes back if that says that it has not run. */
-  void refused(ErrorKind why, long retryAfterMillis) {
-    if (over) {
+  /** Receives a refusal; retries if the status says that the call has not run. */
+  void receiveRefusal(ErrorKind error, long retryAfterMillis) {
+    if (isEnded) {
       return;
     }
-    if (why == ErrorKind.QUARANTINED) {
-      fleet.quarantined(this);
+    if (error == ErrorKind.QUARANTINED) {
+      model.quarantined(this);
     }
-    boolean notRun = why.status() == SERVICE_UNAVAILABLE || why.status() == TOO_MANY_REQUESTS;
-    if (!notRun) {
+    boolean isNotRun = error.status() == SERVICE_UNAVAILABLE || error.status() == TOO_MANY_REQUESTS;
+    if (!isNotRun) {
       end(CallOutcome.FAILED);
-    } else if (returnsLeft == 0) {
+    } else if (retriesLeft == 0) {
       end(CallOutcome.REFUSED);
     } else {
-      returnsLeft--;
-      long left = deadlineAt - fleet.time().now();
-      long wait = Math.min(retryAfterMillis * MILLI, (long) (left * LONGEST_RETURN));
-      stopWatch();
-      fleet
+      retriesLeft--;
+      long remainingNanos = deadlineAt - model.time().now();
+      long waitNanos =
+          Math.min(
+              retryAfterMillis * NANOS_PER_MILLI, (long) (remainingNanos * MAX_RETRY_WAIT_SHARE));
+      cancelIdleTimer();
+      model
           .time()
           .after(
-              wait,
+              waitNanos,
               () -> {
-                if (!over) {
+                if (!isEnded) {
                   attempt();
                 }
               });
     }
   }
 
-  /** Its stream breaks off. */
-  void cut() {
-    if (!over) {
+  /** Handles a stream that ended before the answer was complete. */
+  void onStreamCut() {
+    if (!isEnded) {
       end(CallOutcome.FAILED);
     }
   }
 
-  private void leave() {
-    if (over) {
+  private void disconnect() {
+    if (isEnded) {
       return;
     }
     end(CallOutcome.LEFT);
     if (call != null) {
-      RequestId left = call;
-      fleet.overNetwork(() -> node.left(left));
+      RequestId abandoned = call;
+      model.afterUpstreamDelay(() -> node.onDisconnect(abandoned));
     }
   }
 
   private void end(CallOutcome outcome) {
-    over = true;
-    stopWatch();
-    fleet.ended(this, outcome);
+    isEnded = true;
+    cancelIdleTimer();
+    model.ended(this, outcome);
   }
 
-  private void stopWatch() {
-    if (patience != null) {
-      patience.cancel();
+  private void cancelIdleTimer() {
+    if (idleTimer != null) {
+      idleTimer.cancel();
     }
   }
 }
