--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/FleetExperiment.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/FleetExperiment.java
@@ -15,7 +15,7 @@
 import java.util.stream.LongStream;
 
 /**
- * Runs a fleet with several seeds and prints what it came to.
+ * Runs a fleet scenario with several seeds and prints the results.
  *
  * <p>Invariant: the result depends on the scenario and the seeds alone, not on the number of
  * threads. Safe for use by several threads.
@@ -27,10 +27,10 @@
   private final int seeds;
 
   /**
-   * Plans the runs.
+   * Creates an experiment.
    *
-   * @param scenario what to run
-   * @param seeds how many seeds, from 1
+   * @param scenario the scenario to run
+   * @param seeds the number of runs; their seeds count up from 1
    */
   public FleetExperiment(FleetScenario scenario, int seeds) {
     this.scenario = scenario;
@@ -38,12 +38,12 @@
   }
 
   /**
-   * Runs all.
+   * Runs the scenario once per seed.
    *
-   * @param threads runs at once
-   * @return one result a seed, in their order
+   * @param threads the number of concurrent runs
+   * @return one result per seed, in the order of the seeds
    */
-  public List<FleetResult> call(int threads) {
+  public List<FleetResult> runAll(int threads) {
     try (ExecutorService executor = Executors.newFixedThreadPool(threads)) {
       List<CompletableFuture<FleetResult>> runs =
           LongStream.rangeClosed(1, seeds)
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Prints a line a seed and kind of call, and one a seed on engines and messages. */
+  /** Prints one line per seed and kind of call, then one per seed on engines and messages. */
   public static void print(List<FleetResult> results, PrintStream out) {
     out.println("seed kind calls in_time late refused failed left first_p50_ms first_p99_ms");
     for (FleetResult r : results) {
@@ -88,21 +88,21 @@
               "%d %.3f %d %.4f %d %d %d %.2f %.1f %.1f %.0f %.0f %.2f %s",
               r.seed(),
               r.worth(),
-              r.tokensRead(),
-              r.wasted(),
-              r.reportedWaste(),
+              r.prefilledTokens(),
+              r.wastedShare(),
+              r.reportedWastedTokens(),
               r.preemptions(),
               r.declined(),
-              r.fullest(),
+              r.maxMemoryShare(),
               r.datagrams().mean(),
-              r.datagrams().most(),
+              r.datagrams().max(),
               r.bytes().mean(),
-              r.bytes().most(),
-              r.limitUse(),
+              r.bytes().max(),
+              r.maxLimitUsage(),
               r.tokens()));
     }
     double worth = results.stream().mapToDouble(FleetResult::worth).average().orElse(0);
-    double wasted = results.stream().mapToDouble(FleetResult::wasted).average().orElse(0);
+    double wasted = results.stream().mapToDouble(FleetResult::wastedShare).average().orElse(0);
     out.println(
         String.format(
             Locale.ROOT, "mean worth=%.3f wasted=%.4f seeds=%d", worth, wasted, results.size()));
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/FleetModel.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/FleetModel.java
@@ -35,72 +35,72 @@
 /**
  * One run of a fleet in virtual time.
  *
- * <p>Invariant: the result is a function of scenario and seed, and the calls that come are the same
- * whatever the nodes do. Used once, by one thread.
+ * <p>Invariant: the result is a function of scenario and seed, and the arriving calls do not depend
+ * on what the nodes do. Each instance is used for one run, by one thread.
  *
  * @since 0.1
  */
 public final class FleetModel {
-  static final DataCentreName PLACE = new DataCentreName("dc-1");
+  static final DataCentreName DATA_CENTRE = new DataCentreName("dc-1");
   static final String HOST = "a.example";
 
-  private static final double SECOND = 1e9;
-  private static final double MILLI = 1e6;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  /** Events of a steady clock do not begin at 0. */
-  private static final long START = 1_000_000_000_000L;
+  /** The virtual time at the start; not 0, as a monotonic clock does not start at 0 either. */
+  private static final long START_NANOS = 1_000_000_000_000L;
 
-  /** Within this time nodes read that an upstream has started again. */
-  private static final long NEWS = 500_000_000L;
+  /** The maximum delay until nodes learn of an upstream's restart. */
+  private static final long MAX_DISCOVERY_DELAY_NANOS = 500_000_000L;
 
-  /** Nodes meet and choose who sets memory aside before calls come. */
-  private static final long LEAD = 4_000_000_000L;
+  /** Time before the first call, in which nodes meet and choose the reservation coordinator. */
+  private static final long WARM_UP_NANOS = 4_000_000_000L;
 
-  /** The spreads of prompts and outputs, as standard deviations of the logarithm. */
-  private static final double PROMPT_SPREAD = 0.5;
+  /** The standard deviations of the logarithm of prompt and output sizes. */
+  private static final double PROMPT_SIGMA = 0.5;
 
-  private static final double OUTPUT_SPREAD = 0.7;
+  private static final double OUTPUT_SIGMA = 0.7;
 
-  /** The share of callers that tell how much output they expect, which is then right. */
-  private static final double HINTS = 0.5;
+  /** The share of callers that announce their output size, which is then exact. */
+  private static final double HINT_SHARE = 0.5;
 
-  private static final ServiceName MODEL = new ServiceName("model");
-  private static final ServiceName PLAIN = new ServiceName("plain");
-  private static final int CONNECTIONS = 1_000;
-  private static final int MAX_BODY = 1 << 20;
-  private static final int PLAIN_RUNS = 2;
+  private static final ServiceName MODEL_SERVICE = new ServiceName("model");
+  private static final ServiceName PLAIN_SERVICE = new ServiceName("plain");
+  private static final int MAX_CONNECTIONS = 1_000;
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final int MAX_PLAIN_ATTEMPTS = 2;
 
   private final FleetScenario scenario;
   private final long seed;
-  private final Timeline time = new Timeline(START);
+  private final Timeline time = new Timeline(START_NANOS);
   private final TokenLedger tokens = new TokenLedger();
-  private final Map<FleetScenario.Calls, CallLedger> calls = new LinkedHashMap<>();
+  private final Map<FleetScenario.CallClass, CallLedger> callLedgers = new LinkedHashMap<>();
   private final List<SimNode> nodes = new ArrayList<>();
-  private final Map<InetSocketAddress, SimNode> byAddress = new HashMap<>();
+  private final Map<InetSocketAddress, SimNode> nodesByAddress = new HashMap<>();
   private final Map<UpstreamName, SimEngine> engines = new LinkedHashMap<>();
-  private final Map<UpstreamName, SimPlain> plains = new LinkedHashMap<>();
+  private final Map<UpstreamName, SimPlain> plainUpstreams = new LinkedHashMap<>();
   private final Map<UpstreamName, RelayUpstream> upstreams;
   private final RelayConfiguration configuration;
   private final SplittableRandom network;
   private final SplittableRandom arrivals;
   private final SplittableRandom choices;
-  private final SplittableRandom seeds;
-  private final long upstreamNanos;
+  private final SplittableRandom nodeSeeds;
+  private final long upstreamDelayNanos;
 
-  /** What each node has sent, over all its lives. */
-  private final long[] datagrams;
+  /** The traffic sent by each node index, over all incarnations of the node. */
+  private final long[] datagramsByNode;
 
-  private final long[] bytes;
+  private final long[] bytesByNode;
   private final List<SimNode> ended = new ArrayList<>();
-  private long lastCaller;
+  private long callerCount;
   private int crashes;
   private int quarantined;
 
   /**
    * Builds the fleet.
    *
-   * @param scenario what it is made of
-   * @param seed of all chance in it
+   * @param scenario the nodes, upstreams, calls and faults
+   * @param seed the seed of all random choices
    */
   public FleetModel(FleetScenario scenario, long seed) {
     this.scenario = scenario;
@@ -109,41 +109,41 @@
     this.arrivals = root.split();
     this.network = root.split();
     this.choices = root.split();
-    this.upstreamNanos = (long) (scenario.nodes().upstreamMillis() * MILLI);
+    this.upstreamDelayNanos = (long) (scenario.nodes().upstreamMillis() * NANOS_PER_MILLI);
     this.upstreams = new LinkedHashMap<>(buildUpstreams(root.split()));
     this.configuration = buildConfiguration();
-    scenario.calls().forEach(k -> calls.put(k, new CallLedger(k)));
-    this.seeds = root.split();
-    this.datagrams = new long[scenario.nodes().count()];
-    this.bytes = new long[scenario.nodes().count()];
+    scenario.calls().forEach(k -> callLedgers.put(k, new CallLedger(k)));
+    this.nodeSeeds = root.split();
+    this.datagramsByNode = new long[scenario.nodes().count()];
+    this.bytesByNode = new long[scenario.nodes().count()];
     for (int i = 0; i < scenario.nodes().count(); i++) {
-      SimNode node = new SimNode(this, i, seeds.nextLong());
+      SimNode node = new SimNode(this, i, nodeSeeds.nextLong());
       nodes.add(node);
-      byAddress.put(node.address, node);
+      nodesByAddress.put(node.address, node);
     }
   }
 
   private ImmutableMap<UpstreamName, RelayUpstream> buildUpstreams(SplittableRandom random) {
     ImmutableMap.Builder<UpstreamName, RelayUpstream> all = ImmutableMap.builder();
-    FleetScenario.Engines e = scenario.engines();
-    for (int i = 0; i < e.prefill() + e.decode(); i++) {
-      Stage stage = i < e.prefill() ? Stage.PREFILL : Stage.DECODE;
+    FleetScenario.Engines engineSpec = scenario.engines();
+    for (int i = 0; i < engineSpec.prefill() + engineSpec.decode(); i++) {
+      Stage stage = i < engineSpec.prefill() ? Stage.PREFILL : Stage.DECODE;
       UpstreamName id = new UpstreamName("engine-%04d".formatted(i));
-      SimEngine engine = new SimEngine(time, tokens, e, stage);
-      engine.onCrash(() -> crashed(id, engine));
+      SimEngine engine = new SimEngine(time, tokens, engineSpec, stage);
+      engine.setCrashListener(() -> onEngineCrash(id, engine));
       engines.put(id, engine);
-      all.put(id, upstream(id, MODEL, e.slots(), stage));
+      all.put(id, upstream(id, MODEL_SERVICE, engineSpec.slots(), stage));
     }
     for (int i = 0; i < scenario.plain().count(); i++) {
       UpstreamName id = new UpstreamName("plain-%04d".formatted(i));
-      plains.put(id, new SimPlain(time, scenario.plain(), random.split()));
-      all.put(id, upstream(id, PLAIN, scenario.plain().slots(), Stage.WHOLE));
+      plainUpstreams.put(id, new SimPlain(time, scenario.plain(), random.split()));
+      all.put(id, upstream(id, PLAIN_SERVICE, scenario.plain().slots(), Stage.WHOLE));
     }
     return all.buildOrThrow();
   }
 
-  /** An engine has ended under a request; it starts again under its name, and nodes read of it. */
-  private void crashed(UpstreamName id, SimEngine engine) {
+  /** Restarts a crashed engine under its name as a new incarnation and notifies the nodes. */
+  private void onEngineCrash(UpstreamName id, SimEngine engine) {
     crashes++;
     RelayUpstream before = upstreams.get(id);
     UpstreamIncarnation life = new UpstreamIncarnation(id, new Incarnation(crashes));
@@ -157,15 +157,18 @@
             before.stage(),
             false);
     time.after(
-        (long) (scenario.engines().downMillis() * MILLI),
+        (long) (scenario.engines().downMillis() * NANOS_PER_MILLI),
         () -> {
-          engine.start();
+          engine.restart();
           upstreams.put(id, after);
-          nodes.forEach(n -> time.after(network.nextLong(NEWS), () -> n.upstreamChanged(after)));
+          nodes.forEach(
+              n ->
+                  time.after(
+                      network.nextLong(MAX_DISCOVERY_DELAY_NANOS), () -> n.upstreamChanged(after)));
         });
   }
 
-  /** A caller with a call like others is told that its request is quarantined. */
+  /** Counts the quarantine refusal of a caller whose request does not crash engines. */
   void quarantined(Caller caller) {
     if (caller.kind().crashing() == 0) {
       quarantined++;
@@ -175,7 +178,7 @@
   private static RelayUpstream upstream(
       UpstreamName id, ServiceName service, int slots, Stage stage) {
     return new RelayUpstream(
-        UpstreamIncarnation.unknown(id), service, "127.0.0.1:80", PLACE, slots, stage, false);
+        UpstreamIncarnation.unknown(id), service, "127.0.0.1:80", DATA_CENTRE, slots, stage, false);
   }
 
   private RelayConfiguration buildConfiguration() {
@@ -184,29 +187,29 @@
         1,
         scenario.calls().stream().map(FleetModel::rule).collect(ImmutableList.toImmutableList()),
         ImmutableMap.of(
-            MODEL,
-            new ServiceBounds(CONNECTIONS, e.memoryTokens(), e.tokensPerEvent(), false),
-            PLAIN,
-            new ServiceBounds(CONNECTIONS, 0, 0, false)),
-        MAX_BODY);
+            MODEL_SERVICE,
+            new ServiceBounds(MAX_CONNECTIONS, e.memoryTokens(), e.tokensPerEvent(), false),
+            PLAIN_SERVICE,
+            new ServiceBounds(MAX_CONNECTIONS, 0, 0, false)),
+        MAX_BODY_BYTES);
   }
 
-  private static RelayRule rule(FleetScenario.Calls kind) {
+  private static RelayRule rule(FleetScenario.CallClass kind) {
     return new RelayRule(
         new RuleName(kind.name()),
         HOST,
         path(kind),
-        ImmutableList.of(new RelayRule.Share(kind.isStream() ? MODEL : PLAIN, 1)),
+        ImmutableList.of(new RelayRule.Share(kind.isStream() ? MODEL_SERVICE : PLAIN_SERVICE, 1)),
         kind.isStream() ? CallKind.STREAM : CallKind.IDEMPOTENT,
         (long) kind.deadlineMillis(),
-        kind.isStream() ? 1 : PLAIN_RUNS,
+        kind.isStream() ? 1 : MAX_PLAIN_ATTEMPTS,
         (long) kind.targetMillis(),
         (long) kind.gapMillis(),
         1,
         false);
   }
 
-  static String path(FleetScenario.Calls kind) {
+  static String path(FleetScenario.CallClass kind) {
     return "/" + kind.name() + "/";
   }
 
@@ -234,16 +237,16 @@
     return engines.get(id);
   }
 
-  void take(Job job) {
+  void submit(Job job) {
     SimEngine engine = engines.get(job.upstream);
     if (engine != null) {
-      engine.take(job);
+      engine.submit(job);
     } else {
-      plains.get(job.upstream).take(job);
+      plainUpstreams.get(job.upstream).submit(job);
     }
   }
 
-  /** Whether an upstream listens; plain ones always do. */
+  /** Returns the result of a probe of an upstream; plain upstreams always listen. */
   ProbeResult probe(UpstreamName id) {
     SimEngine engine = engines.get(id);
     return engine != null && engine.isDown() ? ProbeResult.REFUSES : ProbeResult.LISTENS;
@@ -256,102 +259,117 @@
     }
   }
 
-  /** Does something after the time of one way between a node and an upstream or a caller. */
-  void overNetwork(Runnable action) {
-    time.after(upstreamNanos, action);
+  /** Schedules an action after the one-way delay between a node and an upstream or a caller. */
+  void afterUpstreamDelay(Runnable action) {
+    time.after(upstreamDelayNanos, action);
   }
 
-  /** Carries a datagram, late or never. */
-  void datagram(SimNode from, InetSocketAddress to, byte[] message) {
-    datagrams[from.index]++;
-    bytes[from.index] += message.length;
+  /** Delivers a datagram after a random delay, or drops it. */
+  void sendDatagram(SimNode from, InetSocketAddress to, byte[] message) {
+    datagramsByNode[from.index]++;
+    bytesByNode[from.index] += message.length;
     if (network.nextDouble() < scenario.nodes().datagramLoss()) {
       return;
     }
     double millis = scenario.nodes().datagramMillis() * (0.5 + network.nextDouble());
-    time.after((long) (millis * MILLI), () -> byAddress.get(to).receive(from.address, message));
+    time.after(
+        (long) (millis * NANOS_PER_MILLI),
+        () -> nodesByAddress.get(to).receive(from.address, message));
   }
 
-  /** A node at random, another than the one before where there is one. */
-  SimNode otherNode(SimNode before) {
+  /** Returns a random node other than the previous one; the same if there is only one node. */
+  SimNode randomNodeExcept(SimNode previous) {
     SimNode node = nodes.get(choices.nextInt(nodes.size()));
-    return node == before && nodes.size() > 1 ? otherNode(before) : node;
+    return node == previous && nodes.size() > 1 ? randomNodeExcept(previous) : node;
   }
 
   void ended(Caller caller, CallOutcome outcome) {
-    calls.get(caller.kind()).ended(caller, outcome);
+    callLedgers.get(caller.kind()).ended(caller, outcome);
   }
 
   /**
-   * Runs it.
+   * Runs the simulation.
    *
-   * @return what it came to
-   * @throws IllegalStateException if calls or tokens are left without an outcome
+   * @return the result
+   * @throws IllegalStateException if a call or a token has no outcome at the end
    */
   public FleetResult run() {
     for (SimNode node : nodes) {
       node.start(choices.nextLong(LoadSharing.PERIOD_NANOS));
     }
-    long begin = START + LEAD;
-    scenario.calls().forEach(kind -> plan(kind, begin));
-    scenario.dark().forEach(d -> plan(d, begin));
-    scenario.nodeFaults().forEach(f -> plan(f, begin));
-    scenario.plainLimits().forEach(l -> plan(l, begin));
+    long begin = START_NANOS + WARM_UP_NANOS;
+    scenario.calls().forEach(kind -> schedule(kind, begin));
+    scenario.dark().forEach(d -> schedule(d, begin));
+    scenario.nodeFaults().forEach(f -> schedule(f, begin));
+    scenario.plainLimits().forEach(l -> schedule(l, begin));
     time.runUntil(begin);
-    final long[] datagramsBefore = datagrams.clone();
-    final long[] bytesBefore = bytes.clone();
-    long end = begin + (long) (scenario.seconds() * SECOND);
+    final long[] datagramsBefore = datagramsByNode.clone();
+    final long[] bytesBefore = bytesByNode.clone();
+    long end = begin + (long) (scenario.seconds() * NANOS_PER_SECOND);
     time.runUntil(end);
-    final FleetResult.Sent sentDatagrams = since(datagramsBefore, datagrams);
-    final FleetResult.Sent sentBytes = since(bytesBefore, bytes);
-    time.runUntil(end + longestCall());
+    final FleetResult.SendRate sentDatagrams = sendRates(datagramsBefore, datagramsByNode);
+    final FleetResult.SendRate sentBytes = sendRates(bytesBefore, bytesByNode);
+    time.runUntil(end + maxCallNanos());
     return result(sentDatagrams, sentBytes);
   }
 
-  /** What nodes have sent in a second since they had sent so much. */
-  private FleetResult.Sent since(long[] before, long[] now) {
+  /** Returns the send rates per second of the nodes between two readings of their counters. */
+  private FleetResult.SendRate sendRates(long[] before, long[] now) {
     double mean = 0;
-    double most = 0;
+    double max = 0;
     for (int i = 0; i < before.length; i++) {
       double rate = (now[i] - before[i]) / scenario.seconds();
       mean += rate / before.length;
-      most = Math.max(most, rate);
+      max = Math.max(max, rate);
     }
-    return new FleetResult.Sent(mean, most);
+    return new FleetResult.SendRate(mean, max);
   }
 
-  private long longestCall() {
+  private long maxCallNanos() {
     double millis =
-        scenario.calls().stream().mapToDouble(FleetScenario.Calls::deadlineMillis).max().orElse(0);
-    return (long) (millis * MILLI + scenario.engines().handleMillis() * MILLI + SECOND);
-  }
-
-  private void plan(FleetScenario.Dark d, long begin) {
-    List<SimEngine> all = List.copyOf(engines.values());
-    int readers = scenario.engines().prefill();
-    List<SimEngine> some = new ArrayList<>(all.subList(0, Math.min(readers, d.prefill())));
-    some.addAll(all.subList(readers, Math.min(all.size(), readers + d.decode())));
-    long from = begin + (long) (d.atSecond() * SECOND);
-    time.at(from, () -> some.forEach(SimEngine::darken));
-    time.at(from + (long) (d.seconds() * SECOND), () -> some.forEach(SimEngine::restart));
-  }
-
-  private void plan(FleetScenario.PlainLimit limit, long begin) {
-    List<SimPlain> some = plains.values().stream().limit(limit.count()).toList();
-    long from = begin + (long) (limit.atSecond() * SECOND);
-    time.at(from, () -> some.forEach(p -> p.limit(limit.perSecond())));
-    time.at(from + (long) (limit.seconds() * SECOND), () -> some.forEach(SimPlain::lift));
-  }
-
-  private void plan(FleetScenario.NodeFault fault, long begin) {
-    long from = begin + (long) (fault.atSecond() * SECOND);
-    long until = from + (long) (fault.seconds() * SECOND);
+        scenario.calls().stream()
+            .mapToDouble(FleetScenario.CallClass::deadlineMillis)
+            .max()
+            .orElse(0);
+    return (long)
+        (millis * NANOS_PER_MILLI
+            + scenario.engines().handleMillis() * NANOS_PER_MILLI
+            + NANOS_PER_SECOND);
+  }
+
+  private void schedule(FleetScenario.EngineOutage outage, long begin) {
+    List<SimEngine> engineList = List.copyOf(engines.values());
+    int prefillCount = scenario.engines().prefill();
+    List<SimEngine> affected =
+        new ArrayList<>(engineList.subList(0, Math.min(prefillCount, outage.prefill())));
+    affected.addAll(
+        engineList.subList(
+            prefillCount, Math.min(engineList.size(), prefillCount + outage.decode())));
+    long from = begin + (long) (outage.atSecond() * NANOS_PER_SECOND);
+    time.at(from, () -> affected.forEach(SimEngine::stopResponding));
+    time.at(
+        from + (long) (outage.seconds() * NANOS_PER_SECOND),
+        () -> affected.forEach(SimEngine::reset));
+  }
+
+  private void schedule(FleetScenario.PlainLimit limit, long begin) {
+    List<SimPlain> affected = plainUpstreams.values().stream().limit(limit.count()).toList();
+    long from = begin + (long) (limit.atSecond() * NANOS_PER_SECOND);
+    time.at(from, () -> affected.forEach(p -> p.limit(limit.perSecond())));
+    time.at(
+        from + (long) (limit.seconds() * NANOS_PER_SECOND),
+        () -> affected.forEach(SimPlain::removeLimit));
+  }
+
+  private void schedule(FleetScenario.NodeFault fault, long begin) {
+    long from = begin + (long) (fault.atSecond() * NANOS_PER_SECOND);
+    long until = from + (long) (fault.seconds() * NANOS_PER_SECOND);
     for (int i = fault.first(); i < fault.first() + fault.count(); i++) {
       int index = i;
       switch (fault.kind()) {
         case KILLED -> {
           time.at(from, () -> nodes.get(index).kill());
-          time.at(until, () -> startAgain(index));
+          time.at(until, () -> restartNode(index));
         }
         case FROZEN -> {
           time.at(from, () -> nodes.get(index).freeze());
@@ -361,85 +379,97 @@
           time.at(from, () -> nodes.get(index).suspend());
           time.at(until, () -> nodes.get(index).resume());
         }
-        default -> throw new IllegalStateException("no such kind: " + fault.kind());
+        default -> throw new IllegalStateException("unknown kind of node fault: " + fault.kind());
       }
     }
   }
 
-  /** Draws the calls of a kind by thinning a Poisson process of the greatest rate. */
-  private void plan(FleetScenario.Calls kind, long begin) {
+  /** Draws the calls of a kind by thinning a Poisson process with the maximum rate. */
+  private void schedule(FleetScenario.CallClass kind, long begin) {
     SplittableRandom random = arrivals.split();
-    double most = kind.perSecond() * scenario.mostRate();
+    double maxPerSecond = kind.perSecond() * scenario.maxRateFactor();
     double second = 0;
-    while (most > 0) {
-      second += exponential(random) / most;
+    while (maxPerSecond > 0) {
+      second += drawExponential(random) / maxPerSecond;
       if (second >= scenario.seconds()) {
         return;
       }
-      boolean comes = random.nextDouble() * scenario.mostRate() < scenario.rateAt(second);
-      int prompt = size(kind.promptTokens(), PROMPT_SPREAD, random);
-      int output = size(kind.outputTokens(), OUTPUT_SPREAD, random);
-      boolean hints = random.nextDouble() < HINTS;
-      if (comes) {
-        time.at(begin + (long) (second * SECOND), () -> begin(kind, prompt, output, hints));
+      boolean isAccepted =
+          random.nextDouble() * scenario.maxRateFactor() < scenario.rateFactorAt(second);
+      int prompt = drawSize(kind.promptTokens(), PROMPT_SIGMA, random);
+      int output = drawSize(kind.outputTokens(), OUTPUT_SIGMA, random);
+      boolean announcesOutput = random.nextDouble() < HINT_SHARE;
+      if (isAccepted) {
+        time.at(
+            begin + (long) (second * NANOS_PER_SECOND),
+            () -> startCall(kind, prompt, output, announcesOutput));
       }
     }
   }
 
-  /** A process takes the place of one that has ended, unless another already has. */
-  private void startAgain(int index) {
+  /** Starts a new process in place of an ended one, unless one was started already. */
+  private void restartNode(int index) {
     SimNode before = nodes.get(index);
     if (before.hasEnded()) {
       ended.add(before);
-      SimNode node = new SimNode(this, index, seeds.nextLong());
+      SimNode node = new SimNode(this, index, nodeSeeds.nextLong());
       nodes.set(index, node);
-      byAddress.put(node.address, node);
+      nodesByAddress.put(node.address, node);
       node.start(choices.nextLong(LoadSharing.PERIOD_NANOS));
     }
   }
 
-  /** Draws a size from a log-normal distribution of a mean, cut off at a multiple of it. */
-  private static int size(int mean, double spread, SplittableRandom random) {
-    double factor = Math.exp(spread * gaussian(random) - spread * spread / 2);
-    return mean == 0 ? 0 : (int) Math.max(1, mean * Math.min(FleetScenario.LARGEST, factor));
+  /** Draws a size from a log-normal distribution, capped at a multiple of its mean. */
+  private static int drawSize(int mean, double sigma, SplittableRandom random) {
+    double factor = Math.exp(sigma * drawGaussian(random) - sigma * sigma / 2);
+    return mean == 0
+        ? 0
+        : (int) Math.max(1, mean * Math.min(FleetScenario.MAX_SIZE_FACTOR, factor));
   }
 
-  /** Draws from the normal distribution by the transform of Box and Muller. */
-  private static double gaussian(SplittableRandom random) {
-    double radius = Math.sqrt(2 * exponential(random));
+  /** Draws from the standard normal distribution by the Box-Muller transform. */
+  private static double drawGaussian(SplittableRandom random) {
+    double radius = Math.sqrt(2 * drawExponential(random));
     return radius * Math.cos(2 * Math.PI * random.nextDouble());
   }
 
-  private static double exponential(SplittableRandom random) {
+  private static double drawExponential(SplittableRandom random) {
     return -Math.log(1 - random.nextDouble());
   }
 
-  private void begin(FleetScenario.Calls kind, int prompt, int output, boolean hints) {
-    calls.get(kind).begun();
-    lastCaller++;
+  private void startCall(
+      FleetScenario.CallClass kind, int prompt, int output, boolean announcesOutput) {
+    callLedgers.get(kind).started();
+    callerCount++;
     String name =
-        kind.crashing() > 0 ? "crash-" + lastCaller % kind.crashing() : "call-" + lastCaller;
-    new Caller(this, kind, name, prompt, output, hints).begin();
+        kind.crashing() > 0 ? "crash-" + callerCount % kind.crashing() : "call-" + callerCount;
+    new Caller(this, kind, name, prompt, output, announcesOutput).start();
   }
 
-  private FleetResult result(FleetResult.Sent datagrams, FleetResult.Sent bytes) {
-    int inProgress = nodes.stream().filter(n -> !n.hasEnded()).mapToInt(SimNode::inProgress).sum();
+  private FleetResult result(FleetResult.SendRate datagrams, FleetResult.SendRate bytes) {
+    int inProgress =
+        nodes.stream().filter(n -> !n.hasEnded()).mapToInt(SimNode::callsInProgress).sum();
     if (inProgress > 0) {
-      throw new IllegalStateException(inProgress + " calls are in progress at nodes after the end");
+      throw new IllegalStateException(
+          inProgress + " calls are still in progress at nodes after the last deadline");
     }
     return new FleetResult(
         seed,
-        calls.values().stream().map(CallLedger::close).collect(ImmutableList.toImmutableList()),
+        callLedgers.values().stream()
+            .map(CallLedger::close)
+            .collect(ImmutableList.toImmutableList()),
         tokens.close(),
-        Stream.concat(nodes.stream(), ended.stream()).mapToLong(SimNode::wastedByRouter).sum(),
+        Stream.concat(nodes.stream(), ended.stream())
+            .mapToLong(SimNode::reportedWastedTokens)
+            .sum(),
         engines.values().stream().mapToInt(SimEngine::preemptions).sum(),
         engines.values().stream().mapToInt(SimEngine::declined).sum()
-            + plains.values().stream().mapToInt(SimPlain::declined).sum(),
-        engines.values().stream().mapToDouble(SimEngine::fullest).max().orElse(0),
+            + plainUpstreams.values().stream().mapToInt(SimPlain::declined).sum(),
+        engines.values().stream().mapToDouble(SimEngine::maxMemoryShare).max().orElse(0),
         datagrams,
         bytes,
         crashes,
         quarantined,
-        plains.values().stream().mapToDouble(SimPlain::limitUse).max().orElse(0));
+        plainUpstreams.values().stream().mapToDouble(SimPlain::maxLimitUsage).max().orElse(0));
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/FleetScenario.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/FleetScenario.java
@@ -9,43 +9,44 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * What a fleet is made of and what it has to serve.
+ * A simulated deployment and the calls that it has to serve.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param nodes how many relay nodes, and how they reach each other
- * @param engines the upstreams that generate
- * @param plain the upstreams that only answer
+ * @param nodes the relay nodes and the network between them
+ * @param engines the upstreams that run models
+ * @param plain the upstreams without a model
  * @param calls the kinds of calls
- * @param bursts times at which more calls come
- * @param dark times at which engines do not answer
- * @param nodeFaults what happens to nodes
- * @param plainLimits times at which plain upstreams name limits
- * @param seconds how long calls come
+ * @param bursts periods with a higher rate of calls
+ * @param dark periods in which engines are unresponsive
+ * @param nodeFaults faults of nodes
+ * @param plainLimits periods in which plain upstreams announce rate limits
+ * @param seconds the duration of the arrivals
  * @since 0.1
  */
 public record FleetScenario(
     Nodes nodes,
     Engines engines,
     Plain plain,
-    ImmutableList<Calls> calls,
+    ImmutableList<CallClass> calls,
     ImmutableList<Burst> bursts,
-    ImmutableList<Dark> dark,
+    ImmutableList<EngineOutage> dark,
     ImmutableList<NodeFault> nodeFaults,
     ImmutableList<PlainLimit> plainLimits,
     double seconds) {
-  /** The largest prompt or output, as a multiple of the mean of its kind. */
-  static final double LARGEST = 2.4;
+  /** The maximum size of a prompt or output, as a multiple of the mean of its kind. */
+  static final double MAX_SIZE_FACTOR = 2.4;
 
   /**
    * The nodes.
    *
-   * @param count how many
-   * @param allocatorFrom from how many nodes one of them sets memory aside for the calls of all
-   * @param datagramMillis the mean time of a datagram between two nodes; each takes half to one and
-   *     a half times this
+   * @param count the number of nodes
+   * @param allocatorFrom the number of nodes from which one of them, the reservation coordinator,
+   *     reserves memory for the calls of all
+   * @param datagramMillis the mean delay of a datagram between two nodes; each takes half to one
+   *     and a half times this
    * @param datagramLoss the share of datagrams that is lost
-   * @param upstreamMillis one way between a node and an upstream or a caller
+   * @param upstreamMillis the one-way delay between a node and an upstream or a caller
    */
   public record Nodes(
       int count,
@@ -55,22 +56,22 @@
       double upstreamMillis) {}
 
   /**
-   * The engines, all alike.
+   * The engines, which are all equal except for their stage.
    *
-   * @param prefill how many read prompts for others
-   * @param decode how many generate
-   * @param slots requests that one works on at once
-   * @param queue requests that wait at one beyond these
-   * @param memoryTokens what one holds
-   * @param blockTokens memory is taken in blocks of so many tokens
-   * @param stepMillis the time of a step that generates one token for each request
-   * @param stepMillisPerRequest how much longer it is for each request
-   * @param promptTokensPerMilli how fast a prompt is read; half of it where the engine generates
-   * @param chunkTokens prompts are read in pieces of so many tokens; a quarter where it generates
-   * @param transferMillisPerThousand the time on the source's link to hand a thousand tokens over
-   * @param handleMillis how long a prompt that was read for others is kept
-   * @param tokensPerEvent tokens that one event of a stream stands for
-   * @param downMillis how long one that has crashed is away before it starts again
+   * @param prefill the number of engines that prefill prompts for other engines
+   * @param decode the number of engines that decode
+   * @param slots the number of requests that an engine runs at once
+   * @param queue the number of further requests that an engine queues
+   * @param memoryTokens the memory of an engine in tokens
+   * @param blockTokens the tokens of a memory block, the unit of allocation
+   * @param stepMillis the time of a decode step, which generates one token per request
+   * @param stepMillisPerRequest the time that each request adds to a step
+   * @param promptTokensPerMilli the prefill speed; half of it on decode engines
+   * @param chunkTokens the tokens of a prefill chunk; a quarter of it on decode engines
+   * @param transferMillisPerThousand the time to transfer a thousand tokens over the source's link
+   * @param handleMillis the time for which a prompt prefilled for another engine is held
+   * @param tokensPerEvent the tokens per event of a stream
+   * @param downMillis the time from a crash of an engine to its restart
    */
   public record Engines(
       int prefill,
@@ -89,11 +90,11 @@
       double downMillis) {}
 
   /**
-   * The plain upstreams, all alike.
+   * The plain upstreams, which are all equal.
    *
-   * @param count how many; may be 0
-   * @param slots requests that one works on at once
-   * @param queue requests that wait at one beyond these
+   * @param count the number of upstreams; may be 0
+   * @param slots the number of requests that an upstream runs at once
+   * @param queue the number of further requests that an upstream queues
    * @param workMillis the mean time of one request, exponentially distributed
    */
   public record Plain(int count, int slots, int queue, double workMillis) {}
@@ -101,20 +102,20 @@
   /**
    * One kind of call.
    *
-   * @param name names it
-   * @param perSecond first tries a second, over all nodes, as a Poisson process
+   * @param name the name of the kind
+   * @param perSecond the rate of calls without retries, over all nodes, as a Poisson process
    * @param promptTokens the mean prompt, log-normally distributed; 0 for calls of plain upstreams
    * @param outputTokens the mean output, log-normally distributed
-   * @param targetMillis the latency that counts as in time: first event, or whole answer
-   * @param gapMillis the longest pause between events that is in time
-   * @param deadlineMillis how long a caller waits, from its first try
-   * @param returns how often a caller comes back after a refusal
-   * @param worth what an answer in time earns
-   * @param worthLate what a later one earns
-   * @param crashing of how many requests the calls are repeats, each of which crashes the engine
-   *     that begins to run it; 0 if they are calls like others
+   * @param targetMillis the target time to the first event, or to the complete answer
+   * @param gapMillis the maximum pause between events that is on target
+   * @param deadlineMillis the maximum time that a caller waits, from its first attempt
+   * @param returns the maximum number of retries of a caller
+   * @param worth the worth of an answer on target
+   * @param worthLate the worth of a later answer
+   * @param crashing the number of distinct requests among the calls, each of which crashes the
+   *     engine that starts to decode it; 0 if the calls are harmless and all distinct
    */
-  public record Calls(
+  public record CallClass(
       String name,
       double perSecond,
       int promptTokens,
@@ -126,61 +127,61 @@
       double worth,
       double worthLate,
       int crashing) {
-    /** The most tokens that a caller asks for. */
-    int mostOutput() {
-      return (int) (LARGEST * outputTokens);
+    /** Returns the maximum number of output tokens that a caller asks for. */
+    int maxOutputTokens() {
+      return (int) (MAX_SIZE_FACTOR * outputTokens);
     }
 
-    /** Whether it is generated by an engine. */
+    /** Returns whether an engine generates the answer. */
     public boolean isStream() {
       return promptTokens > 0;
     }
   }
 
   /**
-   * A time at which more calls come.
+   * A period with a higher rate of calls.
    *
-   * @param atSecond when it begins
-   * @param seconds how long it lasts
-   * @param times by how many times the rates are multiplied
+   * @param atSecond the start
+   * @param seconds the duration
+   * @param times the factor by which all rates are multiplied
    */
   public record Burst(double atSecond, double seconds, double times) {}
 
   /**
-   * A time at which engines take connections and requests and say nothing, after which they have
-   * lost all that they held and reset all connections.
+   * A period in which engines accept connections and requests but send nothing. At its end they
+   * reset all connections and have lost their memory.
    *
-   * @param atSecond when it begins
-   * @param seconds how long it lasts
-   * @param prefill how many of those that read prompts for others
-   * @param decode how many of those that generate
+   * @param atSecond the start
+   * @param seconds the duration
+   * @param prefill the number of affected prefill engines
+   * @param decode the number of affected decode engines
    */
-  public record Dark(double atSecond, double seconds, int prefill, int decode) {}
+  public record EngineOutage(double atSecond, double seconds, int prefill, int decode) {}
 
   /**
-   * Something that happens to nodes that follow each other by name.
+   * A fault of nodes that are adjacent in the order of their names.
    *
-   * @param kind what
-   * @param atSecond when it begins
-   * @param seconds how long it lasts
-   * @param first how many nodes come before the first of them
-   * @param count how many nodes
+   * @param kind the kind of fault
+   * @param atSecond the start
+   * @param seconds the duration
+   * @param first the index of the first affected node, from 0
+   * @param count the number of affected nodes
    */
   public record NodeFault(
       NodeFaultKind kind, double atSecond, double seconds, int first, int count) {}
 
   /**
-   * A time at which plain upstreams name in their answers how many requests they take of all nodes.
+   * A period in which plain upstreams announce a rate limit, over all nodes, in their answers.
    *
-   * @param atSecond when it begins
-   * @param seconds how long it lasts
-   * @param count how many upstreams
-   * @param perSecond requests a second that each takes
+   * @param atSecond the start
+   * @param seconds the duration
+   * @param count the number of affected upstreams
+   * @param perSecond the limit of each upstream in requests per second
    */
   public record PlainLimit(double atSecond, double seconds, int count, double perSecond) {}
 
-  /** By how many times rates are multiplied at a time. */
-  double rateAt(double second) {
+  /** Returns the factor by which the rates of calls are multiplied at a time. */
+  double rateFactorAt(double second) {
     double times = 1;
     for (Burst b : bursts) {
       if (second >= b.atSecond() && second < b.atSecond() + b.seconds()) {
@@ -190,8 +191,8 @@
     return times;
   }
 
-  /** The greatest value of {@link #rateAt}, at most. */
-  double mostRate() {
+  /** Returns an upper bound of {@link #rateFactorAt} over all times. */
+  double maxRateFactor() {
     double times = 1;
     for (Burst b : bursts) {
       times *= Math.max(1, b.times());
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/Job.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/Job.java
@@ -15,26 +15,30 @@
 import org.larkkeel.relay.RelayEffect.Purpose;
 import org.larkkeel.relay.RelayEvent;
 
-/** One attempt at an engine. Used by one engine at a time; not safe for use by several threads. */
+/**
+ * An attempt at an upstream.
+ *
+ * <p>Used by one upstream at a time. Not safe for use by several threads.
+ */
 final class Job {
-  /** Who has sent it, and hears what becomes of it. */
+  /** Sends attempts and receives their results. */
   interface Sender {
-    /** Says something of an attempt, which ends with it. */
+    /** Ends an attempt with an event. */
     void reply(Job job, LongFunction<RelayEvent> event);
 
-    /** Its prompt is read and kept under a handle. */
+    /** Reports that the prompt of an attempt is prefilled and held under a handle. */
     void promptRead(Job job, String handle);
 
-    /** An event of its stream. */
+    /** Reports an event of the stream of an attempt. */
     void event(Job job, boolean first);
 
-    /** Its answer is whole. */
+    /** Ends an attempt with its complete answer. */
     void complete(Job job, LongFunction<RelayEvent> event);
 
-    /** The answer that follows says something of its upstream; its request was sent by a time. */
+    /** Reports the rate limit notice of the next answer; its request was sent by {@code sentAt}. */
     void noticed(Job job, long sentAt, RateLimitNotice rate);
 
-    /** The engine of a name, from which a prompt is fetched. */
+    /** Returns the engine of a name, the source of a prompt transfer. */
     SimEngine engine(UpstreamName id);
   }
 
@@ -45,17 +49,17 @@
   final int prompt;
   final int output;
 
-  /** Whether it ends the engine that begins to run it. */
-  final boolean crashes;
+  /** True if the request crashes the engine that starts to decode it. */
+  final boolean crashesEngine;
 
-  final List<TokenLedger.Reading> readings = new ArrayList<>();
+  final List<TokenLedger.Prefill> prefills = new ArrayList<>();
 
-  /** Tokens that are still to be read before it generates. */
-  long toRead;
+  /** The number of tokens to prefill before decoding starts. */
+  long tokensToPrefill;
 
-  long generated;
-  long blocks;
-  boolean fetching;
+  long generatedTokens;
+  long allocatedBlocks;
+  boolean isFetching;
 
   Job(
       Sender sender,
@@ -64,21 +68,21 @@
       Purpose purpose,
       int prompt,
       int output,
-      boolean crashes) {
+      boolean crashesEngine) {
     this.sender = sender;
     this.attempt = attempt;
     this.upstream = upstream;
     this.purpose = purpose;
     this.prompt = prompt;
     this.output = output;
-    this.crashes = crashes;
+    this.crashesEngine = crashesEngine;
   }
 
   boolean isDecoding() {
-    return toRead == 0 && !fetching;
+    return tokensToPrefill == 0 && !isFetching;
   }
 
-  void settle(ReadCause cause) {
-    readings.forEach(r -> r.settle(cause));
+  void settle(PrefillUse use) {
+    prefills.forEach(r -> r.settle(use));
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/NodeFaultKind.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/NodeFaultKind.java
@@ -7,18 +7,18 @@
 package org.larkkeel.bench.experiment.fleet;
 
 /**
- * What may happen to a node.
+ * The kinds of node faults.
  *
  * @since 0.1
  */
 public enum NodeFaultKind {
-  /** Its process ends at once, and starts again at the end with nothing that it knew. */
+  /** The process ends at once; a new one without its state starts at the end of the fault. */
   KILLED,
-  /** Its process stands still, and takes in at the end what has come meanwhile. */
+  /** The process stops running; at the end of the fault it handles all input of the period. */
   FROZEN,
   /**
-   * Its machine is suspended: as if it stood still, but its timers are late by so much, and its
-   * clock counts the time.
+   * The machine is suspended: like {@link #FROZEN}, but timers are delayed by the length of the
+   * fault, while the clock includes it.
    */
   SUSPENDED
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimEngine.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimEngine.java
@@ -21,50 +21,50 @@
 import org.larkkeel.relay.Stage;
 
 /**
- * An engine: works in steps, each of which generates one token for every request that generates and
- * reads one piece of the first prompt in line.
+ * A model of an engine that works in steps. Each step generates one token for every decoding
+ * request and prefills one chunk for the first running request whose prompt is incomplete.
  *
- * <p>Invariant: the blocks of its requests and of the prompts that it keeps for others are at most
- * its memory. A request that grows beyond it is dropped, the youngest first, and begins anew. While
- * it is dark it says nothing, and at the end of that it has lost all that it held. Not safe for use
- * by several threads.
+ * <p>Invariant: the blocks of running requests and of prompts held for other engines do not exceed
+ * the memory. When memory runs out, the youngest request is preempted and later prefilled again.
+ * While the engine is unresponsive it sends nothing, and it loses its memory at the end of that
+ * period. Not safe for use by several threads.
  */
 final class SimEngine {
-  private static final double MILLI = 1e6;
+  private static final double NANOS_PER_MILLI = 1e6;
 
   private final Timeline time;
   private final TokenLedger ledger;
   private final FleetScenario.Engines spec;
   private final Stage stage;
-  private final double tokensPerMilli;
-  private final long chunk;
+  private final double prefillTokensPerMilli;
+  private final long chunkTokens;
   private final long memoryBlocks;
   private final Deque<Job> waiting = new ArrayDeque<>();
-  private final List<Job> working = new ArrayList<>();
-  private final Map<String, Job> kept = new HashMap<>();
+  private final List<Job> running = new ArrayList<>();
+  private final Map<String, Job> heldPrompts = new HashMap<>();
   private long freeBlocks;
-  private long linkFreeAt;
-  private long handles;
-  private final List<Job> unseen = new ArrayList<>();
-  private boolean stepping;
-  private boolean dark;
+  private long linkIdleAt;
+  private long lastHandle;
+  private final List<Job> unanswered = new ArrayList<>();
+  private boolean isStepping;
+  private boolean isUnresponsive;
   private boolean down;
-  private Runnable crashed = () -> {};
+  private Runnable crashListener = () -> {};
   private int preemptions;
   private int declined;
-  private long leastFreeBlocks;
+  private long minFreeBlocks;
 
   SimEngine(Timeline time, TokenLedger ledger, FleetScenario.Engines spec, Stage stage) {
     this.time = time;
     this.ledger = ledger;
     this.spec = spec;
     this.stage = stage;
-    boolean reads = stage == Stage.PREFILL;
-    this.tokensPerMilli = spec.promptTokensPerMilli() * (reads ? 1 : 0.5);
-    this.chunk = reads ? spec.chunkTokens() : spec.chunkTokens() / 4;
+    boolean isPrefill = stage == Stage.PREFILL;
+    this.prefillTokensPerMilli = spec.promptTokensPerMilli() * (isPrefill ? 1 : 0.5);
+    this.chunkTokens = isPrefill ? spec.chunkTokens() : spec.chunkTokens() / 4;
     this.memoryBlocks = spec.memoryTokens() / spec.blockTokens();
     this.freeBlocks = memoryBlocks;
-    this.leastFreeBlocks = memoryBlocks;
+    this.minFreeBlocks = memoryBlocks;
   }
 
   int preemptions() {
@@ -75,32 +75,32 @@
     return declined;
   }
 
-  /** The greatest share of its memory that was ever taken. */
-  double fullest() {
-    return 1 - (double) leastFreeBlocks / memoryBlocks;
+  /** Returns the maximum share of the memory that was in use at once. */
+  double maxMemoryShare() {
+    return 1 - (double) minFreeBlocks / memoryBlocks;
   }
 
-  /** Whether its process has ended and not started again, so that connections are refused. */
+  /** Returns whether the process has ended and not restarted, so that it refuses connections. */
   boolean isDown() {
     return down;
   }
 
-  /** A request arrives. */
-  void take(Job job) {
+  /** Accepts, queues or refuses an arriving request. */
+  void submit(Job job) {
     if (down) {
-      job.settle(ReadCause.CANCELLED);
+      job.settle(PrefillUse.CANCELLED);
       refuse(job, RefusalCause.NOT_SENT);
       return;
     }
-    if (dark) {
-      unseen.add(job);
+    if (isUnresponsive) {
+      unanswered.add(job);
       return;
     }
-    boolean reads = job.purpose instanceof Purpose.ReadPrompt;
-    if (reads != (stage == Stage.PREFILL)) {
+    boolean needsPrefill = job.purpose instanceof Purpose.ReadPrompt;
+    if (needsPrefill != (stage == Stage.PREFILL)) {
       refuse(job, RefusalCause.WRONG_UPSTREAM);
     } else if (waiting.isEmpty() && fits(job)) {
-      begin(job);
+      startRequest(job);
     } else if (waiting.size() < spec.queue()) {
       waiting.add(job);
     } else {
@@ -109,133 +109,136 @@
     step();
   }
 
-  /** The node gives a request up. */
+  /** Cancels a request for its node. */
   void cancel(Job job) {
-    if (unseen.remove(job)) {
+    if (unanswered.remove(job)) {
       return;
     }
     if (waiting.remove(job)) {
-      job.settle(ReadCause.CANCELLED);
-    } else if (working.remove(job)) {
+      job.settle(PrefillUse.CANCELLED);
+    } else if (running.remove(job)) {
       release(job);
-      job.settle(ReadCause.CANCELLED);
+      job.settle(PrefillUse.CANCELLED);
     }
-    admit();
+    startWaiting();
   }
 
-  /** Takes requests and says nothing from now on. */
-  void darken() {
-    dark = true;
+  /** Makes the engine unresponsive: it accepts requests but sends nothing. */
+  void stopResponding() {
+    isUnresponsive = true;
   }
 
-  /** Sets what follows when its process ends under a request. */
-  void onCrash(Runnable action) {
-    crashed = action;
+  /** Sets the action that runs when a request crashes the process. */
+  void setCrashListener(Runnable action) {
+    crashListener = action;
   }
 
   private void crash() {
     down = true;
-    restart();
-    crashed.run();
+    reset();
+    crashListener.run();
   }
 
-  /** Its process starts again after it has ended. */
-  void start() {
+  /** Starts a new process after a crash. */
+  void restart() {
     down = false;
   }
 
-  /** Resets all connections, with nothing left of what it held. */
-  void restart() {
-    List<Job> lost = new ArrayList<>(unseen);
-    lost.addAll(waiting);
-    lost.addAll(working);
-    kept.values().forEach(j -> j.settle(ReadCause.ENGINE_LOST));
-    unseen.clear();
+  /** Resets all connections and drops everything in memory. */
+  void reset() {
+    List<Job> lostJobs = new ArrayList<>(unanswered);
+    lostJobs.addAll(waiting);
+    lostJobs.addAll(running);
+    heldPrompts.values().forEach(j -> j.settle(PrefillUse.ENGINE_LOST));
+    unanswered.clear();
     waiting.clear();
-    working.clear();
-    kept.clear();
+    running.clear();
+    heldPrompts.clear();
     freeBlocks = memoryBlocks;
-    dark = false;
-    for (Job job : lost) {
-      job.blocks = 0;
-      job.settle(ReadCause.ENGINE_LOST);
+    isUnresponsive = false;
+    for (Job job : lostJobs) {
+      job.allocatedBlocks = 0;
+      job.settle(PrefillUse.ENGINE_LOST);
       job.sender.reply(
           job, at -> new RelayEvent.Lost(at, job.attempt, FailureCause.CONNECTION_LOST));
     }
   }
 
-  /** Frees a prompt that is kept for others. */
+  /** Frees a prompt that is held for another engine. */
   void free(String handle) {
-    drop(handle, ReadCause.HANDLE_FREED);
+    dropHeldPrompt(handle, PrefillUse.HANDLE_FREED);
   }
 
-  private void drop(String handle, ReadCause cause) {
-    Job job = kept.remove(handle);
+  private void dropHeldPrompt(String handle, PrefillUse use) {
+    Job job = heldPrompts.remove(handle);
     if (job != null) {
       release(job);
-      job.settle(cause);
-      admit();
+      job.settle(use);
+      startWaiting();
     }
   }
 
   private boolean fits(Job job) {
-    return working.size() < spec.slots() && blocks(job.prompt + job.generated + 1) <= freeBlocks;
+    return running.size() < spec.slots()
+        && blockCount(job.prompt + job.generatedTokens + 1) <= freeBlocks;
   }
 
-  private long blocks(long tokens) {
+  private long blockCount(long tokens) {
     return (tokens + spec.blockTokens() - 1) / spec.blockTokens();
   }
 
-  private void grow(Job job, long tokens) {
-    long more = blocks(tokens) - job.blocks;
-    freeBlocks -= more;
-    job.blocks += more;
-    leastFreeBlocks = Math.min(leastFreeBlocks, freeBlocks);
+  private void allocate(Job job, long tokens) {
+    long added = blockCount(tokens) - job.allocatedBlocks;
+    freeBlocks -= added;
+    job.allocatedBlocks += added;
+    minFreeBlocks = Math.min(minFreeBlocks, freeBlocks);
   }
 
   private void release(Job job) {
-    freeBlocks += job.blocks;
-    job.blocks = 0;
+    freeBlocks += job.allocatedBlocks;
+    job.allocatedBlocks = 0;
   }
 
-  private void begin(Job job) {
-    if (job.purpose instanceof Purpose.TakeOver t && job.generated == 0 && job.readings.isEmpty()) {
+  private void startRequest(Job job) {
+    if (job.purpose instanceof Purpose.TakeOver t
+        && job.generatedTokens == 0
+        && job.prefills.isEmpty()) {
       SimEngine source = job.sender.engine(t.source().name());
-      Job prompt = source.kept.remove(t.handle());
+      Job prompt = source.heldPrompts.remove(t.handle());
       if (prompt == null) {
         decline(job);
         return;
       }
-      job.readings.addAll(prompt.readings);
-      fetch(job, prompt, source);
+      job.prefills.addAll(prompt.prefills);
+      transferPrompt(job, prompt, source);
     } else {
-      job.toRead = job.prompt + job.generated;
-      job.readings.add(ledger.begin());
+      job.tokensToPrefill = job.prompt + job.generatedTokens;
+      job.prefills.add(ledger.startPrefill());
     }
-    grow(job, job.prompt + job.generated + 1);
-    working.add(job);
+    allocate(job, job.prompt + job.generatedTokens + 1);
+    running.add(job);
   }
 
-  /** The source keeps its copy until the transfer is complete; transfers wait for each other. */
-  private void fetch(Job job, Job prompt, SimEngine source) {
-    job.fetching = true;
-    long nanos = (long) (spec.transferMillisPerThousand() * MILLI * job.prompt / 1_000);
-    source.linkFreeAt = Math.max(time.now(), source.linkFreeAt) + nanos;
+  /** Transfers a prompt; the source holds its copy to the end and runs transfers in sequence. */
+  private void transferPrompt(Job job, Job prompt, SimEngine source) {
+    job.isFetching = true;
+    long nanos = (long) (spec.transferMillisPerThousand() * NANOS_PER_MILLI * job.prompt / 1_000);
+    source.linkIdleAt = Math.max(time.now(), source.linkIdleAt) + nanos;
     time.at(
-        source.linkFreeAt,
+        source.linkIdleAt,
         () -> {
-          if (prompt.blocks > 0) {
+          if (prompt.allocatedBlocks > 0) {
             source.release(prompt);
-            source.admit();
+            source.startWaiting();
           }
-          job.fetching = false;
+          job.isFetching = false;
           step();
         });
   }
 
   private void decline(Job job) {
     declined++;
-    job.settle(ReadCause.CANCELLED);
+    job.settle(PrefillUse.CANCELLED);
     refuse(job, RefusalCause.DECLINED);
   }
 
@@ -243,69 +246,71 @@
     job.sender.reply(job, at -> new RelayEvent.Refused(at, job.attempt, cause));
   }
 
-  /** Begins what waits, in its order, as far as there is room. */
-  private void admit() {
-    while (!dark && !waiting.isEmpty() && fits(waiting.peekFirst())) {
-      begin(waiting.pollFirst());
+  /** Starts queued requests in order while there is free capacity. */
+  private void startWaiting() {
+    while (!isUnresponsive && !waiting.isEmpty() && fits(waiting.peekFirst())) {
+      startRequest(waiting.pollFirst());
     }
     step();
   }
 
   private void step() {
-    if (stepping || dark || down) {
+    if (isStepping || isUnresponsive || down) {
       return;
     }
-    List<Job> decoding = working.stream().filter(Job::isDecoding).toList();
-    Job reading = working.stream().filter(j -> j.toRead > 0).findFirst().orElse(null);
-    if (decoding.isEmpty() && reading == null) {
+    List<Job> decoding = running.stream().filter(Job::isDecoding).toList();
+    Job prefilling = running.stream().filter(j -> j.tokensToPrefill > 0).findFirst().orElse(null);
+    if (decoding.isEmpty() && prefilling == null) {
       return;
     }
-    long piece = reading == null ? 0 : Math.min(chunk, reading.toRead);
-    double millis = piece / tokensPerMilli;
+    long chunk = prefilling == null ? 0 : Math.min(chunkTokens, prefilling.tokensToPrefill);
+    double millis = chunk / prefillTokensPerMilli;
     if (!decoding.isEmpty()) {
       millis += spec.stepMillis() + spec.stepMillisPerRequest() * decoding.size();
     }
-    stepping = true;
-    time.after((long) (millis * MILLI), () -> stepped(decoding, reading, piece));
+    isStepping = true;
+    time.after((long) (millis * NANOS_PER_MILLI), () -> completeStep(decoding, prefilling, chunk));
   }
 
-  private void stepped(List<Job> decoding, Job reading, long piece) {
-    stepping = false;
-    if (dark || down) {
+  private void completeStep(List<Job> decoding, Job prefilling, long chunk) {
+    isStepping = false;
+    if (isUnresponsive || down) {
       return;
     }
-    if (reading != null && working.contains(reading)) {
-      read(reading, piece);
+    if (prefilling != null && running.contains(prefilling)) {
+      prefillChunk(prefilling, chunk);
     }
     for (Job job : decoding) {
-      if (working.contains(job) && makeRoom(job)) {
+      if (running.contains(job) && ensureFreeBlock(job)) {
         generate(job);
       }
     }
-    admit();
+    startWaiting();
   }
 
-  private void read(Job job, long piece) {
-    job.readings.getLast().add(piece);
-    job.toRead -= piece;
-    if (job.toRead == 0 && stage == Stage.PREFILL) {
-      keep(job);
+  private void prefillChunk(Job job, long chunk) {
+    job.prefills.getLast().add(chunk);
+    job.tokensToPrefill -= chunk;
+    if (job.tokensToPrefill == 0 && stage == Stage.PREFILL) {
+      holdPrompt(job);
     }
   }
 
-  private void keep(Job job) {
-    String handle = "h" + ++handles;
-    working.remove(job);
-    kept.put(handle, job);
-    time.after((long) (spec.handleMillis() * MILLI), () -> drop(handle, ReadCause.HANDLE_LAPSED));
+  private void holdPrompt(Job job) {
+    String handle = "h" + ++lastHandle;
+    running.remove(job);
+    heldPrompts.put(handle, job);
+    time.after(
+        (long) (spec.handleMillis() * NANOS_PER_MILLI),
+        () -> dropHeldPrompt(handle, PrefillUse.HANDLE_LAPSED));
     job.sender.promptRead(job, handle);
   }
 
-  /** Whether there is memory for one more token of a request, if others have to go for it. */
-  private boolean makeRoom(Job job) {
-    long more = blocks(job.prompt + job.generated + 1) - job.blocks;
-    while (more > freeBlocks) {
-      Job youngest = working.getLast();
+  /** Ensures memory for one more token of a request, preempting the youngest if necessary. */
+  private boolean ensureFreeBlock(Job job) {
+    long blocksNeeded = blockCount(job.prompt + job.generatedTokens + 1) - job.allocatedBlocks;
+    while (blocksNeeded > freeBlocks) {
+      Job youngest = running.getLast();
       preempt(youngest);
       if (youngest == job) {
         return false;
@@ -316,26 +321,26 @@
 
   private void preempt(Job job) {
     preemptions++;
-    working.remove(job);
+    running.remove(job);
     release(job);
-    job.settle(ReadCause.PREEMPTED);
+    job.settle(PrefillUse.PREEMPTED);
     waiting.addFirst(job);
   }
 
   private void generate(Job job) {
-    if (job.crashes) {
+    if (job.crashesEngine) {
       crash();
       return;
     }
-    job.generated++;
-    grow(job, job.prompt + job.generated);
-    boolean whole = job.generated >= job.output;
-    boolean event = job.generated % spec.tokensPerEvent() == 0 || whole;
-    if (event) {
-      job.sender.event(job, job.generated <= spec.tokensPerEvent());
+    job.generatedTokens++;
+    allocate(job, job.prompt + job.generatedTokens);
+    boolean isComplete = job.generatedTokens >= job.output;
+    boolean sendsEvent = job.generatedTokens % spec.tokensPerEvent() == 0 || isComplete;
+    if (sendsEvent) {
+      job.sender.event(job, job.generatedTokens <= spec.tokensPerEvent());
     }
-    if (whole) {
-      working.remove(job);
+    if (isComplete) {
+      running.remove(job);
       release(job);
       job.sender.complete(job, at -> new RelayEvent.Answered(at, job.attempt, AnswerGrade.GOOD));
     }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimNode.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimNode.java
@@ -40,97 +40,98 @@
 import org.larkkeel.relay.UpstreamNotice;
 
 /**
- * One node: the real reducer and the real sharing of load, and between them and the models what the
- * sockets of a process would do.
+ * One node: the production reducer and load sharing, connected to the models in place of the
+ * sockets of a process.
  *
- * <p>Invariant: of an attempt that is over nothing reaches the reducer any more. Not safe for use
- * by several threads.
+ * <p>Invariant: no event of an attempt reaches the reducer after the attempt has ended. Not safe
+ * for use by several threads.
  */
 final class SimNode implements LoadSharing.Environment, Job.Sender {
-  private static final long MILLI = 1_000_000L;
-  private static final double REPEAT_SHARE = 0.2;
-  private static final double REPEAT_SLACK = 100;
-  private static final long REPEAT_WINDOW = 10_000 * MILLI;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final double RETRY_SHARE = 0.2;
+  private static final double RETRY_SLACK = 100;
+  private static final long RETRY_WINDOW_NANOS = 10_000 * NANOS_PER_MILLI;
   private static final int STAGE_TOKENS = 512;
-  private static final long MISSING = 1_500 * MILLI;
+  private static final long MISSING_NANOS = 1_500 * NANOS_PER_MILLI;
 
   final InetSocketAddress address;
 
-  /** How many nodes come before it by name. */
+  /** The position of this node in the order of names, from 0. */
   final int index;
 
-  private final FleetModel fleet;
+  private final FleetModel model;
   private final Timeline time;
   private final SimProcess process;
   private final RelayRouter router;
   private final LoadSharing sharing;
-  private final Map<AttemptId, Job> live = new HashMap<>();
-  private final Map<RequestId, Caller> callers = new HashMap<>();
-  private final Map<AttemptId, Caller> followed = new HashMap<>();
+  private final Map<AttemptId, Job> activeJobs = new HashMap<>();
+  private final Map<RequestId, Caller> callersById = new HashMap<>();
+  private final Map<AttemptId, Caller> streamingCallers = new HashMap<>();
 
-  /** Whose whole answers are on their way to this node. */
-  private final Set<Job> answers = new LinkedHashSet<>();
+  /** The attempts whose complete answers are in transit to this node. */
+  private final Set<Job> answersInTransit = new LinkedHashSet<>();
 
-  private final Deque<RelayEvent> queue = new ArrayDeque<>();
-  private long lastCall;
-  private boolean applying;
+  private final Deque<RelayEvent> eventQueue = new ArrayDeque<>();
+  private long callCount;
+  private boolean isApplying;
 
-  /** Whose whole answer is being taken; null if none is. */
+  /** The attempt whose complete answer is being handled; null if there is none. */
   private Job completing;
 
   private long tickAt = Long.MAX_VALUE;
-  private Timeline.Timer tick;
-  private long wastedByRouter;
+  private Timeline.Timer tickTimer;
+  private long reportedWastedTokens;
 
-  SimNode(FleetModel fleet, int index, long seed) {
-    this.fleet = fleet;
+  SimNode(FleetModel model, int index, long seed) {
+    this.model = model;
     this.index = index;
-    this.time = fleet.time();
+    this.time = model.time();
     this.process = new SimProcess(time);
     this.address = new InetSocketAddress("10.1." + index / 250 + "." + (index % 250 + 1), 7_000);
     this.router =
         new RelayRouter(
             new RelaySettings(
-                FleetModel.PLACE,
-                REPEAT_SHARE,
-                REPEAT_SLACK,
-                REPEAT_WINDOW,
+                FleetModel.DATA_CENTRE,
+                RETRY_SHARE,
+                RETRY_SLACK,
+                RETRY_WINDOW_NANOS,
                 1,
                 STAGE_TOKENS,
-                MISSING,
+                MISSING_NANOS,
                 seed,
                 QuotaTolerance.NONE));
     HostName name = new HostName("node-%04d".formatted(index));
     this.sharing =
-        new LoadSharing(name, FleetModel.PLACE, fleet.scenario().nodes().allocatorFrom(), this);
+        new LoadSharing(
+            name, FleetModel.DATA_CENTRE, model.scenario().nodes().allocatorFrom(), this);
     sharing.suspects(() -> router.suspects(now()));
     sharing.quotas(router);
   }
 
-  /** Meets the others and takes over the configuration and the upstreams. */
-  void start(long phase) {
-    fleet.nodes().stream().filter(n -> n != this).forEach(n -> sharing.addPeer(n.address));
-    submit(new RelayEvent.ConfigurationRead(now(), fleet.configuration()));
-    submit(new RelayEvent.UpstreamsChanged(now(), fleet.upstreams(), ImmutableSet.of()));
-    process.after(phase, this::periodic);
+  /** Announces the peers, the configuration and the upstreams to this node and starts reporting. */
+  void start(long initialDelayNanos) {
+    model.nodes().stream().filter(n -> n != this).forEach(n -> sharing.addPeer(n.address));
+    submit(new RelayEvent.ConfigurationRead(now(), model.configuration()));
+    submit(new RelayEvent.UpstreamsChanged(now(), model.upstreams(), ImmutableSet.of()));
+    process.after(initialDelayNanos, this::runPeriodic);
   }
 
-  /** Its process stands still. */
+  /** Freezes the process. */
   void freeze() {
     process.freeze();
   }
 
-  /** Its process goes on. */
+  /** Continues a frozen process. */
   void thaw() {
     process.thaw();
   }
 
-  /** Its machine is suspended. */
+  /** Suspends the machine. */
   void suspend() {
     process.suspend();
   }
 
-  /** Its machine goes on, and knows for how long it did not. */
+  /** Resumes the machine and reports the duration of the suspension to the reducer. */
   void resume() {
     long nanos = process.resume();
     if (nanos > 0) {
@@ -139,11 +140,11 @@
             submit(new RelayEvent.Resumed(now(), nanos));
             sharing.resumed();
           });
-      process.release();
+      process.runPending();
     }
   }
 
-  /** The list of upstreams has changed. */
+  /** Handles a change of an upstream in the discovery list. */
   void upstreamChanged(RelayUpstream upstream) {
     process.run(
         () ->
@@ -152,61 +153,62 @@
                     now(), ImmutableMap.of(upstream.name(), upstream), ImmutableSet.of())));
   }
 
-  /** Its process ends: callers and upstreams see their connections break. */
+  /** Ends the process, which breaks its connections to callers and upstreams. */
   void kill() {
     process.end();
-    live.values().forEach(job -> fleet.overNetwork(() -> fleet.cancel(job)));
-    live.clear();
-    followed.clear();
-    answers.forEach(job -> job.settle(ReadCause.CANCELLED));
-    answers.clear();
-    List.copyOf(callers.values()).forEach(c -> fleet.overNetwork(() -> c.lost(true)));
-    callers.clear();
+    activeJobs.values().forEach(job -> model.afterUpstreamDelay(() -> model.cancel(job)));
+    activeJobs.clear();
+    streamingCallers.clear();
+    answersInTransit.forEach(job -> job.settle(PrefillUse.CANCELLED));
+    answersInTransit.clear();
+    List.copyOf(callersById.values())
+        .forEach(c -> model.afterUpstreamDelay(() -> c.onConnectionLost(true)));
+    callersById.clear();
   }
 
-  private void periodic() {
+  private void runPeriodic() {
     sharing.periodic();
-    process.after(LoadSharing.PERIOD_NANOS, this::periodic);
+    process.after(LoadSharing.PERIOD_NANOS, this::runPeriodic);
   }
 
   boolean hasEnded() {
     return process.hasEnded();
   }
 
-  /** Tokens that the reducer itself has reported as read for nothing. */
-  long wastedByRouter() {
-    return wastedByRouter;
+  /** Returns the wasted prefill tokens that the reducer has reported. */
+  long reportedWastedTokens() {
+    return reportedWastedTokens;
   }
 
-  /** How many calls it has no final answer for. */
-  int inProgress() {
+  /** Returns the number of calls without a final answer. */
+  int callsInProgress() {
     return router.inProgress();
   }
 
   @Override
   public SimEngine engine(UpstreamName id) {
-    return fleet.engine(id);
+    return model.engine(id);
   }
 
   // Callers.
 
-  /** A try of a caller arrives. */
-  void arrive(Caller caller) {
+  /** Handles the arrival of a call. */
+  void receiveCall(Caller caller) {
     if (process.hasEnded()) {
-      fleet.overNetwork(() -> caller.lost(false));
+      model.afterUpstreamDelay(() -> caller.onConnectionLost(false));
     } else {
-      process.run(() -> read(caller));
+      process.run(() -> acceptCall(caller));
     }
   }
 
-  private void read(Caller caller) {
-    if (caller.isOver()) {
+  private void acceptCall(Caller caller) {
+    if (caller.hasEnded()) {
       return;
     }
-    RequestId id = new RequestId(++lastCall);
-    callers.put(id, caller);
-    caller.isRead(id);
-    FleetScenario.Calls kind = caller.kind();
+    RequestId id = new RequestId(++callCount);
+    callersById.put(id, caller);
+    caller.onAccepted(id);
+    FleetScenario.CallClass kind = caller.kind();
     submit(
         new RelayEvent.Arrived(
             now(),
@@ -215,7 +217,7 @@
                 caller.name(),
                 FleetModel.HOST,
                 FleetModel.path(kind),
-                caller.leftMillis(),
+                caller.remainingMillis(),
                 caller.size(),
                 new PromptKey(caller.name()),
                 false,
@@ -223,28 +225,28 @@
                 Optional.empty())));
   }
 
-  /** The caller of a call closes its connection. */
-  void left(RequestId id) {
+  /** Handles a caller that closes its connection. */
+  void onDisconnect(RequestId id) {
     process.run(
         () -> {
-          if (callers.remove(id) != null) {
+          if (callersById.remove(id) != null) {
             submit(new RelayEvent.CallerLeft(now(), id));
           }
         });
   }
 
-  /** Does something once a message from an upstream has come. */
-  private void heard(Runnable action) {
-    fleet.overNetwork(() -> process.run(action));
+  /** Schedules an action for the arrival of a message from an upstream. */
+  private void afterDelay(Runnable action) {
+    model.afterUpstreamDelay(() -> process.run(action));
   }
 
   // Upstreams.
 
   @Override
   public void reply(Job job, LongFunction<RelayEvent> event) {
-    heard(
+    afterDelay(
         () -> {
-          if (live.remove(job.attempt) != null) {
+          if (activeJobs.remove(job.attempt) != null) {
             submit(event.apply(now()));
           }
         });
@@ -252,9 +254,9 @@
 
   @Override
   public void noticed(Job job, long sentAt, RateLimitNotice rate) {
-    heard(
+    afterDelay(
         () -> {
-          UpstreamIncarnation life = fleet.upstreams().get(job.upstream).incarnation();
+          UpstreamIncarnation life = model.upstreams().get(job.upstream).incarnation();
           if (rate instanceof RateLimitNotice.Limited || router.isRateLimited(life)) {
             UpstreamNotice notice = new UpstreamNotice(false, 0, rate);
             submit(new RelayEvent.Noticed(now(), life, sentAt, notice));
@@ -269,47 +271,47 @@
 
   @Override
   public void event(Job job, boolean first) {
-    heard(
+    afterDelay(
         () -> {
-          if (!live.containsKey(job.attempt)) {
+          if (!activeJobs.containsKey(job.attempt)) {
             return;
           }
           if (first) {
             submit(new RelayEvent.Began(now(), job.attempt));
           }
-          Caller caller = followed.get(job.attempt);
+          Caller caller = streamingCallers.get(job.attempt);
           if (caller != null) {
-            caller.event();
+            caller.sendEvent();
             submit(new RelayEvent.Progressed(now(), job.attempt, 1));
           }
         });
   }
 
-  /** Its prompt was of use if the caller gets the answer. */
+  /** The prefilled tokens count as used only if the answer reaches the caller. */
   @Override
   public void complete(Job job, LongFunction<RelayEvent> event) {
     if (process.hasEnded()) {
-      job.settle(ReadCause.CANCELLED);
+      job.settle(PrefillUse.CANCELLED);
       return;
     }
-    answers.add(job);
-    heard(
+    answersInTransit.add(job);
+    afterDelay(
         () -> {
-          answers.remove(job);
-          if (live.remove(job.attempt) != null) {
+          answersInTransit.remove(job);
+          if (activeJobs.remove(job.attempt) != null) {
             completing = job;
             submit(event.apply(now()));
             completing = null;
           }
-          job.settle(ReadCause.CANCELLED);
+          job.settle(PrefillUse.CANCELLED);
         });
   }
 
-  // What the reducer and the sharing of load work in.
+  // Environment of the reducer and of load sharing.
 
   @Override
   public void send(InetSocketAddress to, byte[] message) {
-    fleet.datagram(this, to, message);
+    model.sendDatagram(this, to, message);
   }
 
   void receive(InetSocketAddress from, byte[] message) {
@@ -328,62 +330,64 @@
 
   @Override
   public void submit(RelayEvent event) {
-    queue.add(event);
-    if (applying) {
+    eventQueue.add(event);
+    if (isApplying) {
       return;
     }
-    applying = true;
-    for (RelayEvent next = queue.poll(); next != null; next = queue.poll()) {
-      router.apply(next, this::effect);
+    isApplying = true;
+    for (RelayEvent next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
+      router.apply(next, this::execute);
     }
-    applying = false;
+    isApplying = false;
     sharing.update(router.loads(), router.losingHandles(now()), router.reservationRequests(now()));
-    arm();
+    scheduleTick();
   }
 
-  private void arm() {
+  private void scheduleTick() {
     long due = router.nextDue();
     if (due >= tickAt) {
       return;
     }
-    if (tick != null) {
-      tick.cancel();
+    if (tickTimer != null) {
+      tickTimer.cancel();
     }
     tickAt = due;
-    tick =
+    tickTimer =
         process.at(
             due,
             () -> {
-              tick = null;
+              tickTimer = null;
               tickAt = Long.MAX_VALUE;
               submit(new RelayEvent.Ticked(now()));
             });
   }
 
-  private void effect(RelayEffect effect) {
+  private void execute(RelayEffect effect) {
     switch (effect) {
-      case RelayEffect.Send e -> place(e);
+      case RelayEffect.Send e -> startAttempt(e);
       case RelayEffect.Cancel e -> cancel(e.attempt());
       case RelayEffect.Move e ->
           submit(new RelayEvent.Moved(now(), e.attempt(), new MoveResult.Failed()));
-      case RelayEffect.Free e -> fleet.overNetwork(() -> engine(e.source().name()).free(e.handle()));
-      case RelayEffect.ForwardStream e -> follow(e);
+      case RelayEffect.Free e ->
+          model.afterUpstreamDelay(() -> engine(e.source().name()).free(e.handle()));
+      case RelayEffect.ForwardStream e -> forwardStream(e);
       case RelayEffect.Deliver e -> deliver(e);
-      case RelayEffect.Refuse e -> caller(e.call(), c -> c.refused(e.kind(), e.retryAfterMillis()));
-      case RelayEffect.Cut e -> caller(e.call(), Caller::cut);
+      case RelayEffect.Refuse e ->
+          endCall(e.call(), c -> c.receiveRefusal(e.kind(), e.retryAfterMillis()));
+      case RelayEffect.Cut e -> endCall(e.call(), Caller::onStreamCut);
       case RelayEffect.GrantReservation e -> sharing.grant(e);
       case RelayEffect.Probe e -> probe(e.upstream());
       case RelayEffect.ReportSuspect e -> sharing.reportSuspect(e);
       case RelayEffect.Report e -> {
         if (e.fact() instanceof RelayFact.PromptWasted w) {
-          wastedByRouter += w.tokens();
+          reportedWastedTokens += w.tokens();
         }
       }
     }
   }
 
-  private void place(RelayEffect.Send e) {
-    Caller caller = callers.get(e.call());
+  private void startAttempt(RelayEffect.Send e) {
+    Caller caller = callersById.get(e.call());
     if (caller == null) {
       return;
     }
@@ -396,46 +400,47 @@
             caller.prompt(),
             caller.output(),
             caller.kind().crashing() > 0);
-    live.put(e.attempt(), job);
-    fleet.overNetwork(
+    activeJobs.put(e.attempt(), job);
+    model.afterUpstreamDelay(
         () -> {
-          if (live.containsKey(e.attempt())) {
-            fleet.take(job);
+          if (activeJobs.containsKey(e.attempt())) {
+            model.submit(job);
           }
         });
   }
 
   private void probe(RelayUpstream upstream) {
-    heard(() -> submit(new RelayEvent.Probed(now(), upstream.incarnation(), fleet.probe(upstream.name()))));
+    afterDelay(
+        () -> submit(new RelayEvent.Probed(now(), upstream.incarnation(), model.probe(upstream.name()))));
   }
 
   private void cancel(AttemptId attempt) {
-    Job job = live.remove(attempt);
-    followed.remove(attempt);
+    Job job = activeJobs.remove(attempt);
+    streamingCallers.remove(attempt);
     if (job != null) {
-      fleet.overNetwork(() -> fleet.cancel(job));
+      model.afterUpstreamDelay(() -> model.cancel(job));
     }
   }
 
-  private void follow(RelayEffect.ForwardStream e) {
-    Caller caller = callers.get(e.call());
+  private void forwardStream(RelayEffect.ForwardStream e) {
+    Caller caller = callersById.get(e.call());
     if (caller != null) {
-      followed.put(e.attempt(), caller);
+      streamingCallers.put(e.attempt(), caller);
     }
   }
 
   private void deliver(RelayEffect.Deliver e) {
-    followed.remove(e.attempt());
+    streamingCallers.remove(e.attempt());
     if (completing != null && completing.attempt.equals(e.attempt())) {
-      completing.settle(ReadCause.USED);
+      completing.settle(PrefillUse.USED);
     }
-    caller(e.call(), Caller::delivered);
+    endCall(e.call(), Caller::receiveAnswer);
   }
 
-  private void caller(RequestId id, Consumer<Caller> action) {
-    Caller caller = callers.remove(id);
+  private void endCall(RequestId id, Consumer<Caller> action) {
+    Caller caller = callersById.remove(id);
     if (caller != null) {
-      fleet.overNetwork(() -> action.accept(caller));
+      model.afterUpstreamDelay(() -> action.accept(caller));
     }
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimPlain.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimPlain.java
@@ -19,36 +19,40 @@
 import org.larkkeel.relay.RequestRate;
 
 /**
- * A plain upstream: slots, a queue of bounded length, and a limit that it may name in its answers.
- * It works on when a call is given up. Not safe for use by several threads.
+ * A model of a plain upstream with slots, a bounded queue and an optional rate limit that it
+ * announces in its answers. It ignores cancels. Not safe for use by several threads.
  */
 final class SimPlain {
-  private static final double MILLI = 1e6;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  /** What is promised of limits: by how much they may be exceeded in a window, from when on. */
-  private static final long WINDOW = 4_000_000_000L;
+  /**
+   * The nodes' guarantee for rate limits: from {@code GRACE_NANOS} after the announcement, the
+   * requests in each window are at most the limit times {@code TOLERANCE_FACTOR} plus {@code
+   * TOLERANCE_REQUESTS}.
+   */
+  private static final long WINDOW_NANOS = 4_000_000_000L;
 
-  private static final double SHARE = 1.5;
-  private static final double SLACK = 5;
-  private static final long BINDS_AFTER = 3_000_000_000L;
+  private static final double TOLERANCE_FACTOR = 1.5;
+  private static final double TOLERANCE_REQUESTS = 5;
+  private static final long GRACE_NANOS = 3_000_000_000L;
 
   private final Timeline time;
   private final FleetScenario.Plain spec;
   private final SplittableRandom random;
-  private final PriorityQueue<Long> freeAt = new PriorityQueue<>();
-  private int present;
+  private final PriorityQueue<Long> slotFreeAt = new PriorityQueue<>();
+  private int inProgress;
   private int declined;
   private final Deque<Long> arrivals = new ArrayDeque<>();
   private Optional<RequestRate> limit = Optional.empty();
   private long limitedAt;
-  private double limitUse;
+  private double maxLimitUsage;
 
   SimPlain(Timeline time, FleetScenario.Plain spec, SplittableRandom random) {
     this.time = time;
     this.spec = spec;
     this.random = random;
     for (int i = 0; i < spec.slots(); i++) {
-      freeAt.add(0L);
+      slotFreeAt.add(0L);
     }
   }
 
@@ -56,62 +60,63 @@
     return declined;
   }
 
-  /** The most requests in a window while it had a limit, as a share of what is promised. */
-  double limitUse() {
-    return limitUse;
+  /** Returns the maximum number of requests in a window as a share of what the limit allows. */
+  double maxLimitUsage() {
+    return maxLimitUsage;
   }
 
-  /** Names a limit in its answers from now on. */
+  /** Starts to announce a limit in answers. */
   void limit(double perSecond) {
     limit = Optional.of(RequestRate.perSecond(perSecond));
     limitedAt = time.now();
     arrivals.clear();
   }
 
-  /** Names no limit any more. */
-  void lift() {
+  /** Stops announcing a limit. */
+  void removeLimit() {
     limit = Optional.empty();
   }
 
-  private void count() {
+  private void countArrival() {
     long now = time.now();
-    if (limit.isEmpty() || now - limitedAt < BINDS_AFTER) {
+    if (limit.isEmpty() || now - limitedAt < GRACE_NANOS) {
       return;
     }
     arrivals.add(now);
-    while (arrivals.peek() <= now - WINDOW) {
+    while (arrivals.peek() <= now - WINDOW_NANOS) {
       arrivals.remove();
     }
-    double promised = SHARE * limit.get().perSecond() * WINDOW / 1e9 + SLACK;
-    limitUse = Math.max(limitUse, arrivals.size() / promised);
+    double allowed =
+        TOLERANCE_FACTOR * limit.get().perSecond() * WINDOW_NANOS / 1e9 + TOLERANCE_REQUESTS;
+    maxLimitUsage = Math.max(maxLimitUsage, arrivals.size() / allowed);
   }
 
-  private void notice(Job job, long sentAt) {
+  private void sendNotice(Job job, long sentAt) {
     job.sender.noticed(
         job,
         sentAt,
         limit.<RateLimitNotice>map(RateLimitNotice.Limited::new).orElseGet(RateLimitNotice.Unlimited::new));
   }
 
-  /** A request arrives. */
-  void take(Job job) {
+  /** Accepts an arriving request, or declines it if all slots and the queue are full. */
+  void submit(Job job) {
     final long arrivedAt = time.now();
-    count();
-    if (present == spec.slots() + spec.queue()) {
+    countArrival();
+    if (inProgress == spec.slots() + spec.queue()) {
       declined++;
-      notice(job, arrivedAt);
+      sendNotice(job, arrivedAt);
       job.sender.reply(job, at -> new RelayEvent.Refused(at, job.attempt, RefusalCause.DECLINED));
       return;
     }
-    present++;
+    inProgress++;
     double millis = -Math.log(1 - random.nextDouble()) * spec.workMillis();
-    long end = Math.max(time.now(), freeAt.poll()) + (long) (millis * MILLI);
-    freeAt.add(end);
+    long end = Math.max(time.now(), slotFreeAt.poll()) + (long) (millis * NANOS_PER_MILLI);
+    slotFreeAt.add(end);
     time.at(
         end,
         () -> {
-          present--;
-          notice(job, arrivedAt);
+          inProgress--;
+          sendNotice(job, arrivedAt);
           job.sender.complete(
               job, at -> new RelayEvent.Answered(at, job.attempt, AnswerGrade.GOOD));
         });
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimProcess.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimProcess.java
@@ -11,50 +11,51 @@
 import org.larkkeel.bench.experiment.fake.Timeline;
 
 /**
- * What runs of a node: all that reaches it from outside and all its timers go through here.
+ * The process of a node, which can be frozen, suspended or ended. All input and all timers of the
+ * node run through it.
  *
- * <p>Invariant: what is taken in runs in order; nothing runs once it has ended. Not safe for use by
- * several threads.
+ * <p>Invariant: actions run in the order in which they became due, and none runs after the process
+ * has ended. Not safe for use by several threads.
  */
 final class SimProcess {
   private final Timeline time;
-  private final Deque<Runnable> held = new ArrayDeque<>();
-  private State state = State.RUNS;
+  private final Deque<Runnable> pending = new ArrayDeque<>();
+  private State state = State.RUNNING;
   private long suspendedAt;
 
-  /** For how long it was suspended in all, by which its timers are late. */
+  /** The total duration of all suspensions, by which timers are delayed. */
   private long suspendedNanos;
 
   private enum State {
-    RUNS,
-    STANDS_STILL,
+    RUNNING,
+    FROZEN,
     SUSPENDED,
-    HAS_ENDED
+    ENDED
   }
 
   SimProcess(Timeline time) {
     this.time = time;
   }
 
-  /** Does something, now or once it goes on; or never, if it has ended. */
+  /** Runs an action now, or when the process continues; drops it if the process has ended. */
   void run(Runnable action) {
-    if (state == State.RUNS) {
+    if (state == State.RUNNING) {
       action.run();
-    } else if (state != State.HAS_ENDED) {
-      held.add(action);
+    } else if (state != State.ENDED) {
+      pending.add(action);
     }
   }
 
-  /** Does something later. */
+  /** Schedules an action after a delay. */
   Timeline.Timer after(long nanos, Runnable action) {
-    long before = suspendedNanos;
-    return time.after(nanos, () -> due(before, action));
+    long suspendedBefore = suspendedNanos;
+    return time.after(nanos, () -> runTimer(suspendedBefore, action));
   }
 
-  /** A timer that was set before a suspension is due later, by its length. */
-  private void due(long suspendedBefore, Runnable action) {
+  /** Runs a timer that is due; one set before a suspension is delayed by its duration. */
+  private void runTimer(long suspendedBefore, Runnable action) {
     if (state == State.SUSPENDED) {
-      held.add(() -> due(suspendedBefore, action));
+      pending.add(() -> runTimer(suspendedBefore, action));
     } else if (suspendedNanos > suspendedBefore) {
       after(suspendedNanos - suspendedBefore, action);
     } else {
@@ -62,63 +63,63 @@
     }
   }
 
-  /** Does something at a time. */
+  /** Schedules an action at a time. */
   Timeline.Timer at(long when, Runnable action) {
     return after(Math.max(0, when - time.now()), action);
   }
 
   boolean hasEnded() {
-    return state == State.HAS_ENDED;
+    return state == State.ENDED;
   }
 
-  /** Stands still from now on. */
+  /** Freezes a running process. */
   void freeze() {
-    if (state == State.RUNS) {
-      state = State.STANDS_STILL;
+    if (state == State.RUNNING) {
+      state = State.FROZEN;
     }
   }
 
-  /** Its machine is suspended from now on. */
+  /** Suspends the machine of a running process. */
   void suspend() {
-    if (state == State.RUNS) {
+    if (state == State.RUNNING) {
       state = State.SUSPENDED;
       suspendedAt = time.now();
     }
   }
 
   /**
-   * Its machine goes on; {@link #release} lets it take in what has come meanwhile.
+   * Resumes a suspended machine; {@link #runPending} then runs the actions of the suspension.
    *
-   * @return for how long it was suspended; 0 if it was not
+   * @return the duration of the suspension in nanoseconds; 0 if the process was not suspended
    */
   long resume() {
     if (state != State.SUSPENDED) {
       return 0;
     }
-    state = State.RUNS;
+    state = State.RUNNING;
     suspendedNanos += time.now() - suspendedAt;
     return time.now() - suspendedAt;
   }
 
-  /** Goes on with all that has come meanwhile. */
+  /** Continues a frozen process and runs the actions that became due in between. */
   void thaw() {
-    if (state != State.STANDS_STILL) {
+    if (state != State.FROZEN) {
       return;
     }
-    state = State.RUNS;
-    release();
+    state = State.RUNNING;
+    runPending();
   }
 
-  /** Takes in what has come while it did not run. */
-  void release() {
-    for (Runnable next = held.poll(); next != null; next = held.poll()) {
+  /** Runs the actions that became due while the process did not run. */
+  void runPending() {
+    for (Runnable next = pending.poll(); next != null; next = pending.poll()) {
       run(next);
     }
   }
 
-  /** Ends for good. */
+  /** Ends the process permanently. */
   void end() {
-    state = State.HAS_ENDED;
-    held.clear();
+    state = State.ENDED;
+    pending.clear();
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/TokenLedger.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/TokenLedger.java
@@ -11,58 +11,59 @@
 import java.util.Map;
 
 /**
- * Every token of a prompt that was read, in exactly one cause.
+ * Counts every prefilled prompt token under exactly one use.
  *
- * <p>Invariant: what engines have read is what the readings hold; {@link #close} fails if one has
- * no cause or a token is missing. Not safe for use by several threads.
+ * <p>Invariant: the tokens that engines have prefilled equal the sum over all prefills; {@link
+ * #close} fails if a prefill has no use or a token is missing. Not safe for use by several threads.
  */
 final class TokenLedger {
-  private final Map<ReadCause, Long> settled = new EnumMap<>(ReadCause.class);
-  private long read;
-  private long open;
+  private final Map<PrefillUse, Long> settled = new EnumMap<>(PrefillUse.class);
+  private long prefilled;
+  private long openPrefills;
 
-  /** What was read for one attempt without a break. */
-  final class Reading {
+  /** The tokens that were prefilled for one attempt without interruption. */
+  final class Prefill {
     private long tokens;
-    private boolean over;
+    private boolean isSettled;
 
-    /** Counts tokens that were read now. */
+    /** Adds prefilled tokens. */
     void add(long n) {
-      if (over) {
-        throw new IllegalStateException("read after its end: " + n + " tokens");
+      if (isSettled) {
+        throw new IllegalStateException("prefill of " + n + " tokens after their use was settled");
       }
       tokens += n;
-      read += n;
+      prefilled += n;
     }
 
-    /** Says what became of it; only the first counts. */
-    void settle(ReadCause cause) {
-      if (!over) {
-        over = true;
-        open--;
-        settled.merge(cause, tokens, Long::sum);
+    /** Sets the use of the tokens; only the first call has an effect. */
+    void settle(PrefillUse use) {
+      if (!isSettled) {
+        isSettled = true;
+        openPrefills--;
+        settled.merge(use, tokens, Long::sum);
       }
     }
   }
 
-  Reading begin() {
-    open++;
-    return new Reading();
+  Prefill startPrefill() {
+    openPrefills++;
+    return new Prefill();
   }
 
   /**
-   * The sums by cause.
+   * Returns the number of tokens by use.
    *
-   * @throws IllegalStateException if they do not close
+   * @throws IllegalStateException if a prefill has no use or the sums differ
    */
-  ImmutableMap<ReadCause, Long> close() {
+  ImmutableMap<PrefillUse, Long> close() {
     long sum = settled.values().stream().mapToLong(Long::longValue).sum();
-    if (open != 0 || sum != read) {
+    if (openPrefills != 0 || sum != prefilled) {
       throw new IllegalStateException(
-          "tokens do not close: read %d, settled %d, readings open %d".formatted(read, sum, open));
+          "token sums differ: prefilled %d, settled %d, prefills without a use %d"
+              .formatted(prefilled, sum, openPrefills));
     }
-    ImmutableMap.Builder<ReadCause, Long> all = ImmutableMap.builder();
-    for (ReadCause cause : ReadCause.values()) {
+    ImmutableMap.Builder<PrefillUse, Long> all = ImmutableMap.builder();
+    for (PrefillUse cause : PrefillUse.values()) {
       all.put(cause, settled.getOrDefault(cause, 0L));
     }
     return all.buildOrThrow();
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/package-info.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/package-info.java
@@ -5,10 +5,10 @@
  */
 
 /**
- * A whole fleet of relay nodes without network: the real reducer and the real sharing of load of
- * each node, before models of engines, plain services and callers, in virtual time.
+ * Simulates a whole fleet of relay nodes in virtual time and without a network. Each node runs the
+ * production reducer and load sharing against models of engines, plain services and callers.
  *
- * <p>A run is a function of its scenario and seed. Nothing here decides anything for the nodes; the
- * models only obey, take time and count.
+ * <p>A run is a function of its scenario and seed. The models make no decisions for the nodes; they
+ * carry out the nodes' effects, take time and count.
  */
 package org.larkkeel.bench.experiment.fleet;
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/package-info.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Runs routing policies against fakes in virtual time and compares what they reach. */
+/** Runs routing policies against fakes in virtual time and compares their goodput. */
 package org.larkkeel.bench.experiment;
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/policy/NaiveRouter.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/policy/NaiveRouter.java
@@ -34,22 +34,22 @@
 import org.larkkeel.lib.UpstreamName;
 
 /**
- * A plain balancer to compare with: no queue, no reservation, no prediction, immediate retries.
+ * A simple load balancer as a baseline, with neither queue, reservation nor prediction, and with
+ * immediate retries.
  *
- * <p>It shares no code with the router that it is compared with. Not safe for use by several
- * threads.
+ * <p>It shares no code with the router under test. Not safe for use by several threads.
  *
  * @since 0.1
  */
-public final class NaiveRouter implements Subject {
+public final class NaiveRouter implements RoutingPolicy {
   private static final int MAX_ATTEMPTS = 5;
 
-  private final Choice choice;
+  private final SelectionStrategy strategy;
   private final SplittableRandom random;
   private final Map<RequestId, State> requests = new HashMap<>();
   private final Map<AttemptId, State> attempts = new HashMap<>();
   private final Map<UpstreamName, Integer> outstanding = new HashMap<>();
-  private final Set<UpstreamName> silent = new HashSet<>();
+  private final Set<UpstreamName> unavailableUpstreams = new HashSet<>();
   private Configuration configuration = Configuration.EMPTY;
   private EffectSink sink;
   private long now;
@@ -61,27 +61,27 @@
     private final long deadline;
     private int failures;
     private int tokens;
-    private AttemptId prefill;
-    private UpstreamName prefillAt;
-    private AttemptId current;
-    private UpstreamName currentAt;
+    private AttemptId prefillAttempt;
+    private UpstreamName prefillUpstream;
+    private AttemptId attempt;
+    private UpstreamName upstream;
     private boolean claimed;
 
-    State(Call call, Rule rule, long arrived) {
+    State(Call call, Rule rule, long arrivedAt) {
       this.call = call;
       this.rule = rule;
-      this.deadline = arrived + rule.targets().deadline().toNanos();
+      this.deadline = arrivedAt + rule.targets().deadline().toNanos();
     }
   }
 
   /**
    * Creates the router.
    *
-   * @param choice how it chooses
-   * @param seed the seed of its choices
+   * @param strategy the strategy for selecting an upstream
+   * @param seed the seed of random choices
    */
-  public NaiveRouter(Choice choice, long seed) {
-    this.choice = choice;
+  public NaiveRouter(SelectionStrategy strategy, long seed) {
+    this.strategy = strategy;
     this.random = new SplittableRandom(seed);
   }
 
@@ -91,11 +91,11 @@
     now = event.at();
     switch (event) {
       case Event.OfAttempt of -> applyToAttempt(of);
-      case Event.RequestArrived arrived -> arrive(arrived.call());
-      case Event.CallerGone gone -> leave(requests.get(gone.request()));
+      case Event.RequestArrived arrived -> onRequest(arrived.call());
+      case Event.CallerGone gone -> onCallerGone(requests.get(gone.request()));
       case Event.ConfigurationAccepted accepted -> configuration = accepted.configuration();
-      case Event.LoadReported reported -> silent.remove(reported.upstream());
-      case Event.LoadUnavailable unavailable -> silent.add(unavailable.upstream());
+      case Event.LoadReported reported -> unavailableUpstreams.remove(reported.upstream());
+      case Event.LoadUnavailable unavailable -> unavailableUpstreams.add(unavailable.upstream());
       case Event.Ticked ticked -> expire();
       default -> {}
     }
@@ -103,24 +103,24 @@
 
   private void applyToAttempt(Event.OfAttempt event) {
     State state = attempts.get(event.attempt());
-    if (state == null || !event.attempt().equals(state.current)) {
+    if (state == null || !event.attempt().equals(state.attempt)) {
       return;
     }
     switch (event) {
-      case Event.PrefillDone done -> prefilled(state);
-      case Event.TransferDone done -> decode(state);
+      case Event.PrefillDone done -> startTransfer(state);
+      case Event.TransferDone done -> startDecode(state);
       case Event.FirstToken first -> {}
       case Event.DecodeDone done -> complete(state);
-      case Event.PlainDone done -> answered(state);
-      case Event.AttemptFailed failed -> failed(state, failed);
+      case Event.PlainDone done -> onAnswer(state);
+      case Event.AttemptFailed failed -> onFailure(state, failed);
       case Event.CancelSettled settled -> {}
-      case Event.ClaimSettled settled -> claimed(state, settled.outcome());
+      case Event.ClaimSettled settled -> onClaim(state, settled.outcome());
       case Event.RecordSettled settled -> complete(state);
     }
   }
 
-  private void arrive(Call call) {
-    Rule rule = ruleOf(call);
+  private void onRequest(Call call) {
+    Rule rule = findRule(call);
     if (rule == null) {
       sink.accept(new Effect.Refuse(call.id(), ErrorKind.NO_RULE, 0, "No rule."));
       return;
@@ -128,32 +128,32 @@
     State state = new State(call, rule, now);
     requests.put(call.id(), state);
     sink.accept(new Effect.Wake(state.deadline));
-    begin(state);
+    start(state);
   }
 
-  private void begin(State state) {
+  private void start(State state) {
     switch (state.call) {
-      case Call.Completion completion -> prefill(state);
+      case Call.Completion completion -> startPrefill(state);
       case Call.Plain plain -> {
         Optional<RunKey> key = plain.runKey();
         if (key.isPresent() && !state.claimed) {
           newAttempt(state, null);
-          sink.accept(new Effect.ClaimRun(state.current, plain.id(), plain.workspace(), key.get()));
+          sink.accept(new Effect.ClaimRun(state.attempt, plain.id(), plain.workspace(), key.get()));
         } else {
-          send(state);
+          sendPlain(state);
         }
       }
     }
   }
 
-  private void claimed(State state, ClaimOutcome outcome) {
+  private void onClaim(State state, ClaimOutcome outcome) {
     switch (outcome) {
       case CLAIMED -> {
         state.claimed = true;
-        send(state);
+        sendPlain(state);
       }
       case ALREADY_DONE -> {
-        sink.accept(new Effect.Replay(state.call.id(), state.current));
+        sink.accept(new Effect.Replay(state.call.id(), state.attempt));
         end(state);
       }
       case IN_PROGRESS -> refuse(state, ErrorKind.IN_PROGRESS);
@@ -163,17 +163,18 @@
     }
   }
 
-  private void send(State state) {
-    UpstreamName service = choose(state.rule, Role.SERVICE);
+  private void sendPlain(State state) {
+    UpstreamName service = selectUpstream(state.rule, Role.SERVICE);
     if (service == null) {
       refuse(state, ErrorKind.UPSTREAM_FAILED);
       return;
     }
     newAttempt(state, service);
-    sink.accept(new Effect.SendPlain(state.current, state.call.id(), service, left(state)));
+    sink.accept(
+        new Effect.SendPlain(state.attempt, state.call.id(), service, remainingNanos(state)));
   }
 
-  private void answered(State state) {
+  private void onAnswer(State state) {
     if (!state.claimed) {
       complete(state);
       return;
@@ -181,25 +182,25 @@
     RunKey key = state.call.runKey().orElseThrow();
     sink.accept(
         new Effect.RecordRun(
-            state.current, state.call.id(), state.call.workspace(), key, RunResult.DONE));
+            state.attempt, state.call.id(), state.call.workspace(), key, RunResult.DONE));
   }
 
-  private void prefill(State state) {
-    UpstreamName engine = choose(state.rule, Role.PREFILL);
+  private void startPrefill(State state) {
+    UpstreamName engine = selectUpstream(state.rule, Role.PREFILL);
     if (engine == null) {
       refuse(state, ErrorKind.UPSTREAM_FAILED);
       return;
     }
     newAttempt(state, engine);
-    state.prefill = state.current;
-    state.prefillAt = engine;
+    state.prefillAttempt = state.attempt;
+    state.prefillUpstream = engine;
     sink.accept(
         new Effect.StartPrefill(
-            state.current, state.call.id(), engine, 0, state.tokens, left(state)));
+            state.attempt, state.call.id(), engine, 0, state.tokens, remainingNanos(state)));
   }
 
-  private void prefilled(State state) {
-    UpstreamName engine = choose(state.rule, Role.DECODE);
+  private void startTransfer(State state) {
+    UpstreamName engine = selectUpstream(state.rule, Role.DECODE);
     if (engine == null) {
       refuse(state, ErrorKind.UPSTREAM_FAILED);
       return;
@@ -207,30 +208,40 @@
     newAttempt(state, engine);
     sink.accept(
         new Effect.StartTransfer(
-            state.current, state.call.id(), state.prefill, state.prefillAt, engine, left(state)));
+            state.attempt,
+            state.call.id(),
+            state.prefillAttempt,
+            state.prefillUpstream,
+            engine,
+            remainingNanos(state)));
   }
 
-  private void decode(State state) {
+  private void startDecode(State state) {
     sink.accept(
         new Effect.StartDecode(
-            state.current, state.call.id(), state.currentAt, 0, state.tokens, left(state)));
+            state.attempt,
+            state.call.id(),
+            state.upstream,
+            0,
+            state.tokens,
+            remainingNanos(state)));
   }
 
-  private void failed(State state, Event.AttemptFailed failed) {
+  private void onFailure(State state, Event.AttemptFailed failed) {
     state.tokens = Math.max(state.tokens, failed.tokens());
     state.failures++;
-    boolean mayRepeat = state.call instanceof Call.Completion || state.call.runKey().isEmpty();
-    boolean repeat = mayRepeat || failed.exposure() != Exposure.MAY_HAVE_RUN;
-    if (!repeat || state.failures >= MAX_ATTEMPTS || now >= state.deadline) {
+    boolean isRepeatable = state.call instanceof Call.Completion || state.call.runKey().isEmpty();
+    boolean mayRetry = isRepeatable || failed.exposure() != Exposure.MAY_HAVE_RUN;
+    if (!mayRetry || state.failures >= MAX_ATTEMPTS || now >= state.deadline) {
       refuse(state, ErrorKind.UPSTREAM_FAILED);
     } else if (failed.cause() == FailureCause.NO_SLOT) {
-      prefilled(state);
+      startTransfer(state);
     } else {
-      begin(state);
+      start(state);
     }
   }
 
-  private void leave(State state) {
+  private void onCallerGone(State state) {
     if (state != null) {
       cancel(state);
       sink.accept(new Effect.Forget(state.call.id()));
@@ -239,24 +250,24 @@
   }
 
   private void expire() {
-    List<State> late = new ArrayList<>();
+    List<State> expired = new ArrayList<>();
     for (State state : requests.values()) {
       if (now >= state.deadline) {
-        late.add(state);
+        expired.add(state);
       }
     }
-    for (State state : late) {
+    for (State state : expired) {
       cancel(state);
       refuse(state, ErrorKind.DEADLINE_EXCEEDED);
     }
   }
 
   private void cancel(State state) {
-    if (state.currentAt != null) {
-      sink.accept(new Effect.Cancel(state.current, state.call.id(), state.currentAt));
+    if (state.upstream != null) {
+      sink.accept(new Effect.Cancel(state.attempt, state.call.id(), state.upstream));
     }
-    if (state.prefill != null && !state.prefill.equals(state.current)) {
-      sink.accept(new Effect.Cancel(state.prefill, state.call.id(), state.prefillAt));
+    if (state.prefillAttempt != null && !state.prefillAttempt.equals(state.attempt)) {
+      sink.accept(new Effect.Cancel(state.prefillAttempt, state.call.id(), state.prefillUpstream));
     }
   }
 
@@ -266,7 +277,7 @@
   }
 
   private void complete(State state) {
-    sink.accept(new Effect.Complete(state.call.id(), state.current));
+    sink.accept(new Effect.Complete(state.call.id(), state.attempt));
     end(state);
   }
 
@@ -277,40 +288,42 @@
 
   private void newAttempt(State state, UpstreamName upstream) {
     dropAttempt(state);
-    state.current = new AttemptId(++lastAttempt);
-    state.currentAt = upstream;
-    attempts.put(state.current, state);
+    state.attempt = new AttemptId(++lastAttempt);
+    state.upstream = upstream;
+    attempts.put(state.attempt, state);
     if (upstream != null) {
       outstanding.merge(upstream, 1, Integer::sum);
     }
   }
 
   private void dropAttempt(State state) {
-    if (state.current != null) {
-      attempts.remove(state.current);
+    if (state.attempt != null) {
+      attempts.remove(state.attempt);
     }
-    if (state.currentAt != null) {
-      outstanding.merge(state.currentAt, -1, Integer::sum);
+    if (state.upstream != null) {
+      outstanding.merge(state.upstream, -1, Integer::sum);
     }
   }
 
-  private UpstreamName choose(Rule rule, Role role) {
+  private UpstreamName selectUpstream(Rule rule, Role role) {
     List<UpstreamName> best = new ArrayList<>();
-    int least = Integer.MAX_VALUE;
+    int minLoad = Integer.MAX_VALUE;
     for (Pool pool : configuration.pools().values()) {
       if (pool.role() != role || !rule.pools().matches(pool.labels())) {
         continue;
       }
       for (Upstream upstream : configuration.upstreams().values()) {
-        if (silent.contains(upstream.name()) || !pool.upstreams().matches(upstream.labels())) {
+        if (unavailableUpstreams.contains(upstream.name())
+            || !pool.upstreams().matches(upstream.labels())) {
           continue;
         }
-        int load = choice == Choice.RANDOM ? 0 : outstanding.getOrDefault(upstream.name(), 0);
-        if (load < least) {
+        int load =
+            strategy == SelectionStrategy.RANDOM ? 0 : outstanding.getOrDefault(upstream.name(), 0);
+        if (load < minLoad) {
           best.clear();
-          least = load;
+          minLoad = load;
         }
-        if (load == least) {
+        if (load == minLoad) {
           best.add(upstream.name());
         }
       }
@@ -318,7 +331,7 @@
     return best.isEmpty() ? null : best.get(random.nextInt(best.size()));
   }
 
-  private Rule ruleOf(Call call) {
+  private Rule findRule(Call call) {
     for (Rule rule : configuration.rules().values()) {
       boolean matches =
           switch (call) {
@@ -334,7 +347,7 @@
     return null;
   }
 
-  private long left(State state) {
+  private long remainingNanos(State state) {
     return Math.max(1, state.deadline - now);
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/policy/Subject.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/policy/RoutingPolicy.java
@@ -17,12 +17,12 @@
  * @since 0.1
  */
 @FunctionalInterface
-public interface Subject {
+public interface RoutingPolicy {
   /**
-   * Takes an event and decides.
+   * Handles an event.
    *
    * @param event the event
-   * @param sink takes the effects in order
+   * @param sink receives the resulting effects in order
    */
   void apply(Event event, EffectSink sink);
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Arrival.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Arrival.java
@@ -16,19 +16,19 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * One request of the traffic, with what no router knows beforehand.
+ * One request of the traffic, including properties that no router knows in advance.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param index its number from 0 in the order of arrival
- * @param at when it arrives
- * @param kind its class
- * @param prompt prompt tokens
- * @param output tokens that it will generate
- * @param prefixes keys of its prompt's prefixes
- * @param workspace its workspace
- * @param leavesAt when its caller leaves; {@link Long#MAX_VALUE} if it stays
- * @param runKey the key under which it may run once; empty if it may run again
+ * @param index the position in the order of arrival, from 0
+ * @param at the time of arrival in nanoseconds
+ * @param kind the class of the request
+ * @param prompt the number of prompt tokens
+ * @param output the number of tokens that will be generated
+ * @param prefixes the keys of the prompt's prefixes
+ * @param workspace the workspace of the request
+ * @param leavesAt the time at which the caller disconnects; {@link Long#MAX_VALUE} if never
+ * @param runKey the key of a request that may run at most once; empty if it may run again
  * @since 0.1
  */
 public record Arrival(
@@ -43,7 +43,7 @@
     Optional<RunKey> runKey) {
 
   /**
-   * The id of the request at its node.
+   * Returns the id of the request at its node.
    *
    * @return the id
    */
@@ -52,8 +52,8 @@
   }
 
   /**
-   * The time by which the answer has to be complete to count: targets, deadline and the caller's
-   * patience together.
+   * Returns the latest time of a complete answer that can be good, as limited by the targets, the
+   * deadline and the time at which the caller disconnects.
    *
    * @return the time
    */
@@ -63,7 +63,7 @@
   }
 
   /**
-   * What the router sees.
+   * Returns the request as the router receives it.
    *
    * @return the call
    */
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Capacity.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Capacity.java
@@ -11,18 +11,18 @@
 import org.larkkeel.config.Role;
 
 /**
- * The fluid limit: completions a second at which the scarcest resource is in use all the time.
+ * The fluid limits: the rates of completions at which one resource is fully utilized.
  *
  * <p>Prompts count in full, as if no prefix were cached. Immutable and safe for use by several
  * threads.
  *
- * @param prefill completions a second that the prefill engines can compute
- * @param transfer completions a second that the decode engines' links can carry
- * @param decode completions a second that the decode engines can generate
+ * @param prefill completions per second that the prefill engines can compute
+ * @param transfer completions per second that the decode engines' links can carry
+ * @param decode completions per second that the decode engines can generate
  * @since 0.1
  */
 public record Capacity(double prefill, double transfer, double decode) {
-  private static final int SAMPLES = 20_000;
+  private static final int SAMPLE_COUNT = 20_000;
   private static final long SEED = 20_260_101L;
 
   /**
@@ -36,32 +36,34 @@
       return new Capacity(0, 0, 0);
     }
     SplittableRandom random = new SplittableRandom(SEED);
-    double prompt = 0;
-    double output = 0;
-    for (int i = 0; i < SAMPLES; i++) {
+    double meanPrompt = 0;
+    double meanOutput = 0;
+    for (int i = 0; i < SAMPLE_COUNT; i++) {
       Arrival sample = Traffic.sample(scenario, random);
-      prompt += sample.prompt();
-      output += sample.output();
+      meanPrompt += sample.prompt();
+      meanOutput += sample.output();
     }
-    prompt /= SAMPLES;
-    output /= SAMPLES;
-    double tokens = 0;
-    double bytes = 0;
-    double generated = 0;
+    meanPrompt /= SAMPLE_COUNT;
+    meanOutput /= SAMPLE_COUNT;
+    double prefillTokensPerSecond = 0;
+    double linkBytesPerSecond = 0;
+    double decodeTokensPerSecond = 0;
     for (Member member : Members.all(scenario)) {
       boolean decodes = member.group().role() == Role.DECODE;
-      tokens += member.group().tokensPerSecond();
-      bytes += decodes ? member.group().linkBytesPerSecond() : 0;
-      generated += decodes ? member.group().decodeTokensPerSecond() : 0;
+      prefillTokensPerSecond += member.group().tokensPerSecond();
+      linkBytesPerSecond += decodes ? member.group().linkBytesPerSecond() : 0;
+      decodeTokensPerSecond += decodes ? member.group().decodeTokensPerSecond() : 0;
     }
     return new Capacity(
-        tokens / prompt, bytes / (prompt * scenario.kvBytesPerToken()), generated / output);
+        prefillTokensPerSecond / meanPrompt,
+        linkBytesPerSecond / (meanPrompt * scenario.kvBytesPerToken()),
+        decodeTokensPerSecond / meanOutput);
   }
 
   /**
-   * The scarcest of the three.
+   * Returns the limit of the scarcest resource.
    *
-   * @return completions a second
+   * @return completions per second
    */
   public double completionsPerSecond() {
     return Math.min(prefill, Math.min(transfer, decode));
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Distribution.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Distribution.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 
 /**
- * A distribution of sizes or times, cut to its bounds.
+ * A bounded distribution of sizes or times.
  *
  * <p>Immutable and safe for use by several threads.
  *
@@ -17,27 +17,27 @@
  */
 public sealed interface Distribution {
   /**
-   * Always the same value.
+   * A single value.
    *
    * @param value the value
    */
   record Fixed(double value) implements Distribution {}
 
   /**
-   * Equally likely values.
+   * A uniform distribution.
    *
-   * @param min the least value
-   * @param max the greatest value
+   * @param min the minimum
+   * @param max the maximum
    */
   record Uniform(double min, double max) implements Distribution {}
 
   /**
-   * Values whose logarithm is normal, cut to bounds.
+   * A log-normal distribution, clamped to bounds.
    *
    * @param median the median
-   * @param sigma standard deviation of the natural logarithm
-   * @param min the least value
-   * @param max the greatest value
+   * @param sigma the standard deviation of the natural logarithm
+   * @param min the minimum
+   * @param max the maximum
    */
   record LogNormal(double median, double sigma, double min, double max) implements Distribution {}
 
@@ -52,11 +52,11 @@
       case Fixed fixed -> fixed.value;
       case Uniform uniform -> uniform.min + (uniform.max - uniform.min) * random.nextDouble();
       case LogNormal log ->
-          Math.clamp(log.median * Math.exp(log.sigma * gaussian(random)), log.min, log.max);
+          Math.clamp(log.median * Math.exp(log.sigma * drawGaussian(random)), log.min, log.max);
     };
   }
 
-  private static double gaussian(SplittableRandom random) {
+  private static double drawGaussian(SplittableRandom random) {
     double radius = Math.sqrt(-2 * Math.log(1 - random.nextDouble()));
     return radius * Math.cos(2 * Math.PI * random.nextDouble());
   }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/FaultPlan.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/FaultPlan.java
@@ -16,7 +16,7 @@
 import org.larkkeel.bench.experiment.scenario.Scenario.FaultType;
 
 /**
- * The faults of one run with their times and places.
+ * Draws the times and upstreams of the faults of one run.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -28,10 +28,10 @@
   /**
    * One fault.
    *
-   * @param type what happens
-   * @param from when it begins
-   * @param until when it is over
-   * @param upstream where; empty for the store
+   * @param type the type of fault
+   * @param from the start in nanoseconds
+   * @param until the end in nanoseconds
+   * @param upstream the affected upstream; empty for the store
    */
   public record Occurrence(FaultType type, long from, long until, String upstream) {}
 
@@ -40,24 +40,25 @@
    *
    * @param scenario the scenario
    * @param seed the seed
-   * @return the faults by time
+   * @return the faults in the order of their start
    */
   public static ImmutableList<Occurrence> draw(Scenario scenario, long seed) {
     SplittableRandom random = new SplittableRandom(~seed);
     List<Occurrence> drawn = new ArrayList<>();
     for (Fault fault : scenario.faults()) {
-      long at = Scenario.START + fault.at();
+      long at = Scenario.ARRIVALS_START_NANOS + fault.at();
       do {
         drawn.add(
-            new Occurrence(fault.type(), at, at + fault.lasts(), place(scenario, fault, random)));
-        at += fault.every();
-      } while (fault.every() > 0 && at < scenario.end());
+            new Occurrence(
+                fault.type(), at, at + fault.duration(), chooseUpstream(scenario, fault, random)));
+        at += fault.period();
+      } while (fault.period() > 0 && at < scenario.end());
     }
     drawn.sort(Comparator.comparingLong(Occurrence::from));
     return ImmutableList.copyOf(drawn);
   }
 
-  private static String place(Scenario scenario, Fault fault, SplittableRandom random) {
+  private static String chooseUpstream(Scenario scenario, Fault fault, SplittableRandom random) {
     if (fault.type() == FaultType.STORE_DOWN || !fault.upstream().isEmpty()) {
       return fault.upstream();
     }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Fields.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Fields.java
@@ -20,10 +20,10 @@
 import java.util.function.Function;
 
 /**
- * Reads the fields of one JSON object strictly: each is checked, and none may be left over.
+ * Reads the fields of one JSON object strictly: checks each value and rejects unknown fields.
  *
- * <p>Each method throws {@link ScenarioException} with field, value and remedy. Not safe for use by
- * several threads.
+ * <p>Each method throws {@link ScenarioException}, whose message names field, value and remedy, if
+ * a field is missing or not valid. Not safe for use by several threads.
  *
  * @since 0.1
  */
@@ -38,7 +38,7 @@
 
   private final JsonNode node;
   private final String path;
-  private final Set<String> read = new HashSet<>();
+  private final Set<String> readNames = new HashSet<>();
 
   Fields(JsonNode node, String path) {
     this.node = node;
@@ -49,32 +49,32 @@
   }
 
   /**
-   * The fields of a text in JSON with comments.
+   * Parses a JSON object with comments.
    *
-   * @param text a JSON object
-   * @param name what the text is called in messages
+   * @param text the text of a JSON object
+   * @param name the name of the object in messages
    */
   public static Fields parse(String text, String name) {
     try {
       return new Fields(MAPPER.readTree(text), name);
     } catch (JsonProcessingException e) {
       throw new ScenarioException(
-          name + " is not JSON with comments: " + e.getOriginalMessage() + at(e));
+          name + " is not JSON with comments: " + e.getOriginalMessage() + location(e));
     }
   }
 
-  private static String at(JsonProcessingException e) {
+  private static String location(JsonProcessingException e) {
     return e.getLocation() == null
         ? ""
         : ", line " + e.getLocation().getLineNr() + " column " + e.getLocation().getColumnNr();
   }
 
-  /** Whether there is such a field. */
+  /** Returns whether a field is present. */
   public boolean has(String name) {
     return node.has(name);
   }
 
-  /** A text that is not blank. */
+  /** Returns a required string that is not blank. */
   public String text(String name) {
     JsonNode value = require(name);
     if (!value.isTextual() || value.asText().isBlank()) {
@@ -87,21 +87,21 @@
     return has(name) ? text(name) : fallback;
   }
 
-  /** A number within bounds, both included. */
+  /** Returns a required number within inclusive bounds. */
   public double number(String name, double min, double max) {
     JsonNode value = require(name);
     if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
-      throw error(name, value, "write a number from " + show(min) + " to " + show(max));
+      throw error(name, value, "write a number from " + format(min) + " to " + format(max));
     }
     return value.asDouble();
   }
 
-  /** As the other, or a fallback where the field is missing. */
+  /** Returns a number within inclusive bounds, or a fallback if the field is missing. */
   public double number(String name, double min, double max, double fallback) {
     return has(name) ? number(name, min, max) : fallback;
   }
 
-  /** A whole number within bounds, or a fallback where the field is missing. */
+  /** Returns an integer within inclusive bounds, or a fallback if the field is missing. */
   public int integer(String name, int min, int max, int fallback) {
     if (!has(name)) {
       return fallback;
@@ -124,7 +124,7 @@
     return value.asBoolean();
   }
 
-  /** A word that has to be there, one of those of an enum, in lower case with hyphens. */
+  /** Returns a required enum constant, which is written in lower case with hyphens. */
   public <E extends Enum<E>> E choice(String name, Class<E> type) {
     return choice(name, type, null);
   }
@@ -133,9 +133,9 @@
     if (fallback != null && !has(name)) {
       return fallback;
     }
-    String written = text(name);
+    String value = text(name);
     for (E constant : type.getEnumConstants()) {
-      if (slug(constant).equals(written)) {
+      if (slug(constant).equals(value)) {
         return constant;
       }
     }
@@ -144,7 +144,7 @@
     throw error(name, node.get(name), "write one of " + choices);
   }
 
-  /** A list of objects, each read whole. */
+  /** Reads a list of objects, whose fields the reader must all read. */
   public <T> ImmutableList<T> list(String name, Function<Fields, T> reader) {
     ImmutableList.Builder<T> items = ImmutableList.builder();
     Iterator<JsonNode> values = array(name).elements();
@@ -172,23 +172,23 @@
     return all;
   }
 
-  /** An object, which the caller has to finish. */
+  /** Returns a nested object, for which the caller must call {@link #finish}. */
   public Fields object(String name) {
     return new Fields(require(name), path + "." + name);
   }
 
-  /** Refuses fields that nobody read. */
+  /** Rejects fields that were not read. */
   public void finish() {
     Iterator<String> names = node.fieldNames();
     while (names.hasNext()) {
       String name = names.next();
-      if (!read.contains(name)) {
+      if (!readNames.contains(name)) {
         throw error(name, node.get(name), "no such field; remove it or correct its name");
       }
     }
   }
 
-  /** What is wrong with a field. */
+  /** Returns the exception for a field with a value that is not valid. */
   public ScenarioException error(String name, Object value, String remedy) {
     return new ScenarioException(path + "." + name + " is " + value + ": " + remedy);
   }
@@ -202,7 +202,7 @@
   }
 
   private JsonNode require(String name) {
-    read.add(name);
+    readNames.add(name);
     JsonNode value = node.get(name);
     if (value == null) {
       throw new ScenarioException(path + "." + name + " is missing: add it");
@@ -214,7 +214,7 @@
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  private static String show(double value) {
+  private static String format(double value) {
     return value == Math.rint(value) && Math.abs(value) < 1e15
         ? Long.toString((long) value)
         : Double.toString(value);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Members.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Members.java
@@ -12,7 +12,7 @@
 import org.larkkeel.config.Role;
 
 /**
- * The single upstreams of a scenario.
+ * Lists the upstreams of a scenario one by one.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -24,9 +24,9 @@
   /**
    * One upstream of a group.
    *
-   * @param name its name
-   * @param dataCentre its place
-   * @param group its group
+   * @param name the name of the upstream
+   * @param dataCentre the data centre of the upstream
+   * @param group the group of the upstream
    */
   public record Member(String name, String dataCentre, UpstreamGroup group) {}
 
@@ -34,14 +34,14 @@
    * Lists all upstreams.
    *
    * @param scenario the scenario
-   * @return one entry an upstream, in the order of the file
+   * @return one entry per upstream, in the order of the file
    */
   public static ImmutableList<Member> all(Scenario scenario) {
     ImmutableList.Builder<Member> members = ImmutableList.builder();
     for (UpstreamGroup group : scenario.upstreams()) {
       for (int i = 0; i < group.count(); i++) {
-        String place = group.dataCentres().get(i % group.dataCentres().size());
-        members.add(new Member(group.name() + "-" + i, place, group));
+        String dataCentre = group.dataCentres().get(i % group.dataCentres().size());
+        members.add(new Member(group.name() + "-" + i, dataCentre, group));
       }
     }
     return members.build();
@@ -52,7 +52,7 @@
    *
    * @param scenario the scenario
    * @param role the role
-   * @return one entry an upstream
+   * @return one entry per upstream
    */
   public static ImmutableList<Member> of(Scenario scenario, Role role) {
     return all(scenario).stream()
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Scenario.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Scenario.java
@@ -11,23 +11,23 @@
 import org.larkkeel.config.Urgency;
 
 /**
- * One experiment, as its file describes it.
+ * The description of one experiment, as read from its file.
  *
  * <p>Immutable and safe for use by several threads. All times are nanoseconds.
  *
  * @param name the name used in results
- * @param seeds one run a seed
+ * @param seeds the seeds, with one run for each
  * @param loads load factors relative to the computed capacity
- * @param duration length of the arrivals
- * @param nodes number of routers
- * @param sharedSlots whether the routers know of each other and share slots by grants
- * @param policies names of the policies under test
- * @param kvBytesPerToken size of the KV cache of one token
- * @param platform delays and gaps of the surroundings
+ * @param duration the duration of the arrivals
+ * @param nodes the number of routers
+ * @param sharedSlots true if the routers know each other and share slots by grants
+ * @param policies the names of the policies under test
+ * @param kvBytesPerToken the size of the KV cache of one token
+ * @param platform delays and losses outside the routers
  * @param arrivals the arrival process of completions
- * @param upstreams engines and services
+ * @param upstreams the engines and services
  * @param classes the request mix
- * @param faults what fails and when
+ * @param faults the faults with their times
  * @since 0.1
  */
 public record Scenario(
@@ -46,34 +46,34 @@
     ImmutableList<Fault> faults) {
 
   /** Nanoseconds of a millisecond. */
-  public static final long MILLI = 1_000_000L;
+  public static final long NANOS_PER_MILLI = 1_000_000L;
 
   /** Nanoseconds of a second. */
-  public static final long SECOND = 1_000_000_000L;
+  public static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-  /** When the arrivals begin; before, the routers learn of the upstreams. */
-  public static final long START = 2 * SECOND;
+  /** The start of the arrivals; the routers learn of the upstreams before. */
+  public static final long ARRIVALS_START_NANOS = 2 * NANOS_PER_SECOND;
 
   /**
-   * When the arrivals end.
+   * Returns the end of the arrivals.
    *
-   * @return nanoseconds
+   * @return the time in nanoseconds
    */
   public long end() {
-    return START + duration;
+    return ARRIVALS_START_NANOS + duration;
   }
 
   /**
-   * Delays and gaps of the surroundings.
+   * Delays and losses outside the routers.
    *
-   * @param betweenDataCentres one-way latency between data centres
-   * @param withinDataCentre one-way latency inside one
-   * @param reportEvery period of load reports
-   * @param reportLag age of a load report at its arrival
-   * @param cacheEventLag age of a cache event at its arrival
-   * @param cacheEventGapShare share of cache events that are lost
-   * @param cancelDelay time that an engine takes to acknowledge a cancel
-   * @param storeDelay time that the store takes for a claim or a record
+   * @param betweenDataCentres the one-way latency between data centres
+   * @param withinDataCentre the one-way latency within a data centre
+   * @param reportEvery the interval between load reports
+   * @param reportLag the age of a load report at its arrival
+   * @param cacheEventLag the age of a cache event at its arrival
+   * @param cacheEventGapShare the share of cache events that are lost
+   * @param cancelDelay the time that an engine takes to acknowledge a cancel
+   * @param storeDelay the time that the store takes for a claim or a record
    */
   public record Platform(
       long betweenDataCentres,
@@ -86,19 +86,19 @@
       long storeDelay) {}
 
   /**
-   * The arrival process: Poisson, with the rate multiplied during bursts and lowered between them
-   * so that the mean stays.
+   * A Poisson arrival process, whose rate is multiplied during bursts and lowered between them so
+   * that the mean stays the same.
    *
-   * @param burstEvery period of the bursts; 0 for none
-   * @param burstFor length of a burst
-   * @param burstFactor rate within a burst relative to the mean
+   * @param burstEvery the period of the bursts; 0 for none
+   * @param burstFor the duration of a burst
+   * @param burstFactor the rate within a burst relative to the mean
    */
   public record Arrivals(long burstEvery, long burstFor, double burstFactor) {
-    /** Plain Poisson arrivals. */
+    /** Poisson arrivals without bursts. */
     public static final Arrivals POISSON = new Arrivals(0, 0, 1);
 
     /**
-     * The rate at a time relative to the mean.
+     * Returns the rate at a time relative to the mean.
      *
      * @param at the time
      * @return the factor
@@ -108,28 +108,28 @@
         return 1;
       }
       double share = (double) burstFor / burstEvery;
-      boolean burst = (at - START) % burstEvery < burstFor;
+      boolean burst = (at - ARRIVALS_START_NANOS) % burstEvery < burstFor;
       return burst ? burstFactor : (1 - share * burstFactor) / (1 - share);
     }
   }
 
   /**
-   * Equal upstreams.
+   * A group of equal upstreams.
    *
-   * @param name the first part of their names
-   * @param count how many
-   * @param role what they do
-   * @param generation hardware generation
-   * @param dataCentres their places, taken in turn
-   * @param slots requests that each runs at once
-   * @param linkBytesPerSecond rate of each one's link
-   * @param tokensPerSecond prefill speed; 0 for other roles
-   * @param overhead fixed time of a prefill
-   * @param kvHold time until KV cache is evicted
-   * @param cachePieces pieces of the prefix cache
-   * @param stepBase time of a decode step without requests; 0 for other roles
-   * @param stepPerRequest time that each request of the batch adds to a step
-   * @param serviceTime time of a plain call in milliseconds
+   * @param name the prefix of the upstreams' names
+   * @param count the number of upstreams
+   * @param role the role of the upstreams
+   * @param generation the hardware generation
+   * @param dataCentres the data centres, to which the upstreams are assigned in turn
+   * @param slots the number of requests that each upstream runs at once
+   * @param linkBytesPerSecond the rate of each upstream's link
+   * @param tokensPerSecond the prefill speed; 0 for other roles
+   * @param overhead the fixed time of a prefill
+   * @param kvHold the time until the KV cache of a prefill is evicted
+   * @param cachePieces the capacity of the prefix cache in pieces
+   * @param stepBase the time of a decode step without requests; 0 for other roles
+   * @param stepPerRequest the time that each request of the batch adds to a step
+   * @param serviceTime the time of a plain call in milliseconds
    */
   public record UpstreamGroup(
       String name,
@@ -148,47 +148,47 @@
       Distribution serviceTime) {
 
     /**
-     * The most tokens that one decode engine generates a second, reached with all slots in use.
+     * Returns the maximum rate of one decode engine, which it reaches with all slots in use.
      *
-     * @return tokens a second
+     * @return tokens per second
      */
     public double decodeTokensPerSecond() {
-      return slots * SECOND / step(slots);
+      return slots * NANOS_PER_SECOND / stepNanos(slots);
     }
 
     /**
-     * The time of a decode step.
+     * Returns the time of a decode step.
      *
-     * @param batch requests in the batch
+     * @param batch the number of requests in the batch
      * @return nanoseconds
      */
-    public double step(int batch) {
+    public double stepNanos(int batch) {
       return stepBase + stepPerRequest * batch;
     }
   }
 
   /**
-   * One kind of request.
+   * A class of requests.
    *
-   * @param name the name, also the model's or the path's
-   * @param plain whether it is a plain call rather than a completion
-   * @param share share of the completions; unused for plain calls
-   * @param requestsPerSecond fixed rate of plain calls
-   * @param urgency its class
-   * @param prompt prompt tokens
-   * @param output output tokens
-   * @param maxTokens the most tokens asked for
-   * @param firstToken target for the first token or the plain answer
-   * @param betweenTokens target for the mean time between tokens
-   * @param deadline time until the end
-   * @param cancelShare share of callers that leave
-   * @param cancelAfter when they leave, milliseconds after arrival
-   * @param workspaces number of workspaces that send it
-   * @param prefixShare share of prompts that begin with a shared prefix
-   * @param prefixes number of different shared prefixes
-   * @param prefixTokens length of a shared prefix
-   * @param nonIdempotentShare share of plain calls that may run only once
-   * @param repeatShare share of the non-idempotent calls that the caller sends again with its key
+   * @param name the name of the class, also used as model name or path
+   * @param plain true for plain calls, false for completions
+   * @param share the share of the completions; unused for plain calls
+   * @param requestsPerSecond the fixed rate of plain calls
+   * @param urgency the urgency class
+   * @param prompt the number of prompt tokens
+   * @param output the number of output tokens
+   * @param maxTokens the maximum number of output tokens that is requested
+   * @param firstToken the target for the first token or the plain answer
+   * @param betweenTokens the target for the mean time between tokens
+   * @param deadline the time from arrival to the deadline
+   * @param cancelShare the share of callers that disconnect early
+   * @param cancelAfter the time from arrival to the disconnect in milliseconds
+   * @param workspaces the number of workspaces that send such requests
+   * @param prefixShare the share of prompts that begin with a shared prefix
+   * @param prefixes the number of different shared prefixes
+   * @param prefixTokens the length of a shared prefix
+   * @param nonIdempotentShare the share of plain calls that may run only once
+   * @param repeatShare the share of non-idempotent calls that the caller repeats with the same key
    */
   public record RequestClass(
       String name,
@@ -212,27 +212,27 @@
       double repeatShare) {}
 
   /**
-   * Something that fails.
+   * A fault that occurs once or periodically.
    *
-   * @param type what happens
-   * @param at when, first
-   * @param every period of its repetition; 0 for once
-   * @param lasts how long; ignored by an eviction
-   * @param upstream the upstream; empty to choose one of the role by chance each time
-   * @param role the role to choose from
+   * @param type the type of fault
+   * @param at the time of the first occurrence, from the start of the arrivals
+   * @param period the period of repetition; 0 for a single occurrence
+   * @param duration the duration; ignored by an eviction
+   * @param upstream the affected upstream; empty to choose one of the role at random each time
+   * @param role the role of the upstreams to choose from
    */
   public record Fault(
-      FaultType type, long at, long every, long lasts, String upstream, Role role) {}
+      FaultType type, long at, long period, long duration, String upstream, Role role) {}
 
-  /** The kinds of faults. */
+  /** The types of faults. */
   public enum FaultType {
-    /** The process dies and is back with a new incarnation. */
+    /** The process crashes and restarts as a new incarnation. */
     KILL,
-    /** The process makes no progress and answers nothing. */
+    /** The process makes no progress and does not answer. */
     FREEZE,
-    /** The link moves no byte. */
+    /** The link transfers no bytes. */
     STALL,
-    /** All KV cache is dropped. */
+    /** A prefill engine evicts all KV caches that it holds. */
     EVICT_ALL,
     /** The store refuses claims and records. */
     STORE_DOWN
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/ScenarioException.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/ScenarioException.java
@@ -7,7 +7,7 @@
 package org.larkkeel.bench.experiment.scenario;
 
 /**
- * A scenario file is not valid; the message names the field, the value and the remedy.
+ * Thrown for a scenario or option that is not valid; the message names field, value and remedy.
  *
  * @since 0.1
  */
@@ -17,7 +17,7 @@
   /**
    * Creates the exception.
    *
-   * @param message what is wrong and what to write
+   * @param message the invalid field with its value, and the remedy
    */
   public ScenarioException(String message) {
     super(message);
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/ScenarioReader.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/ScenarioReader.java
@@ -22,7 +22,7 @@
 import org.larkkeel.lib.Names;
 
 /**
- * Reads scenarios in JSON with comments.
+ * Reads scenarios from JSON with comments.
  *
  * <p>Stateless and safe for use by several threads.
  *
@@ -31,7 +31,7 @@
 public final class ScenarioReader {
   private static final double MAX_MILLIS = 86_400_000;
   private static final double MAX_SECONDS = 86_400;
-  private static final double NO_LIMIT = 1e15;
+  private static final double MAX_RATE = 1e15;
   private static final int MAX_TOKENS = 1_000_000;
 
   private ScenarioReader() {}
@@ -39,8 +39,8 @@
   /**
    * Reads a scenario.
    *
-   * @param text the file's text
-   * @param knownPolicy tells whether a policy of that name exists
+   * @param text the content of the file
+   * @param knownPolicy returns whether a policy with the given name exists
    * @return the scenario
    * @throws ScenarioException if the text is malformed or a field is not valid
    */
@@ -48,7 +48,7 @@
     Fields fields = Fields.parse(text, "scenario");
     Scenario scenario = scenario(fields, knownPolicy);
     fields.finish();
-    check(scenario);
+    validate(scenario);
     return scenario;
   }
 
@@ -132,19 +132,19 @@
             v -> v.isTextual() && Names.isValid(v.asText()) ? v.asText() : null,
             "write names of data centres"),
         f.integer("slots", 1, 10_000, Upstream.DEFAULT_SLOTS),
-        (long) f.number("linkBytesPerSecond", 1, NO_LIMIT, Upstream.DEFAULT_LINK_BYTES_PER_SECOND),
-        prefill ? f.number("tokensPerSecond", 1, NO_LIMIT) : 0,
+        (long) f.number("linkBytesPerSecond", 1, MAX_RATE, Upstream.DEFAULT_LINK_BYTES_PER_SECOND),
+        prefill ? f.number("tokensPerSecond", 1, MAX_RATE) : 0,
         prefill ? millis(f.number("overheadMillis", 0, MAX_MILLIS, 5)) : 0,
         prefill ? millis(f.number("kvHoldMillis", 1, MAX_MILLIS, 800)) : 0,
         prefill ? f.integer("cachePieces", 0, 1_000_000, 64) : 0,
-        decode ? f.number("stepBaseMillis", 0.001, MAX_MILLIS) * Scenario.MILLI : 0,
-        decode ? f.number("stepPerRequestMillis", 0, MAX_MILLIS) * Scenario.MILLI : 0,
+        decode ? f.number("stepBaseMillis", 0.001, MAX_MILLIS) * Scenario.NANOS_PER_MILLI : 0,
+        decode ? f.number("stepPerRequestMillis", 0, MAX_MILLIS) * Scenario.NANOS_PER_MILLI : 0,
         service ? distribution(f, "serviceMillis", 0, MAX_MILLIS) : new Distribution.Fixed(0));
   }
 
   private static RequestClass requestClass(Fields f) {
     boolean plain = f.flag("plain", false);
-    boolean leaving = f.has("cancelShare");
+    boolean hasCancels = f.has("cancelShare");
     Distribution one = new Distribution.Fixed(1);
     return new RequestClass(
         name(f, "name"),
@@ -156,10 +156,12 @@
         plain ? one : distribution(f, "outputTokens", 1, MAX_TOKENS),
         plain ? 1 : f.integer("maxTokens", 1, MAX_TOKENS, 4096),
         millis(f.number("firstTokenMillis", 1, MAX_MILLIS)),
-        plain ? Scenario.SECOND : millis(f.number("betweenTokensMillis", 0.1, MAX_MILLIS)),
+        plain
+            ? Scenario.NANOS_PER_SECOND
+            : millis(f.number("betweenTokensMillis", 0.1, MAX_MILLIS)),
         millis(f.number("deadlineMillis", 1, MAX_MILLIS)),
         f.number("cancelShare", 0, 1, 0),
-        leaving ? distribution(f, "cancelAfterMillis", 0, MAX_MILLIS) : one,
+        hasCancels ? distribution(f, "cancelAfterMillis", 0, MAX_MILLIS) : one,
         f.integer("workspaces", 1, 10_000, 10),
         plain ? 0 : f.number("prefixShare", 0, 1, 0),
         plain ? 1 : f.integer("prefixes", 1, 100_000, 1),
@@ -170,15 +172,15 @@
 
   private static Fault fault(Fields f) {
     FaultType type = f.choice("type", FaultType.class, null);
-    boolean store = type == FaultType.STORE_DOWN;
-    boolean named = f.has("upstream") || store;
+    boolean isStore = type == FaultType.STORE_DOWN;
+    boolean hasUpstream = f.has("upstream") || isStore;
     return new Fault(
         type,
         seconds(f.number("atSeconds", 0, MAX_SECONDS)),
         seconds(f.number("everySeconds", 0.001, MAX_SECONDS, 0)),
         type == FaultType.EVICT_ALL ? 0 : seconds(f.number("forSeconds", 0.001, MAX_SECONDS)),
-        store ? "" : f.text("upstream", ""),
-        named ? Role.DECODE : f.choice("role", Role.class, null));
+        isStore ? "" : f.text("upstream", ""),
+        hasUpstream ? Role.DECODE : f.choice("role", Role.class, null));
   }
 
   private static Distribution distribution(Fields f, String name, double min, double max) {
@@ -200,17 +202,17 @@
     return distribution;
   }
 
-  private static void check(Scenario scenario) {
+  private static void validate(Scenario scenario) {
     Set<String> names = new HashSet<>();
     for (UpstreamGroup group : scenario.upstreams()) {
       if (!names.add(group.name())) {
-        throw twice("upstreams", group.name());
+        throw duplicateName("upstreams", group.name());
       }
     }
     double share = 0;
     for (RequestClass requestClass : scenario.classes()) {
       if (!names.add(requestClass.name())) {
-        throw twice("classes", requestClass.name());
+        throw duplicateName("classes", requestClass.name());
       }
       share += requestClass.share();
     }
@@ -233,7 +235,7 @@
     }
   }
 
-  private static ScenarioException twice(String list, String name) {
+  private static ScenarioException duplicateName(String list, String name) {
     return new ScenarioException(
         "scenario." + list + " has the name \"" + name + "\" twice: use another name");
   }
@@ -247,10 +249,10 @@
   }
 
   private static long millis(double millis) {
-    return Math.round(millis * Scenario.MILLI);
+    return Math.round(millis * Scenario.NANOS_PER_MILLI);
   }
 
   private static long seconds(double seconds) {
-    return Math.round(seconds * Scenario.SECOND);
+    return Math.round(seconds * Scenario.NANOS_PER_SECOND);
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Traffic.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/Traffic.java
@@ -20,15 +20,15 @@
 import org.larkkeel.lib.WorkspaceName;
 
 /**
- * Draws the requests of one run; the same seed and load give the same requests for every policy.
+ * Draws the requests of one run, which depend on seed and load but not on the policy.
  *
  * <p>Stateless and safe for use by several threads.
  *
  * @since 0.1
  */
 public final class Traffic {
-  private static final long REPEAT_AFTER_MAX = Scenario.SECOND;
-  private static final long REPEAT_AFTER_MIN = 10 * Scenario.MILLI;
+  private static final long MAX_REPEAT_DELAY_NANOS = Scenario.NANOS_PER_SECOND;
+  private static final long MIN_REPEAT_DELAY_NANOS = 10 * Scenario.NANOS_PER_MILLI;
 
   private Traffic() {}
 
@@ -36,7 +36,7 @@
    * Draws the requests.
    *
    * @param scenario the scenario
-   * @param completionsPerSecond mean rate of completions; plain calls have their own
+   * @param completionsPerSecond the mean rate of completions; plain calls have a rate of their own
    * @param seed the seed
    * @return the requests in the order of arrival
    */
@@ -45,37 +45,37 @@
     SplittableRandom random = new SplittableRandom(seed);
     List<Arrival> drawn = new ArrayList<>();
     SplittableRandom completions = random.split();
-    double peak = peak(scenario);
-    long at = Scenario.START;
+    double peak = peakFactor(scenario);
+    long at = Scenario.ARRIVALS_START_NANOS;
     while (completionsPerSecond > 0) {
-      at += gap(completions, completionsPerSecond * peak);
+      at += drawGap(completions, completionsPerSecond * peak);
       if (at >= scenario.end()) {
         break;
       }
       if (completions.nextDouble() * peak < scenario.arrivals().factor(at)) {
-        drawn.add(completion(pick(scenario, completions), at, drawn.size(), completions));
+        drawn.add(drawCompletion(drawClass(scenario, completions), at, drawn.size(), completions));
       }
     }
     for (RequestClass kind : scenario.classes()) {
       if (kind.plain()) {
-        plainCalls(scenario, kind, random.split(), drawn);
+        addPlainCalls(scenario, kind, random.split(), drawn);
       }
     }
-    return numbered(drawn);
+    return withIndexes(drawn);
   }
 
   /**
-   * Draws one completion of the mix, for estimates of the mean work.
+   * Draws one completion of the request mix, to estimate the mean work.
    *
    * @param scenario the scenario
    * @param random the source of randomness
    * @return a request that arrives at 0
    */
   static Arrival sample(Scenario scenario, SplittableRandom random) {
-    return completion(pick(scenario, random), 0, 0, random);
+    return drawCompletion(drawClass(scenario, random), 0, 0, random);
   }
 
-  private static ImmutableList<Arrival> numbered(List<Arrival> drawn) {
+  private static ImmutableList<Arrival> withIndexes(List<Arrival> drawn) {
     drawn.sort(Comparator.comparingLong(Arrival::at));
     ImmutableList.Builder<Arrival> arrivals = ImmutableList.builderWithExpectedSize(drawn.size());
     for (int i = 0; i < drawn.size(); i++) {
@@ -95,11 +95,11 @@
     return arrivals.build();
   }
 
-  private static void plainCalls(
+  private static void addPlainCalls(
       Scenario scenario, RequestClass kind, SplittableRandom random, List<Arrival> drawn) {
-    long at = Scenario.START;
+    long at = Scenario.ARRIVALS_START_NANOS;
     while (kind.requestsPerSecond() > 0) {
-      at += gap(random, kind.requestsPerSecond());
+      at += drawGap(random, kind.requestsPerSecond());
       if (at >= scenario.end()) {
         return;
       }
@@ -107,11 +107,11 @@
       if (random.nextDouble() < kind.nonIdempotentShare()) {
         key = Optional.of(new RunKey(new IdempotencyKey("k" + drawn.size()), drawn.size()));
       }
-      Arrival call = plain(kind, at, key, random);
+      Arrival call = drawPlainCall(kind, at, key, random);
       drawn.add(call);
       if (key.isPresent() && random.nextDouble() < kind.repeatShare()) {
-        long again = at + random.nextLong(REPEAT_AFTER_MIN, REPEAT_AFTER_MAX);
-        Arrival repeat = plain(kind, again, key, random);
+        long repeatAt = at + random.nextLong(MIN_REPEAT_DELAY_NANOS, MAX_REPEAT_DELAY_NANOS);
+        Arrival repeat = drawPlainCall(kind, repeatAt, key, random);
         drawn.add(withWorkspace(repeat, call.workspace()));
       }
     }
@@ -130,38 +130,47 @@
         a.runKey());
   }
 
-  private static Arrival plain(
+  private static Arrival drawPlainCall(
       RequestClass kind, long at, Optional<RunKey> key, SplittableRandom random) {
     return new Arrival(
-        0, at, kind, 0, 0, PrefixKeys.NONE, workspace(kind, random), leaves(kind, at, random), key);
+        0,
+        at,
+        kind,
+        0,
+        0,
+        PrefixKeys.NONE,
+        drawWorkspace(kind, random),
+        drawDisconnectTime(kind, at, random),
+        key);
   }
 
-  private static Arrival completion(
-      RequestClass kind, long at, int number, SplittableRandom random) {
+  private static Arrival drawCompletion(
+      RequestClass kind, long at, int index, SplittableRandom random) {
     int prompt = (int) Math.max(1, Math.round(kind.prompt().draw(random)));
     int drawn = (int) Math.max(1, Math.round(kind.output().draw(random)));
     int output = Math.min(drawn, kind.maxTokens());
-    boolean shared = random.nextDouble() < kind.prefixShare();
+    boolean isShared = random.nextDouble() < kind.prefixShare();
     int prefix = random.nextInt(kind.prefixes());
     return new Arrival(
-        number,
+        index,
         at,
         kind,
         prompt,
         output,
-        prefixes(kind, prompt, shared ? prefix : -1, random),
-        workspace(kind, random),
-        leaves(kind, at, random),
+        drawPrefixes(kind, prompt, isShared ? prefix : -1, random),
+        drawWorkspace(kind, random),
+        drawDisconnectTime(kind, at, random),
         Optional.empty());
   }
 
-  private static PrefixKeys prefixes(
-      RequestClass kind, int prompt, int shared, SplittableRandom random) {
+  private static PrefixKeys drawPrefixes(
+      RequestClass kind, int prompt, int prefix, SplittableRandom random) {
     int pieces = prompt / PrefixKeys.PIECE_TOKENS;
-    int common = shared < 0 ? 0 : Math.min(pieces, kind.prefixTokens() / PrefixKeys.PIECE_TOKENS);
+    int sharedPieces =
+        prefix < 0 ? 0 : Math.min(pieces, kind.prefixTokens() / PrefixKeys.PIECE_TOKENS);
     ImmutableLongArray.Builder keys = ImmutableLongArray.builder(pieces);
     for (int i = 0; i < pieces; i++) {
-      keys.add(i < common ? sharedKey(kind, shared, i) : random.nextLong());
+      keys.add(i < sharedPieces ? sharedKey(kind, prefix, i) : random.nextLong());
     }
     return new PrefixKeys(keys.build());
   }
@@ -171,7 +180,7 @@
     return new SplittableRandom(mixed * 1_000_003L + piece).nextLong();
   }
 
-  private static RequestClass pick(Scenario scenario, SplittableRandom random) {
+  private static RequestClass drawClass(Scenario scenario, SplittableRandom random) {
     double point = random.nextDouble();
     RequestClass last = null;
     for (RequestClass kind : scenario.classes()) {
@@ -187,21 +196,23 @@
     return last;
   }
 
-  private static WorkspaceName workspace(RequestClass kind, SplittableRandom random) {
+  private static WorkspaceName drawWorkspace(RequestClass kind, SplittableRandom random) {
     return new WorkspaceName(kind.name() + "-w" + random.nextInt(kind.workspaces()));
   }
 
-  private static long leaves(RequestClass kind, long at, SplittableRandom random) {
+  private static long drawDisconnectTime(RequestClass kind, long at, SplittableRandom random) {
     double chance = random.nextDouble();
-    double after = kind.cancelAfter().draw(random);
-    return chance < kind.cancelShare() ? at + (long) (after * Scenario.MILLI) : Long.MAX_VALUE;
+    double delayMillis = kind.cancelAfter().draw(random);
+    return chance < kind.cancelShare()
+        ? at + (long) (delayMillis * Scenario.NANOS_PER_MILLI)
+        : Long.MAX_VALUE;
   }
 
-  private static double peak(Scenario scenario) {
+  private static double peakFactor(Scenario scenario) {
     return scenario.arrivals().burstEvery() == 0 ? 1 : scenario.arrivals().burstFactor();
   }
 
-  private static long gap(SplittableRandom random, double perSecond) {
-    return 1 + (long) (-Math.log(1 - random.nextDouble()) / perSecond * Scenario.SECOND);
+  private static long drawGap(SplittableRandom random, double perSecond) {
+    return 1 + (long) (-Math.log(1 - random.nextDouble()) / perSecond * Scenario.NANOS_PER_SECOND);
   }
 }
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/package-info.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** What an experiment runs: the scenario file, its traffic, its faults and its capacity. */
+/** The input of an experiment: the scenario file with its traffic, faults and capacity. */
 package org.larkkeel.bench.experiment.scenario;
