--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
@@ -61,12 +61,12 @@
   private static final long SMALL_CHANGE_DELAY_NANOS = 40 * NANOS_PER_MILLI;
 
   /**
-   * The minimum interval between two load reports per receiving node: the cost of reports to a node
-   * must not grow with the square of the cluster size.
+   * The minimum interval between two load reports, for each node that receives them: what a node
+   * spends on sending reports must not grow with the square of the cluster size.
    */
   private static final long MIN_INTERVAL_PER_PEER_NANOS = NANOS_PER_MILLI / 2;
 
-  /** The minimum interval between two presence messages per receiving node. */
+  /** The minimum interval between two presence messages, for each node that receives them. */
   private static final long PRESENCE_PER_PEER_NANOS = 100 * NANOS_PER_MILLI;
 
   private static final int INACTIVITY_PERIODS = 4;
@@ -256,7 +256,8 @@
    * short delay.
    *
    * @param loads the load of this node at each upstream
-   * @param expiringUpstreams the upstreams at which prefill results expired prematurely
+   * @param expiringUpstreams the upstreams at which this node recently observed that prefill
+   *     handles are lost immediately
    * @param requests the pending reservations
    */
   public void update(
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessage.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessage.java
@@ -27,7 +27,9 @@
  * @param sender the sending node
  * @param loads units in flight by upstream: the sender's own, or those of all nodes but the
  *     receiver in {@link Kind#SUMS} and {@link Kind#CHANGED_SUMS}
- * @param expiringUpstreams the upstreams at which prefill results expired prematurely
+ * @param expiringUpstreams the upstreams at which the sender, or in {@link Kind#SUMS} and {@link
+ *     Kind#CHANGED_SUMS} a node that reports to it, recently observed that prefill handles are
+ *     lost immediately
  * @param requests the pending reservations of the sender
  * @param grants reservations for calls of the receiver
  * @param suspects suspect requests, which were in progress at upstreams that crashed
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
@@ -84,7 +84,8 @@
      *
      * @param loads the load at each upstream; if incomplete, at those where it has changed, with 0
      *     for no load
-     * @param expiringUpstreams the upstreams at which prefill results expired prematurely
+     * @param expiringUpstreams the upstreams at which a reporting node recently observed that prefill
+     *     handles are lost immediately
      * @param isComplete true if {@code loads} covers all upstreams, false if it holds changes only
      */
     record TotalLoads(
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayDialect.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayDialect.java
@@ -60,14 +60,14 @@
   UpstreamNotice notice(int status, Function<HttpString, List<String>> headers);
 
   /**
-   * Returns the handle in the answer of an upstream that has prefilled a prompt; empty if there is
-   * none.
+   * Returns the handle in the answer of an upstream that has prefilled a prompt or copied a run;
+   * empty if there is none.
    */
   Optional<String> readHandle(byte[] body);
 
   /**
    * Returns the control call that copies the memory of a run to another upstream; {@link
-   * #promptHandle} reads its answer.
+   * #readHandle} reads its answer.
    *
    * @param wireId the id of the request of the run
    * @param destination the upstream that receives the copy
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEvent.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEvent.java
@@ -102,7 +102,7 @@
   /** An order was refused, so the upstream continues in its previous stage. */
   record OrderRefused(long at, UpstreamIncarnation upstream) implements RelayEvent {}
 
-  /** A configuration was read; it is ignored if it is older than the one in force. */
+  /** A configuration was read; it is ignored unless it is newer than the one in force. */
   record ConfigurationRead(long at, RelayConfiguration configuration) implements RelayEvent {}
 
   /**
@@ -111,7 +111,8 @@
    * @param at the time at which it was received
    * @param node the reporting node
    * @param loads its load in flight at each upstream, in the units of {@code RelayRouter.loads}
-   * @param losingPrompts the upstreams whose prompts the node found to be lost immediately
+   * @param losingPrompts the upstreams at which the node recently observed that prefill handles are
+   *     lost immediately
    */
   record LoadHeard(
       long at,
@@ -180,7 +181,7 @@
   /** The quota coordinator has changed; there may be none. */
   record QuotaCoordinatorChanged(long at) implements RelayEvent {}
 
-  /** The number of nodes that share the retry budget. */
+  /** The number of nodes that share the slack of the retry budget and the quotas. */
   record NodesCounted(long at, int nodes) implements RelayEvent {}
 
   /** The node drains: pending reservations are refused, so that their callers use another node. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
@@ -100,7 +100,10 @@
     return flow.loads();
   }
 
-  /** Returns the upstreams whose prompts this node has found to be lost immediately. */
+  /**
+   * Returns the upstreams at which this node recently observed that prefill handles are lost
+   * immediately.
+   */
   public ImmutableSet<UpstreamIncarnation> losingHandles(long at) {
     return flow.losingHandles(at);
   }
@@ -124,7 +127,8 @@
   }
 
   /**
-   * Returns whether an upstream has a rate limit, so that each of its answers must be evaluated.
+   * Returns whether an upstream has a rate limit, or had one a moment ago, so that each of its
+   * answers must be evaluated.
    */
   public boolean isRateLimited(UpstreamIncarnation upstream) {
     return flow.isRateLimited(upstream);
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/UpstreamNotice.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/UpstreamNotice.java
@@ -21,7 +21,7 @@
   /**
    * Validates the backoff.
    *
-   * @throws IllegalArgumentException if {@code restNanos} is negative
+   * @throws IllegalArgumentException if {@code backoffNanos} is negative
    */
   public UpstreamNotice {
     if (backoffNanos < 0) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/HeldQuotas.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/HeldQuotas.java
@@ -56,12 +56,12 @@
     }
   }
 
-  /** Reserves tokens, as {@link QuotaHolder#ensureHeld}. */
+  /** Ensures that tokens are held, as {@link QuotaHolder#ensureHeld}. */
   boolean reserve(long at, QuotaKey key, TokenLimit limit, long tokens) {
     return holderAt(at).ensureHeld(at, key, limit, tokens);
   }
 
-  /** Spends reserved tokens, as {@link QuotaHolder#spend}. */
+  /** Spends held tokens, as {@link QuotaHolder#spend}. */
   void spend(QuotaKey key, long tokens) {
     holder.spend(key, tokens);
   }
@@ -74,7 +74,7 @@
     return holder == null ? Long.MIN_VALUE : holder.refillsAt(key);
   }
 
-  /** Forgets a quota, as {@link QuotaHolder#remove}. */
+  /** Removes a quota, as {@link QuotaHolder#remove}. */
   void forget(QuotaKey key) {
     if (holder != null) {
       holder.remove(key);
--- a/org.larkkeel/src/main/java/org/larkkeel/router/internal/AttemptTable.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/router/internal/AttemptTable.java
@@ -20,8 +20,8 @@
  *
  * <p>A late event of a former attempt does not change its request, but can show that an upstream or
  * a claim is still held for it, which must then be cancelled or released. Invariant: at most {@link
- * #MAX_FORMER} former attempts are kept; the oldest are dropped first. Not safe for use by several
- * threads.
+ * #MAX_FORMER_ATTEMPTS} former attempts are kept; the oldest are dropped first. Not safe for use by
+ * several threads.
  *
  * @since 0.1
  */
