--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Daemon.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/Daemon.java
@@ -277,8 +277,8 @@
     peerAdapter.setListener(
         new PeerAdapter.PeerChangeListener() {
           @Override
-          public void died(EngineRequestId.Origin ended) {
-            orphanSweeper.nodeDied();
+          public void incarnationEnded(EngineRequestId.Origin ended) {
+            orphanSweeper.nodeEnded();
           }
 
           @Override
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OrphanSweeper.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/OrphanSweeper.java
@@ -75,7 +75,7 @@
   }
 
   /** Sweeps after the death of a node, and repeats for requests that were still on their way. */
-  public void nodeDied() {
+  public void nodeEnded() {
     scheduler.execute(() -> sweepAll(RESWEEPS));
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerAdapter.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/PeerAdapter.java
@@ -57,7 +57,7 @@
      *
      * @param origin the incarnation
      */
-    default void died(EngineRequestId.Origin origin) {}
+    default void incarnationEnded(EngineRequestId.Origin origin) {}
 
     /**
      * Called when a peer has a newer configuration.
@@ -171,7 +171,7 @@
   private void markDead(EngineRequestId.Origin origin) {
     if (dead.add(origin)) {
       log.info("event=node_ended host={} incarnation={}", origin.host(), origin.incarnation());
-      listener.died(origin);
+      listener.incarnationEnded(origin);
     }
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LimitAdmin.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LimitAdmin.java
@@ -42,12 +42,12 @@
     exchange.getResponseSender().send(ByteBuffer.wrap(body));
   }
 
-  private static LimitStatus.Entry entry(RateLimitUsage use) {
+  private static LimitStatus.Entry entry(RateLimitUsage usage) {
     return new LimitStatus.Entry(
-        use.upstream().name().value(),
-        use.upstream().incarnation().value(),
-        use.limit().perSecond(),
-        TimeUnit.NANOSECONDS.toMillis(use.ageNanos()),
-        use.sent());
+        usage.upstream().name().value(),
+        usage.upstream().incarnation().value(),
+        usage.limit().perSecond(),
+        TimeUnit.NANOSECONDS.toMillis(usage.ageNanos()),
+        usage.sent());
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadChange.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadChange.java
@@ -24,14 +24,14 @@
 
   private ImmutableMap<UpstreamIncarnation, Long> loads = ImmutableMap.of();
   private ImmutableMap<UpstreamIncarnation, Long> reported = ImmutableMap.of();
-  private ImmutableSet<UpstreamIncarnation> expiringUpstreams = ImmutableSet.of();
+  private ImmutableSet<UpstreamIncarnation> losingHandles = ImmutableSet.of();
 
   ImmutableMap<UpstreamIncarnation, Long> loads() {
     return loads;
   }
 
-  ImmutableSet<UpstreamIncarnation> expiringUpstreams() {
-    return expiringUpstreams;
+  ImmutableSet<UpstreamIncarnation> losingHandles() {
+    return losingHandles;
   }
 
   /**
@@ -39,10 +39,10 @@
    *
    * @return whether the change must be reported before the next period
    */
-  boolean update(ImmutableMap<UpstreamIncarnation, Long> current, ImmutableSet<UpstreamIncarnation> expiring) {
-    boolean isUrgent = !expiringUpstreams.containsAll(expiring);
+  boolean update(ImmutableMap<UpstreamIncarnation, Long> current, ImmutableSet<UpstreamIncarnation> currentLosingHandles) {
+    boolean isUrgent = !losingHandles.containsAll(currentLosingHandles);
     loads = current;
-    expiringUpstreams = expiring;
+    losingHandles = currentLosingHandles;
     return isUrgent || hasChangedMuch();
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadExchange.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadExchange.java
@@ -137,9 +137,9 @@
    */
   void update(
       ImmutableMap<UpstreamIncarnation, Long> loads,
-      ImmutableSet<UpstreamIncarnation> expiringUpstreams,
+      ImmutableSet<UpstreamIncarnation> losingHandles,
       ImmutableList<ReservationRequest> requests) {
-    sharing.update(loads, expiringUpstreams, requests);
+    sharing.update(loads, losingHandles, requests);
   }
 
   /** Adds a grant for a call of another node. */
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
@@ -256,15 +256,15 @@
    * short delay.
    *
    * @param loads the load of this node at each upstream
-   * @param expiringUpstreams the upstreams at which this node recently observed that prefill
+   * @param losingHandles the upstreams at which this node recently observed that prefill
    *     handles are lost immediately
    * @param requests the pending reservations
    */
   public void update(
       ImmutableMap<UpstreamIncarnation, Long> loads,
-      ImmutableSet<UpstreamIncarnation> expiringUpstreams,
+      ImmutableSet<UpstreamIncarnation> losingHandles,
       ImmutableList<ReservationRequest> requests) {
-    boolean isUrgent = loadChange.update(loads, expiringUpstreams);
+    boolean isUrgent = loadChange.update(loads, losingHandles);
     isUrgent |= client.updateRequests(requests);
     server.ownLoads(loads);
     server.sendGrants();
@@ -321,7 +321,7 @@
   }
 
   private PeerMessage loadMessage(PeerMessage.Kind kind) {
-    return message(kind).withLoads(loadChange.loads(), loadChange.expiringUpstreams());
+    return message(kind).withLoads(loadChange.loads(), loadChange.losingHandles());
   }
 
   private NodeState state() {
@@ -379,7 +379,7 @@
     return switch (answer) {
       case ReservationServer.Answer.TotalLoads s ->
           message(s.isComplete() ? PeerMessage.Kind.SUMS : PeerMessage.Kind.CHANGED_SUMS)
-              .withLoads(s.loads(), s.expiringUpstreams());
+              .withLoads(s.loads(), s.losingHandles());
       case ReservationServer.Answer.Grants g ->
           message(PeerMessage.Kind.GRANTS).withGrants(g.grants());
     };
@@ -552,7 +552,7 @@
   private void submitLoad(PeerMessage m) {
     environment.submit(
         new RelayEvent.LoadHeard(
-            environment.now(), m.sender().node(), m.loads(), m.expiringUpstreams()));
+            environment.now(), m.sender().node(), m.loads(), m.losingHandles()));
   }
 
   private void receivedReport(PeerTable.Peer from, PeerMessage m) {
@@ -588,7 +588,7 @@
             environment.now(),
             m.sender().node(),
             ImmutableMap.copyOf(totalLoads),
-            m.expiringUpstreams()));
+            m.losingHandles()));
   }
 
   private void setTotalLoad(UpstreamIncarnation incarnation, long units) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessage.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessage.java
@@ -27,7 +27,7 @@
  * @param sender the sending node
  * @param loads units in flight by upstream: the sender's own, or those of all nodes but the
  *     receiver in {@link Kind#SUMS} and {@link Kind#CHANGED_SUMS}
- * @param expiringUpstreams the upstreams at which the sender, or in {@link Kind#SUMS} and {@link
+ * @param losingHandles the upstreams at which the sender, or in {@link Kind#SUMS} and {@link
  *     Kind#CHANGED_SUMS} a node that reports to it, recently observed that prefill handles are
  *     lost immediately
  * @param requests the pending reservations of the sender
@@ -39,7 +39,7 @@
     Kind kind,
     Sender sender,
     ImmutableMap<UpstreamIncarnation, Long> loads,
-    ImmutableSet<UpstreamIncarnation> expiringUpstreams,
+    ImmutableSet<UpstreamIncarnation> losingHandles,
     ImmutableList<ReservationRequest> requests,
     ImmutableList<ReservationGrant> grants,
     ImmutableList<SuspectRequest> suspects,
@@ -106,31 +106,31 @@
 
   /** Returns this message with loads. */
   PeerMessage withLoads(
-      ImmutableMap<UpstreamIncarnation, Long> newLoads, ImmutableSet<UpstreamIncarnation> newExpiring) {
-    return new PeerMessage(kind, sender, newLoads, newExpiring, requests, grants, suspects, quota);
+      ImmutableMap<UpstreamIncarnation, Long> newLoads, ImmutableSet<UpstreamIncarnation> newLosingHandles) {
+    return new PeerMessage(kind, sender, newLoads, newLosingHandles, requests, grants, suspects, quota);
   }
 
   /** Returns this message with pending reservations. */
   PeerMessage withRequests(ImmutableList<ReservationRequest> newRequests) {
     return new PeerMessage(
-        kind, sender, loads, expiringUpstreams, newRequests, grants, suspects, quota);
+        kind, sender, loads, losingHandles, newRequests, grants, suspects, quota);
   }
 
   /** Returns this message with grants. */
   PeerMessage withGrants(ImmutableList<ReservationGrant> newGrants) {
     return new PeerMessage(
-        kind, sender, loads, expiringUpstreams, requests, newGrants, suspects, quota);
+        kind, sender, loads, losingHandles, requests, newGrants, suspects, quota);
   }
 
   /** Returns this message with suspect requests. */
   PeerMessage withSuspects(ImmutableList<SuspectRequest> newSuspects) {
     return new PeerMessage(
-        kind, sender, loads, expiringUpstreams, requests, grants, newSuspects, quota);
+        kind, sender, loads, losingHandles, requests, grants, newSuspects, quota);
   }
 
   /** Returns this message with a quota message. */
   PeerMessage withQuota(QuotaMessage newQuota) {
     return new PeerMessage(
-        kind, sender, loads, expiringUpstreams, requests, grants, suspects, Optional.of(newQuota));
+        kind, sender, loads, losingHandles, requests, grants, suspects, Optional.of(newQuota));
   }
 }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessageCodec.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessageCodec.java
@@ -89,7 +89,7 @@
       writeIncarnation(out, e.getKey());
       out.writeI64(e.getValue());
     }
-    writeIncarnations(out, m.expiringUpstreams());
+    writeIncarnations(out, m.losingHandles());
     out.writeListBegin(new TList(TType.STRUCT, m.requests().size()));
     for (ReservationRequest request : m.requests()) {
       writeRequest(out, request);
@@ -160,7 +160,7 @@
       UpstreamIncarnation upstream = readIncarnation(in);
       loads.put(upstream, Math.max(0, in.readI64()));
     }
-    final ImmutableSet<UpstreamIncarnation> expiringUpstreams = readIncarnations(in);
+    final ImmutableSet<UpstreamIncarnation> losingHandles = readIncarnations(in);
     ImmutableList.Builder<ReservationRequest> requests = ImmutableList.builder();
     for (int i = size(in); i > 0; i--) {
       requests.add(readRequest(in));
@@ -177,7 +177,7 @@
         kind,
         new PeerMessage.Sender(node, dataCentre, state, changes, rateLimits.build()),
         loads.buildKeepingLast(),
-        expiringUpstreams,
+        losingHandles,
         requests.build(),
         grants.build(),
         suspects.build(),
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineAdmin.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineAdmin.java
@@ -47,11 +47,11 @@
 
   @Override
   public void handleRequest(HttpServerExchange exchange) {
-    String rest = exchange.getRequestPath().substring(OperatorPaths.QUARANTINE.length());
-    if (rest.isEmpty() && exchange.getRequestMethod().equals(Methods.GET)) {
+    String subPath = exchange.getRequestPath().substring(OperatorPaths.QUARANTINE.length());
+    if (subPath.isEmpty() && exchange.getRequestMethod().equals(Methods.GET)) {
       list(exchange);
-    } else if (rest.startsWith("/") && exchange.getRequestMethod().equals(Methods.DELETE)) {
-      release(exchange, rest.substring(1));
+    } else if (subPath.startsWith("/") && exchange.getRequestMethod().equals(Methods.DELETE)) {
+      release(exchange, subPath.substring(1));
     } else {
       refuse(exchange, ErrorKind.METHOD_NOT_ALLOWED, "use GET, or DELETE of a request");
     }
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaCodec.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaCodec.java
@@ -57,12 +57,12 @@
     out.writeI64(request.lentNanos());
     out.writeI32(request.nodes());
     out.writeListBegin(new TList(TType.STRUCT, request.demands().size()));
-    for (QuotaRequest.Demand want : request.demands()) {
-      writeKey(out, want.key());
-      out.writeI64(want.needed());
-      out.writeI64(want.minUseful());
-      out.writeI64(want.ahead());
-      out.writeI64(want.returned());
+    for (QuotaRequest.Demand demand : request.demands()) {
+      writeKey(out, demand.key());
+      out.writeI64(demand.needed());
+      out.writeI64(demand.minUseful());
+      out.writeI64(demand.ahead());
+      out.writeI64(demand.returned());
     }
   }
 
@@ -102,14 +102,14 @@
     final long sequence = in.readI64();
     final long lent = in.readI64();
     final int nodes = in.readI32();
-    ImmutableList.Builder<QuotaRequest.Demand> wants = ImmutableList.builder();
+    ImmutableList.Builder<QuotaRequest.Demand> demands = ImmutableList.builder();
     for (int i = PeerMessageCodec.size(in); i > 0; i--) {
       QuotaKey key = readKey(in);
-      wants.add(
+      demands.add(
           new QuotaRequest.Demand(
               key, nonNegative(in), nonNegative(in), nonNegative(in), nonNegative(in)));
     }
-    return new QuotaRequest(epoch, sequence, lent, nodes, wants.build());
+    return new QuotaRequest(epoch, sequence, lent, nodes, demands.build());
   }
 
   private static QuotaGrant readGrant(TCompactProtocol in) throws TException {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
@@ -84,13 +84,13 @@
      *
      * @param loads the load at each upstream; if incomplete, at those where it has changed, with 0
      *     for no load
-     * @param expiringUpstreams the upstreams at which a reporting node recently observed that prefill
+     * @param losingHandles the upstreams at which a reporting node recently observed that prefill
      *     handles are lost immediately
      * @param isComplete true if {@code loads} covers all upstreams, false if it holds changes only
      */
     record TotalLoads(
         ImmutableMap<UpstreamIncarnation, Long> loads,
-        ImmutableSet<UpstreamIncarnation> expiringUpstreams,
+        ImmutableSet<UpstreamIncarnation> losingHandles,
         boolean isComplete)
         implements Answer {}
 
@@ -251,14 +251,14 @@
 
   private void sendLoads(Set<UpstreamIncarnation> selected, boolean isComplete) {
     lastSentNanos = clock.getAsLong();
-    ImmutableSet.Builder<UpstreamIncarnation> expiring = ImmutableSet.builder();
-    reports.values().forEach(r -> expiring.addAll(r.message().expiringUpstreams()));
-    final ImmutableSet<UpstreamIncarnation> expiringUpstreams = expiring.build();
+    ImmutableSet.Builder<UpstreamIncarnation> losing = ImmutableSet.builder();
+    reports.values().forEach(r -> losing.addAll(r.message().losingHandles()));
+    final ImmutableSet<UpstreamIncarnation> losingHandles = losing.build();
     for (Report r : reports.values()) {
       ImmutableMap<UpstreamIncarnation, Long> loads =
           loadsOfOthers(selected, r.message().loads(), isComplete);
       sender.accept(
-          r.message().sender().node(), new Answer.TotalLoads(loads, expiringUpstreams, isComplete));
+          r.message().sender().node(), new Answer.TotalLoads(loads, losingHandles, isComplete));
     }
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/SuspectSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/SuspectSharing.java
@@ -68,7 +68,7 @@
   /**
    * The amount of knowledge about a request: its clearance epoch and the number of crashes in it.
    */
-  private record Extent(int epoch, int ends) {
+  private record Extent(int clearanceEpoch, int crashes) {
     static Extent of(SuspectRequest s) {
       return new Extent(s.clearanceEpoch(), s.crashes().size());
     }
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/relay/EventSplitterTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/relay/EventSplitterTest.java
@@ -57,7 +57,7 @@
           }
           at += length;
         }
-        out.writeBytes(s.takeRest());
+        out.writeBytes(s.takeRemainder());
         assertEquals(out.toByteArray(), stream, "seed " + seed);
         assertEquals(ids, List.of(1L, 2L, 3L), "seed " + seed);
       }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/EventSplitter.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/EventSplitter.java
@@ -60,10 +60,10 @@
   }
 
   /** Removes and returns the bytes after the last complete event. */
-  byte[] takeRest() {
-    byte[] rest = buffered.toByteArray();
+  byte[] takeRemainder() {
+    byte[] remainder = buffered.toByteArray();
     buffered.reset();
-    return rest;
+    return remainder;
   }
 
   private boolean endLine(ByteBuffer bytes) {
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayAttempt.java
@@ -66,7 +66,7 @@
   private boolean hasNewEvent;
   private boolean forwarding;
   private boolean ended;
-  private byte[] rest = new byte[0];
+  private byte[] remainder = new byte[0];
 
   RelayAttempt(
       RelayLoop loop,
@@ -216,8 +216,8 @@
   void deliver() {
     if (forwarding) {
       forwardPending();
-      if (rest.length > 0) {
-        request.channel.stream(rest);
+      if (remainder.length > 0) {
+        request.channel.stream(remainder);
       }
       request.channel.endStream();
     } else if (request.headSent) {
@@ -235,13 +235,13 @@
       return;
     }
     ended = true;
-    splitter.ifPresent(s -> rest = s.takeRest());
+    splitter.ifPresent(s -> remainder = s.takeRemainder());
     if (isTruncated()) {
       loop.submit(new RelayEvent.Lost(loop.now(), id, FailureCause.CONNECTION_LOST));
       return;
     }
     if (splitter.isPresent() && !hasNewEvent) {
-      body.writeBytes(rest);
+      body.writeBytes(remainder);
     }
     loop.submit(outcome());
   }
@@ -252,14 +252,14 @@
    * nothing else shows that the stream is truncated.
    */
   private boolean isTruncated() {
-    return endsWithConnection && splitter.isPresent() && (hasPartialEvent(rest) || !hasEvent);
+    return endsWithConnection && splitter.isPresent() && (hasPartialEvent(remainder) || !hasEvent);
   }
 
   /**
    * Returns whether the bytes after the last complete event are more than the rest of its line end.
    */
-  private static boolean hasPartialEvent(byte[] rest) {
-    for (byte b : rest) {
+  private static boolean hasPartialEvent(byte[] remainder) {
+    for (byte b : remainder) {
       if (b != '\n' && b != '\r') {
         return true;
       }
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayDialect.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/RelayDialect.java
@@ -37,7 +37,7 @@
   CallMetadata readMetadata(HeaderMap headers);
 
   /** Adds the metadata for an upstream to a copy of the caller's headers, which it modifies. */
-  void prepare(ListMultimap<HttpString, String> headers, SendMetadata facts);
+  void prepare(ListMultimap<HttpString, String> headers, SendMetadata metadata);
 
   /**
    * Classifies an answer by its head.
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaCoordinator.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaCoordinator.java
@@ -156,8 +156,8 @@
     answered.put(node, new Answered(at, request.epoch(), request.sequence(), EMPTY_GRANT));
     countLenders(at, last == null);
     ImmutableList.Builder<QuotaGrant.Share> shares = ImmutableList.builder();
-    for (QuotaRequest.Demand want : request.demands()) {
-      limits.apply(want.key()).ifPresent(limit -> shares.add(share(at, want, limit)));
+    for (QuotaRequest.Demand demand : request.demands()) {
+      limits.apply(demand.key()).ifPresent(limit -> shares.add(share(at, demand, limit)));
     }
     QuotaGrant grant = new QuotaGrant(request.epoch(), request.sequence(), shares.build());
     answered.put(node, new Answered(at, request.epoch(), request.sequence(), grant));
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEvent.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEvent.java
@@ -111,14 +111,14 @@
    * @param at the time at which it was received
    * @param node the reporting node
    * @param loads its load in flight at each upstream, in the units of {@code RelayRouter.loads}
-   * @param losingPrompts the upstreams at which the node recently observed that prefill handles are
+   * @param losingHandles the upstreams at which the node recently observed that prefill handles are
    *     lost immediately
    */
   record LoadHeard(
       long at,
       HostName node,
       ImmutableMap<UpstreamIncarnation, Long> loads,
-      ImmutableSet<UpstreamIncarnation> losingPrompts)
+      ImmutableSet<UpstreamIncarnation> losingHandles)
       implements RelayEvent {}
 
   /**
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
@@ -28,12 +28,12 @@
  * @since 0.1
  */
 public final class RelayRouter {
-  private final EventHandler flow;
+  private final EventHandler eventHandler;
   private final QuotaTolerance tolerance;
 
   /** Creates a router without a configuration and without upstreams. */
   public RelayRouter(RelaySettings settings) {
-    this.flow = new EventHandler(settings);
+    this.eventHandler = new EventHandler(settings);
     this.tolerance = settings.tolerance();
   }
 
@@ -44,38 +44,38 @@
    * @param effects receives the resulting effects, in order
    */
   public void apply(RelayEvent event, Consumer<RelayEffect> effects) {
-    flow.setEffectSink(effects);
+    eventHandler.setEffectSink(effects);
     long at = event.at();
     switch (event) {
-      case RelayEvent.Arrived e -> flow.arrived(at, e.call());
-      case RelayEvent.CallerLeft e -> flow.callerLeft(at, e.call());
-      case RelayEvent.PromptRead e -> flow.outcomes().promptRead(at, e.attempt(), e.handle());
-      case RelayEvent.Began e -> flow.outcomes().began(at, e.attempt());
-      case RelayEvent.Progressed e -> flow.outcomes().progressed(e.attempt(), e.events());
-      case RelayEvent.Answered e -> flow.outcomes().answered(at, e.attempt(), e.grade());
-      case RelayEvent.Refused e -> flow.outcomes().refused(at, e.attempt(), e.cause());
-      case RelayEvent.Lost e -> flow.outcomes().lost(at, e.attempt(), e.cause());
-      case RelayEvent.Moved e -> flow.moved(at, e.attempt(), e.result());
-      case RelayEvent.UpstreamsChanged e -> flow.upstreamsChanged(at, e.changed(), e.removed());
-      case RelayEvent.Ordered e -> flow.ordered(at, e.upstream(), e.maxNanos());
-      case RelayEvent.OrderRefused e -> flow.orderEnded(at, e.upstream());
-      case RelayEvent.ConfigurationRead e -> flow.configurationRead(e.configuration());
-      case RelayEvent.LoadHeard e -> flow.loadReceived(at, e.node(), e.loads(), e.losingPrompts());
-      case RelayEvent.RoomAsked e -> flow.reservationsRequested(at, e.node(), e.dataCentre(), e.requests());
+      case RelayEvent.Arrived e -> eventHandler.arrived(at, e.call());
+      case RelayEvent.CallerLeft e -> eventHandler.callerLeft(at, e.call());
+      case RelayEvent.PromptRead e -> eventHandler.outcomes().promptRead(at, e.attempt(), e.handle());
+      case RelayEvent.Began e -> eventHandler.outcomes().began(at, e.attempt());
+      case RelayEvent.Progressed e -> eventHandler.outcomes().progressed(e.attempt(), e.events());
+      case RelayEvent.Answered e -> eventHandler.outcomes().answered(at, e.attempt(), e.grade());
+      case RelayEvent.Refused e -> eventHandler.outcomes().refused(at, e.attempt(), e.cause());
+      case RelayEvent.Lost e -> eventHandler.outcomes().lost(at, e.attempt(), e.cause());
+      case RelayEvent.Moved e -> eventHandler.moved(at, e.attempt(), e.result());
+      case RelayEvent.UpstreamsChanged e -> eventHandler.upstreamsChanged(at, e.changed(), e.removed());
+      case RelayEvent.Ordered e -> eventHandler.ordered(at, e.upstream(), e.maxNanos());
+      case RelayEvent.OrderRefused e -> eventHandler.orderEnded(at, e.upstream());
+      case RelayEvent.ConfigurationRead e -> eventHandler.configurationRead(e.configuration());
+      case RelayEvent.LoadHeard e -> eventHandler.loadReceived(at, e.node(), e.loads(), e.losingHandles());
+      case RelayEvent.RoomAsked e -> eventHandler.reservationsRequested(at, e.node(), e.dataCentre(), e.requests());
       case RelayEvent.RoomGranted e ->
-          flow.reservationGranted(at, e.call(), e.reservedUpstream(), e.prefillUpstream());
-      case RelayEvent.Noticed e -> flow.noticed(at, e.upstream(), e.sentAt(), e.notice());
-      case RelayEvent.RatesHeard e -> flow.rateLimitReportsReceived(at, e.reports());
-      case RelayEvent.Probed e -> flow.probed(at, e.upstream(), e.result());
-      case RelayEvent.SuspectsHeard e -> flow.suspectRequestsReceived(at, e.suspects());
-      case RelayEvent.Released e -> flow.released(at, e.request());
-      case RelayEvent.KeepingChanged e -> flow.reservationModeChanged(at, e.mode());
-      case RelayEvent.NodesCounted e -> flow.nodesCounted(at, e.nodes());
-      case RelayEvent.QuotaGranted e -> flow.quotaGranted(at, e.grant());
-      case RelayEvent.QuotaCoordinatorChanged e -> flow.quotaCoordinatorChanged(at);
-      case RelayEvent.Draining e -> flow.drain(at);
-      case RelayEvent.Resumed e -> flow.resumed(at, e.suspendedNanos());
-      case RelayEvent.Ticked e -> flow.ticked(at);
+          eventHandler.reservationGranted(at, e.call(), e.reservedUpstream(), e.prefillUpstream());
+      case RelayEvent.Noticed e -> eventHandler.noticed(at, e.upstream(), e.sentAt(), e.notice());
+      case RelayEvent.RatesHeard e -> eventHandler.rateLimitReportsReceived(at, e.reports());
+      case RelayEvent.Probed e -> eventHandler.probed(at, e.upstream(), e.result());
+      case RelayEvent.SuspectsHeard e -> eventHandler.suspectRequestsReceived(at, e.suspects());
+      case RelayEvent.Released e -> eventHandler.released(at, e.request());
+      case RelayEvent.KeepingChanged e -> eventHandler.reservationModeChanged(at, e.mode());
+      case RelayEvent.NodesCounted e -> eventHandler.nodesCounted(at, e.nodes());
+      case RelayEvent.QuotaGranted e -> eventHandler.quotaGranted(at, e.grant());
+      case RelayEvent.QuotaCoordinatorChanged e -> eventHandler.quotaCoordinatorChanged(at);
+      case RelayEvent.Draining e -> eventHandler.drain(at);
+      case RelayEvent.Resumed e -> eventHandler.resumed(at, e.suspendedNanos());
+      case RelayEvent.Ticked e -> eventHandler.ticked(at);
     }
   }
 
@@ -84,12 +84,12 @@
    * placed.
    */
   public boolean isReady() {
-    return flow.isReady();
+    return eventHandler.isReady();
   }
 
   /** Returns the configuration in force; empty if there is none. */
   public Optional<RelayConfiguration> configuration() {
-    return flow.configuration();
+    return eventHandler.configuration();
   }
 
   /**
@@ -97,7 +97,7 @@
    * prefill prompts or hold memory, requests at others.
    */
   public ImmutableMap<UpstreamIncarnation, Long> loads() {
-    return flow.loads();
+    return eventHandler.loads();
   }
 
   /**
@@ -105,12 +105,12 @@
    * immediately.
    */
   public ImmutableSet<UpstreamIncarnation> losingHandles(long at) {
-    return flow.losingHandles(at);
+    return eventHandler.losingHandles(at);
   }
 
   /** Returns the reservation requests for the coordinator. */
   public ImmutableList<ReservationRequest> reservationRequests(long at) {
-    return flow.reservationRequests(at);
+    return eventHandler.reservationRequests(at);
   }
 
   /**
@@ -118,12 +118,12 @@
    * notices.
    */
   public boolean acceptsRequests(long at, UpstreamIncarnation upstream) {
-    return flow.acceptsRequests(at, upstream);
+    return eventHandler.acceptsRequests(at, upstream);
   }
 
   /** Returns the rate limits of upstreams and this node's usage of each. */
   public ImmutableList<RateLimitUsage> rateLimitUsages(long at) {
-    return flow.rateLimitUsages(at);
+    return eventHandler.rateLimitUsages(at);
   }
 
   /**
@@ -131,22 +131,22 @@
    * answers must be evaluated.
    */
   public boolean isRateLimited(UpstreamIncarnation upstream) {
-    return flow.isRateLimited(upstream);
+    return eventHandler.isRateLimited(upstream);
   }
 
   /** Returns the report to other nodes about the rate limits of upstreams. */
   public ImmutableList<RateLimitReport> rateLimitReports(long at) {
-    return flow.rateLimitReports(at);
+    return eventHandler.rateLimitReports(at);
   }
 
   /** Returns the report to other nodes about suspect requests. */
   public ImmutableList<SuspectRequest> suspects(long at) {
-    return flow.suspectRequests(at);
+    return eventHandler.suspects(at);
   }
 
   /** Returns the remaining quarantine of a request, in nanoseconds; 0 if it is not quarantined. */
   public long remainingQuarantineNanos(long at, Fingerprint request) {
-    return flow.quarantinedNanos(at, request);
+    return eventHandler.remainingQuarantineNanos(at, request);
   }
 
   /**
@@ -156,7 +156,7 @@
    * @param heartbeat true if a request is due in any case while there are quotas
    */
   public Optional<QuotaRequest> quotaRequest(long at, boolean heartbeat) {
-    return flow.quotaRequest(at, heartbeat);
+    return eventHandler.quotaRequest(at, heartbeat);
   }
 
   /** Returns the tolerance by which quotas may be exceeded. */
@@ -168,26 +168,26 @@
    * Returns whether calls wait for tokens of their quotas, so that quota requests may become due.
    */
   public boolean awaitsQuota() {
-    return flow.awaitsQuota();
+    return eventHandler.awaitsQuota();
   }
 
   /** Returns the limit of a quota; empty if there is no such workspace or upstream. */
   public Optional<TokenLimit> quotaLimit(QuotaKey key) {
-    return flow.limit(key);
+    return eventHandler.quotaLimit(key);
   }
 
   /** Returns the number of known upstreams, including those that are leaving. */
   public int upstreamCount() {
-    return flow.upstreamCount();
+    return eventHandler.upstreamCount();
   }
 
   /** Returns the number of calls without a final answer. */
   public int inProgress() {
-    return flow.inProgress();
+    return eventHandler.inProgress();
   }
 
   /** Returns the time at which the next tick is due; {@link Long#MAX_VALUE} if none is. */
   public long nextDue() {
-    return flow.nextDue();
+    return eventHandler.nextDue();
   }
 }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/UpstreamNotice.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/UpstreamNotice.java
@@ -30,8 +30,8 @@
   }
 
   /** Creates a notice without information about a rate limit. */
-  public UpstreamNotice(boolean leaving, long restNanos) {
-    this(leaving, restNanos, RateLimitNotice.UNKNOWN);
+  public UpstreamNotice(boolean leaving, long backoffNanos) {
+    this(leaving, backoffNanos, RateLimitNotice.UNKNOWN);
   }
 
   /**
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallDemands.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallDemands.java
@@ -59,19 +59,19 @@
    * Returns the maximum fill of an upstream for a call. Calls that can no longer meet their target
    * leave capacity to those that can, unless they are streaming.
    */
-  private static double maxFill(PendingReservation s, long at) {
-    if (s.isStreaming()) {
+  private static double maxFill(PendingReservation reservation, long at) {
+    if (reservation.isStreaming()) {
       return MAX_FILL_FIRST_TRY;
     }
-    if (!s.canMeetTarget(at)) {
+    if (!reservation.canMeetTarget(at)) {
       return MAX_FILL_LATE;
     }
-    return s.isFirstTry() ? MAX_FILL_FIRST_TRY : MAX_FILL_RETRY;
+    return reservation.isFirstTry() ? MAX_FILL_FIRST_TRY : MAX_FILL_RETRY;
   }
 
   /** Returns whether a call can still meet its target if its work begins now. */
-  static boolean canMeetTarget(PendingReservation s, long at) {
-    return at + FIRST_EVENT_LEAD_NANOS <= s.arrivedAt() + s.targetNanos();
+  static boolean canMeetTarget(PendingReservation reservation, long at) {
+    return at + FIRST_EVENT_LEAD_NANOS <= reservation.arrivedAt() + reservation.targetNanos();
   }
 
   /** Returns the demand of another node's call; that node limits its own connections. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EventHandler.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EventHandler.java
@@ -291,12 +291,12 @@
   }
 
   /** Returns the suspect requests to report to other nodes. */
-  public ImmutableList<SuspectRequest> suspectRequests(long at) {
+  public ImmutableList<SuspectRequest> suspects(long at) {
     return core.crashGuard.suspects(at);
   }
 
   /** Returns the remaining quarantine of a request in nanoseconds; 0 if it is not quarantined. */
-  public long quarantinedNanos(long at, Fingerprint request) {
+  public long remainingQuarantineNanos(long at, Fingerprint request) {
     return core.crashGuard.remainingNanos(at, request);
   }
 
@@ -345,7 +345,7 @@
   }
 
   /** Returns the limit of a quota; empty if there is no such workspace or upstream. */
-  public Optional<TokenLimit> limit(QuotaKey key) {
+  public Optional<TokenLimit> quotaLimit(QuotaKey key) {
     return core.quotas.limit(key);
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/HeldQuotas.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/HeldQuotas.java
@@ -57,7 +57,7 @@
   }
 
   /** Ensures that tokens are held, as {@link QuotaHolder#ensureHeld}. */
-  boolean reserve(long at, QuotaKey key, TokenLimit limit, long tokens) {
+  boolean ensureHeld(long at, QuotaKey key, TokenLimit limit, long tokens) {
     return holderAt(at).ensureHeld(at, key, limit, tokens);
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Removes a quota, as {@link QuotaHolder#remove}. */
-  void forget(QuotaKey key) {
+  void remove(QuotaKey key) {
     if (holder != null) {
       holder.remove(key);
     }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/MemoryReservations.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/MemoryReservations.java
@@ -276,17 +276,17 @@
       return;
     }
     Set<ServiceName> full = new HashSet<>();
-    for (PendingReservation s : queue.inOrder(at)) {
-      if (!s.isWaiting() || full.contains(s.service())) {
+    for (PendingReservation reservation : queue.inOrder(at)) {
+      if (!reservation.isWaiting() || full.contains(reservation.service())) {
         continue;
       }
       boolean placed =
-          switch (s) {
+          switch (reservation) {
             case CallState c -> admit(at, c);
             case RemoteReservation r -> grant(at, r);
           };
-      if (!placed && s.excluded().isEmpty()) {
-        full.add(s.service());
+      if (!placed && reservation.excluded().isEmpty()) {
+        full.add(reservation.service());
       }
     }
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/ReservationQueue.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/ReservationQueue.java
@@ -24,14 +24,14 @@
 final class ReservationQueue {
   private final Set<PendingReservation> pending = new LinkedHashSet<>();
 
-  void add(PendingReservation s) {
-    s.setWaiting(true);
-    pending.add(s);
+  void add(PendingReservation reservation) {
+    reservation.setWaiting(true);
+    pending.add(reservation);
   }
 
-  void remove(PendingReservation s) {
-    s.setWaiting(false);
-    pending.remove(s);
+  void remove(PendingReservation reservation) {
+    reservation.setWaiting(false);
+    pending.remove(reservation);
   }
 
   /** Returns whether a call of a service waits. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RetryBudget.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RetryBudget.java
@@ -53,8 +53,8 @@
 
   /** Returns whether a retry is allowed. */
   boolean allows(long at, ServiceName service) {
-    ServiceRetryBudget a = budget(service);
-    return a.used(at) + 1 <= a.allowed(at, slack());
+    ServiceRetryBudget budget = budget(service);
+    return budget.used(at) + 1 <= budget.allowed(at, slack());
   }
 
   /**
@@ -68,9 +68,9 @@
 
   /** Returns the fact that a call was not retried, as the retry budget of its service is spent. */
   RelayFact spentFact(long at, CallState c) {
-    ServiceRetryBudget a = budget(c.service);
+    ServiceRetryBudget budget = budget(c.service);
     return new RelayFact.BudgetSpent(
-        c.call.wireId(), c.service.value(), a.used(at), a.allowed(at, slack()));
+        c.call.wireId(), c.service.value(), budget.used(at), budget.allowed(at, slack()));
   }
 
   private ServiceRetryBudget budget(ServiceName service) {
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamRateLimits.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamRateLimits.java
@@ -95,7 +95,7 @@
             s.incarnation(), change.get(), previous, s.rateLimit().limit(), source, age));
     boolean ended = change.get() == RateLimitChange.LIFTED;
     if (ended) {
-      heldQuotas.forget(key(s));
+      heldQuotas.remove(key(s));
     }
     return ended;
   }
@@ -125,7 +125,7 @@
       UpstreamState s = i.next();
       boolean hasEnded = find.apply(s.incarnation()).isEmpty();
       if (hasEnded) {
-        heldQuotas.forget(key(s));
+        heldQuotas.remove(key(s));
       }
       if (hasEnded || !s.rateLimit().shouldReport(at)) {
         i.remove();
@@ -161,7 +161,7 @@
   boolean hasPermit(long at, UpstreamState s) {
     Optional<RequestRate> rate = s.rateLimit().limit();
     return rate.isEmpty()
-        || heldQuotas.reserve(at, key(s), limit(rate.get()), QuotaKey.OfUpstream.UNITS_PER_REQUEST);
+        || heldQuotas.ensureHeld(at, key(s), limit(rate.get()), QuotaKey.OfUpstream.UNITS_PER_REQUEST);
   }
 
   /** Spends a permit for a request that is sent, if the upstream has a limit. */
--- a/platform.test/src/test/java/org/larkkeel/platform/PlatformDialectTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/PlatformDialectTest.java
@@ -152,7 +152,7 @@
             Stage.PREFILL,
             false);
 
-    private static SendMetadata facts(Purpose purpose, Optional<WorkspaceName> workspace) {
+    private static SendMetadata metadata(Purpose purpose, Optional<WorkspaceName> workspace) {
       return new SendMetadata(SOURCE, purpose, 1_000, OptionalLong.empty(), workspace);
     }
 
@@ -181,7 +181,7 @@
     public void haveTheTenantAndNoKey(Purpose purpose) {
       ListMultimap<HttpString, String> headers = forged();
       new PlatformDialect()
-          .prepare(headers, facts(purpose, Optional.of(new WorkspaceName("huka270"))));
+          .prepare(headers, metadata(purpose, Optional.of(new WorkspaceName("huka270"))));
       assertEquals(headers.get(PlatformNames.TENANT), List.of("huka270"));
       assertFalse(headers.containsKey(PlatformNames.CREDENTIAL));
     }
@@ -189,7 +189,7 @@
     @Test(dataProvider = "purposes")
     public void haveNoTenantForAnonymousClients(Purpose purpose) {
       ListMultimap<HttpString, String> headers = forged();
-      new PlatformDialect().prepare(headers, facts(purpose, Optional.empty()));
+      new PlatformDialect().prepare(headers, metadata(purpose, Optional.empty()));
       assertFalse(headers.containsKey(PlatformNames.TENANT));
       assertFalse(headers.containsKey(PlatformNames.CREDENTIAL));
     }
@@ -198,7 +198,7 @@
     public void haveTheSourceToFetchThePromptFrom() {
       ListMultimap<HttpString, String> headers = ArrayListMultimap.create();
       headers.put(PlatformNames.KV_FETCH, "10.9.9.9:80");
-      new PlatformDialect().prepare(headers, facts(new Purpose.Fetch(SOURCE), Optional.empty()));
+      new PlatformDialect().prepare(headers, metadata(new Purpose.Fetch(SOURCE), Optional.empty()));
       assertEquals(headers.get(PlatformNames.KV_FETCH), List.of("10.0.0.1:80"), "not the client's");
     }
   }
