--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/RelaySlopes.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/capacity/RelaySlopes.java
@@ -126,7 +126,10 @@
               sent.add(s.attempt());
             }
           });
-      lookupResults += router.loads().size() + router.losingHandles(now).size() + router.reservationRequests(now).size();
+      lookupResults +=
+          router.loads().size()
+              + router.losingHandles(now).size()
+              + router.reservationRequests(now).size();
     }
 
     void register(int from, int to, boolean leaving) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimNode.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimNode.java
@@ -411,7 +411,10 @@
 
   private void probe(RelayUpstream upstream) {
     afterDelay(
-        () -> submit(new RelayEvent.Probed(now(), upstream.incarnation(), model.probe(upstream.name()))));
+        () ->
+            submit(
+                new RelayEvent.Probed(
+                    now(), upstream.incarnation(), model.probe(upstream.name()))));
   }
 
   private void cancel(AttemptId attempt) {
--- a/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimPlain.java
+++ b/org.larkkeel.bench/src/main/java/org/larkkeel/bench/experiment/fleet/SimPlain.java
@@ -95,7 +95,9 @@
     job.sender.noticed(
         job,
         sentAt,
-        limit.<RateLimitNotice>map(RateLimitNotice.Limited::new).orElseGet(RateLimitNotice.Unlimited::new));
+        limit
+            .<RateLimitNotice>map(RateLimitNotice.Limited::new)
+            .orElseGet(RateLimitNotice.Unlimited::new));
   }
 
   /** Accepts an arriving request, or declines it if all slots and the queue are full. */
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/PeerMessageCodecTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/PeerMessageCodecTest.java
@@ -21,10 +21,10 @@
 import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
 import org.larkkeel.lib.WorkspaceName;
-import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.quota.QuotaLevels;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.relay.PromptKey;
 import org.larkkeel.relay.RateLimitReport;
 import org.larkkeel.relay.RequestRate;
@@ -74,7 +74,8 @@
                   new ReservationGrant(new RequestId(10), incarnation("i-1"), Optional.empty())))
           .withSuspects(
               ImmutableList.of(
-                  new SuspectRequest(Fingerprint.of("one"), 0, ImmutableMap.of(incarnation("i-1"), 12L)),
+                  new SuspectRequest(
+                      Fingerprint.of("one"), 0, ImmutableMap.of(incarnation("i-1"), 12L)),
                   new SuspectRequest(Fingerprint.of("two"), 3, ImmutableMap.of())));
 
   private static final QuotaRequest QUOTA_REQUEST =
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/QuarantineEntriesTest.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/QuarantineEntriesTest.java
@@ -49,7 +49,8 @@
   private static ImmutableList<SuspectRequest> read(JsonNode entry, long wallMillis) {
     return switch (QuarantineEntries.read(entry, wallMillis)) {
       case ParseResult.Readable<ImmutableList<SuspectRequest>> r -> r.value();
-      case ParseResult.Unreadable<ImmutableList<SuspectRequest>> u -> throw new AssertionError(u.problem());
+      case ParseResult.Unreadable<ImmutableList<SuspectRequest>> u ->
+          throw new AssertionError(u.problem());
     };
   }
 
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimApp.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimApp.java
@@ -112,10 +112,15 @@
       return;
     }
     RateLimitNotice rate =
-        limit.<RateLimitNotice>map(RateLimitNotice.Limited::new).orElseGet(RateLimitNotice.Unlimited::new);
+        limit
+            .<RateLimitNotice>map(RateLimitNotice.Limited::new)
+            .orElseGet(RateLimitNotice.Unlimited::new);
     node.submit(
         new RelayEvent.Noticed(
-            cluster.nowNanos(), upstream.incarnation(), sentAt, new UpstreamNotice(false, 0, rate)));
+            cluster.nowNanos(),
+            upstream.incarnation(),
+            sentAt,
+            new UpstreamNotice(false, 0, rate)));
   }
 
   /** Forgets that a node received a limit, because its process has ended. */
--- a/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimCluster.java
+++ b/org.larkkeel.daemon.test/src/test/java/org/larkkeel/daemon/relay/SimCluster.java
@@ -127,7 +127,13 @@
       all.put(
           id,
           new RelayUpstream(
-              UpstreamIncarnation.unknown(id), MODEL, "10.0.0.1:80", DATA_CENTRE, 32, stage, false));
+              UpstreamIncarnation.unknown(id),
+              MODEL,
+              "10.0.0.1:80",
+              DATA_CENTRE,
+              32,
+              stage,
+              false));
     }
     for (int i = 0; i < APPS; i++) {
       UpstreamName id = new UpstreamName("app-" + i);
@@ -480,7 +486,8 @@
         router.apply(pendingEvents.removeFirst(), this::handleEffect);
       }
       applying = false;
-      sharing.update(router.loads(), router.losingHandles(nowNanos), router.reservationRequests(nowNanos));
+      sharing.update(
+          router.loads(), router.losingHandles(nowNanos), router.reservationRequests(nowNanos));
     }
 
     @Override
@@ -504,9 +511,11 @@
     }
 
     private void probe(RelayUpstream upstream) {
-      ProbeResult result = down.contains(upstream.name()) ? ProbeResult.REFUSES : ProbeResult.LISTENS;
+      ProbeResult result =
+          down.contains(upstream.name()) ? ProbeResult.REFUSES : ProbeResult.LISTENS;
       after(
-          NANOS_PER_MILLI, () -> submit(new RelayEvent.Probed(nowNanos, upstream.incarnation(), result)));
+          NANOS_PER_MILLI,
+          () -> submit(new RelayEvent.Probed(nowNanos, upstream.incarnation(), result)));
     }
 
     private void refuse(RelayEffect.Refuse refusal) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/IncarnationHistory.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/IncarnationHistory.java
@@ -38,7 +38,10 @@
    * @param known the upstreams that were known until then
    */
   void restored(Collection<RelayUpstream> known) {
-    known.stream().filter(RelayUpstream::leaving).map(RelayUpstream::incarnation).forEach(leaving::add);
+    known.stream()
+        .filter(RelayUpstream::leaving)
+        .map(RelayUpstream::incarnation)
+        .forEach(leaving::add);
   }
 
   /**
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadChange.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadChange.java
@@ -39,7 +39,9 @@
    *
    * @return whether the change must be reported before the next period
    */
-  boolean update(ImmutableMap<UpstreamIncarnation, Long> current, ImmutableSet<UpstreamIncarnation> currentLosingHandles) {
+  boolean update(
+      ImmutableMap<UpstreamIncarnation, Long> current,
+      ImmutableSet<UpstreamIncarnation> currentLosingHandles) {
     boolean isUrgent = !losingHandles.containsAll(currentLosingHandles);
     loads = current;
     losingHandles = currentLosingHandles;
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/LoadSharing.java
@@ -27,8 +27,8 @@
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayEvent;
 import org.larkkeel.relay.RelayRouter;
-import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.ReservationMode;
+import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.SuspectRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -256,8 +256,8 @@
    * short delay.
    *
    * @param loads the load of this node at each upstream
-   * @param losingHandles the upstreams at which this node recently observed that prefill
-   *     handles are lost immediately
+   * @param losingHandles the upstreams at which this node recently observed that prefill handles
+   *     are lost immediately
    * @param requests the pending reservations
    */
   public void update(
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessage.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessage.java
@@ -28,8 +28,8 @@
  * @param loads units in flight by upstream: the sender's own, or those of all nodes but the
  *     receiver in {@link Kind#SUMS} and {@link Kind#CHANGED_SUMS}
  * @param losingHandles the upstreams at which the sender, or in {@link Kind#SUMS} and {@link
- *     Kind#CHANGED_SUMS} a node that reports to it, recently observed that prefill handles are
- *     lost immediately
+ *     Kind#CHANGED_SUMS} a node that reports to it, recently observed that prefill handles are lost
+ *     immediately
  * @param requests the pending reservations of the sender
  * @param grants reservations for calls of the receiver
  * @param suspects suspect requests, which were in progress at upstreams that crashed
@@ -106,8 +106,10 @@
 
   /** Returns this message with loads. */
   PeerMessage withLoads(
-      ImmutableMap<UpstreamIncarnation, Long> newLoads, ImmutableSet<UpstreamIncarnation> newLosingHandles) {
-    return new PeerMessage(kind, sender, newLoads, newLosingHandles, requests, grants, suspects, quota);
+      ImmutableMap<UpstreamIncarnation, Long> newLoads,
+      ImmutableSet<UpstreamIncarnation> newLosingHandles) {
+    return new PeerMessage(
+        kind, sender, newLoads, newLosingHandles, requests, grants, suspects, quota);
   }
 
   /** Returns this message with pending reservations. */
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessageCodec.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/PeerMessageCodec.java
@@ -118,20 +118,22 @@
     }
   }
 
-  private static void writeIncarnations(TCompactProtocol out, Collection<UpstreamIncarnation> incarnations)
-      throws TException {
+  private static void writeIncarnations(
+      TCompactProtocol out, Collection<UpstreamIncarnation> incarnations) throws TException {
     out.writeListBegin(new TList(TType.STRUCT, incarnations.size()));
     for (UpstreamIncarnation incarnation : incarnations) {
       writeIncarnation(out, incarnation);
     }
   }
 
-  static void writeIncarnation(TCompactProtocol out, UpstreamIncarnation incarnation) throws TException {
+  static void writeIncarnation(TCompactProtocol out, UpstreamIncarnation incarnation)
+      throws TException {
     out.writeString(incarnation.name().value());
     out.writeI64(incarnation.incarnation().value());
   }
 
-  private static void writeRequest(TCompactProtocol out, ReservationRequest request) throws TException {
+  private static void writeRequest(TCompactProtocol out, ReservationRequest request)
+      throws TException {
     out.writeI64(request.call().value());
     out.writeString(request.wireId());
     out.writeString(request.service().value());
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineAdmin.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineAdmin.java
@@ -72,7 +72,9 @@
         s.request().toString(),
         TimeUnit.NANOSECONDS.toMillis(remainingNanos),
         TimeUnit.NANOSECONDS.toMillis(Collections.min(s.crashes().values())),
-        s.crashes().keySet().stream().map(Object::toString).collect(ImmutableList.toImmutableList()));
+        s.crashes().keySet().stream()
+            .map(Object::toString)
+            .collect(ImmutableList.toImmutableList()));
   }
 
   private void release(HttpServerExchange exchange, String text) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineEntries.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuarantineEntries.java
@@ -81,7 +81,8 @@
     ArrayNode all = entry.putArray(FIELD);
     for (StoredSuspect stored : entries.values()) {
       ObjectNode item = all.addObject();
-      item.put(REQUEST, stored.suspect().request().toString()).put(EPOCH, stored.suspect().clearanceEpoch());
+      item.put(REQUEST, stored.suspect().request().toString())
+          .put(EPOCH, stored.suspect().clearanceEpoch());
       ArrayNode ends = item.putArray(ENDS);
       stored
           .suspect()
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaCodec.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/QuotaCodec.java
@@ -14,11 +14,11 @@
 import org.apache.thrift.protocol.TList;
 import org.apache.thrift.protocol.TType;
 import org.larkkeel.lib.WorkspaceName;
-import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaKey;
 import org.larkkeel.quota.QuotaLevels;
 import org.larkkeel.quota.QuotaMessage;
+import org.larkkeel.quota.QuotaRequest;
 
 /**
  * Encodes and decodes the quota part of a message between nodes.
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayAdapter.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayAdapter.java
@@ -43,7 +43,8 @@
    *
    * @param objects the objects of the configuration collection
    */
-  Optional<ParseResult<RelayConfiguration>> configuration(ImmutableCollection<StoredObject> objects);
+  Optional<ParseResult<RelayConfiguration>> configuration(
+      ImmutableCollection<StoredObject> objects);
 
   /**
    * Reads an upstream. Never throws: an unreadable object is returned with its problem.
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFeed.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayFeed.java
@@ -177,7 +177,8 @@
   private void updateUpstreamProblems() {
     Map<String, EntryProblem> problems = new TreeMap<>(upstreams.unreadable());
     problems.putAll(
-        entries.problems(s -> newestConfiguration.isEmpty() || newestConfiguration.get().isConfigured(s)));
+        entries.problems(
+            s -> newestConfiguration.isEmpty() || newestConfiguration.get().isConfigured(s)));
     upstreamProblems.update(problems);
   }
 
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayMeters.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayMeters.java
@@ -80,7 +80,9 @@
       case RelayFact.AttemptBroken f ->
           registry
               .counter(
-                  "larkkeel.relay.attempts.broken", "begun", String.valueOf(f.sinceFirstEventNanos() >= 0))
+                  "larkkeel.relay.attempts.broken",
+                  "begun",
+                  String.valueOf(f.sinceFirstEventNanos() >= 0))
               .increment();
       case RelayFact.UpstreamEnded f ->
           registry.counter("larkkeel.relay.upstream.ends", "proof", f.proof()).increment();
@@ -166,7 +168,8 @@
 
   /** Registers metrics of the mirror of a collection of the store. */
   void watchMirror(String collection, CollectionMirror mirror) {
-    Gauge.builder("larkkeel.relay.store.silence", mirror, m -> m.timeSinceLastAnswer().toNanos() / 1e9)
+    Gauge.builder(
+            "larkkeel.relay.store.silence", mirror, m -> m.timeSinceLastAnswer().toNanos() / 1e9)
         .baseUnit("seconds")
         .tag("collection", collection)
         .register(registry);
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNode.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelayNode.java
@@ -237,7 +237,8 @@
   private void observe() {
     upstreams = router.upstreamCount();
     long nowNanos = loop.now();
-    loadExchange.update(router.loads(), router.losingHandles(nowNanos), router.reservationRequests(nowNanos));
+    loadExchange.update(
+        router.loads(), router.losingHandles(nowNanos), router.reservationRequests(nowNanos));
     inProgress = router.inProgress();
     boolean isReady = router.isReady();
     if (isReady != ready) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelaySettingsReader.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/RelaySettingsReader.java
@@ -102,8 +102,10 @@
             RelaySettingsKeys.ADDRESS,
             text -> URI.create("http://" + checkedAddress(text)),
             ADDRESS_REMEDY),
-        Duration.ofMillis(store.wholeNumber(RelaySettingsKeys.TIMEOUT_MILLIS, 1, HOUR_MILLIS, 1_000)),
-        Duration.ofMillis(store.wholeNumber(RelaySettingsKeys.WATCH_MILLIS, 1, HOUR_MILLIS, 10_000)),
+        Duration.ofMillis(
+            store.wholeNumber(RelaySettingsKeys.TIMEOUT_MILLIS, 1, HOUR_MILLIS, 1_000)),
+        Duration.ofMillis(
+            store.wholeNumber(RelaySettingsKeys.WATCH_MILLIS, 1, HOUR_MILLIS, 10_000)),
         router(top, dataCentre, host),
         number(top, RelaySettingsKeys.PREFILL_SHARE, 0),
         (int) top.wholeNumber(RelaySettingsKeys.KEEPER_FROM_NODES, 2, MAX_NODES, 16),
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationGrant.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationGrant.java
@@ -21,4 +21,6 @@
  *     so itself
  */
 record ReservationGrant(
-    RequestId call, UpstreamIncarnation reservedUpstream, Optional<UpstreamIncarnation> prefillUpstream) {}
+    RequestId call,
+    UpstreamIncarnation reservedUpstream,
+    Optional<UpstreamIncarnation> prefillUpstream) {}
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/ReservationServer.java
@@ -122,7 +122,8 @@
   }
 
   /** Replaces one node's previous load by its current load in the totals. */
-  private void updateTotals(Map<UpstreamIncarnation, Long> previous, Map<UpstreamIncarnation, Long> current) {
+  private void updateTotals(
+      Map<UpstreamIncarnation, Long> previous, Map<UpstreamIncarnation, Long> current) {
     current.forEach(
         (incarnation, units) -> add(incarnation, units - previous.getOrDefault(incarnation, 0L)));
     previous.forEach(
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StageController.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/relay/StageController.java
@@ -245,7 +245,9 @@
   }
 
   private static long runnerCount(List<RelayUpstream> all, RelayUpstream near) {
-    return all.stream().filter(u -> u.dataCentre().equals(near.dataCentre()) && u.stage().runsCalls()).count();
+    return all.stream()
+        .filter(u -> u.dataCentre().equals(near.dataCentre()) && u.stage().runsCalls())
+        .count();
   }
 
   private void order(long nowNanos, Change change, LeaseTerm term) {
--- a/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SettingsReader.java
+++ b/org.larkkeel.daemon/src/main/java/org/larkkeel/daemon/settings/SettingsReader.java
@@ -117,7 +117,8 @@
     Optional<Path> authority = fields.text(SettingsKeys.AUTHORITY).map(Path::of);
     Optional<TlsFiles> tls = tls(fields, authority);
     if (tls.isPresent() && authority.isEmpty()) {
-      fields.reportMissing(SettingsKeys.AUTHORITY, "name the file with the certificates that sign peers");
+      fields.reportMissing(
+          SettingsKeys.AUTHORITY, "name the file with the certificates that sign peers");
     }
     return new ListenerSettings(address, tls);
   }
@@ -140,10 +141,12 @@
     Optional<Path> certificate = fields.text(SettingsKeys.CERTIFICATE).map(Path::of);
     Optional<Path> key = fields.text(SettingsKeys.KEY).map(Path::of);
     if (certificate.isPresent() && key.isEmpty()) {
-      fields.reportMissing(SettingsKeys.KEY, "name the file with the private key of the certificate");
+      fields.reportMissing(
+          SettingsKeys.KEY, "name the file with the private key of the certificate");
     }
     if (certificate.isEmpty() && key.isPresent()) {
-      fields.reportMissing(SettingsKeys.CERTIFICATE, "name the file with the certificate of the key");
+      fields.reportMissing(
+          SettingsKeys.CERTIFICATE, "name the file with the certificate of the key");
     }
     return certificate.isPresent() && key.isPresent()
         ? Optional.of(new TlsFiles(certificate.get(), key.get(), authority))
--- a/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/AbortedExchangeTest.java
+++ b/org.larkkeel.http.test/src/test/java/org/larkkeel/http/upstream/AbortedExchangeTest.java
@@ -186,7 +186,8 @@
         UpstreamRequest request =
             new UpstreamRequest(Methods.POST, "/x", ImmutableListMultimap.of(), new byte[1]);
         CountingHandler active = new CountingHandler();
-        small.send(to, request, ResponseTimeout.total(TIMEOUT_NANOS), ConnectionUse.REQUEST, active);
+        small.send(
+            to, request, ResponseTimeout.total(TIMEOUT_NANOS), ConnectionUse.REQUEST, active);
         try (Socket s = server.accept()) {
           readHead(s.getInputStream());
           s.getInputStream().read();
@@ -194,12 +195,17 @@
             CountingHandler aborted = new CountingHandler();
             small
                 .send(
-                    to, request, ResponseTimeout.total(TIMEOUT_NANOS), ConnectionUse.REQUEST, aborted)
+                    to,
+                    request,
+                    ResponseTimeout.total(TIMEOUT_NANOS),
+                    ConnectionUse.REQUEST,
+                    aborted)
                 .abort();
             aborted.first.get(5, TimeUnit.SECONDS);
           }
           CountingHandler next = new CountingHandler();
-          small.send(to, request, ResponseTimeout.total(TIMEOUT_NANOS), ConnectionUse.REQUEST, next);
+          small.send(
+              to, request, ResponseTimeout.total(TIMEOUT_NANOS), ConnectionUse.REQUEST, next);
           s.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes());
           assertTrue(!next.first.isDone(), next.first.getNow(""));
           readHead(s.getInputStream());
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/relay/ControlSender.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.larkkeel.http.upstream.ResponseTimeout;
 import org.larkkeel.http.upstream.ConnectionUse;
+import org.larkkeel.http.upstream.ResponseCollector;
+import org.larkkeel.http.upstream.ResponseTimeout;
 import org.larkkeel.http.upstream.UpstreamAddress;
 import org.larkkeel.http.upstream.UpstreamClient;
 import org.larkkeel.http.upstream.UpstreamFailure;
 import org.larkkeel.http.upstream.UpstreamRequest;
-import org.larkkeel.http.upstream.ResponseCollector;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayUpstream;
 
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/request/PlainSender.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/request/PlainSender.java
@@ -16,12 +16,12 @@
 import org.larkkeel.http.HeaderNames;
 import org.larkkeel.http.HopHeaders;
 import org.larkkeel.http.request.Attempts.RunningStep;
-import org.larkkeel.http.upstream.ResponseTimeout;
 import org.larkkeel.http.upstream.ConnectionUse;
 import org.larkkeel.http.upstream.Refusals;
+import org.larkkeel.http.upstream.ResponseCollector;
+import org.larkkeel.http.upstream.ResponseTimeout;
 import org.larkkeel.http.upstream.UpstreamAddress;
 import org.larkkeel.http.upstream.UpstreamRequest;
-import org.larkkeel.http.upstream.ResponseCollector;
 
 /**
  * Sends plain calls to services and collects their answers.
@@ -62,7 +62,10 @@
   }
 
   private void answered(
-      Effect.SendPlain e, RunningStep step, PlainRecord request, ResponseCollector.Response answer) {
+      Effect.SendPlain e,
+      RunningStep step,
+      PlainRecord request,
+      ResponseCollector.Response answer) {
     if (UNAVAILABLE_STATUSES.contains(answer.status())) {
       attempts.fail(e.attempt(), step, Refusals.ofService(answer), 0);
       return;
--- a/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ResponseCollector.java
+++ b/org.larkkeel.http/src/main/java/org/larkkeel/http/upstream/ResponseCollector.java
@@ -38,7 +38,8 @@
    * @param done receives the response, whatever its status
    * @param failed receives the failure if there is no complete response
    */
-  public ResponseCollector(int maxBytes, Consumer<Response> done, Consumer<UpstreamFailure> failed) {
+  public ResponseCollector(
+      int maxBytes, Consumer<Response> done, Consumer<UpstreamFailure> failed) {
     this.maxBytes = maxBytes;
     this.done = done;
     this.failed = failed;
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LimitManager.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/LimitManager.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Predicate;
 import org.larkkeel.lib.HostName;
-import org.larkkeel.peer.limits.LimitRequest;
 import org.larkkeel.peer.limits.LimitGrant;
 import org.larkkeel.peer.limits.LimitHolder;
 import org.larkkeel.peer.limits.LimitOwner;
+import org.larkkeel.peer.limits.LimitRequest;
 import org.larkkeel.peer.limits.RateLimit;
 import org.larkkeel.peer.membership.NodeId;
 
@@ -119,7 +119,8 @@
    * Answers the requests of a peer: adds the grants for the limits that this node owns to the
    * reply.
    */
-  void answerRequests(long now, NodeId sender, List<LimitRequest> requests, List<LimitGrant> reply) {
+  void answerRequests(
+      long now, NodeId sender, List<LimitRequest> requests, List<LimitGrant> reply) {
     for (LimitRequest request : requests) {
       if (owners.isOwnedBySelf(request.workspace())) {
         reply.add(grant(now, sender, request));
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitOwner.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/limits/LimitOwner.java
@@ -72,7 +72,8 @@
     long grantedRequests = requests.take(request.requestsWanted(), 1, now);
     long grantedTokens = tokens.take(request.tokensWanted(), request.tokensOfNext(), now);
     long retryAfter = 0;
-    boolean unmet = grantedRequests < request.requestsWanted() || grantedTokens < request.tokensWanted();
+    boolean unmet =
+        grantedRequests < request.requestsWanted() || grantedTokens < request.tokensWanted();
     updateContenders(now, holder, unmet);
     if (grantedRequests < request.requestsWanted()) {
       // Every contender waits until there are units for all of them, so that the message rate does
@@ -80,10 +81,12 @@
       retryAfter = requests.timeUntil(contenders.size(), now);
     }
     if (grantedTokens < request.tokensWanted()) {
-      retryAfter = Math.max(retryAfter, tokens.timeUntil(request.tokensWanted() - grantedTokens, now));
+      retryAfter =
+          Math.max(retryAfter, tokens.timeUntil(request.tokensWanted() - grantedTokens, now));
     }
     LimitGrant grant =
-        new LimitGrant(request.workspace(), request.sequence(), grantedRequests, grantedTokens, retryAfter);
+        new LimitGrant(
+            request.workspace(), request.sequence(), grantedRequests, grantedTokens, retryAfter);
     lastGrants.put(holder, grant);
     return grant;
   }
--- a/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotSettings.java
+++ b/org.larkkeel.peer/src/main/java/org/larkkeel/peer/slots/SlotSettings.java
@@ -20,7 +20,8 @@
  * @param recallPeriodNanos the interval between two contention notices while requests wait
  * @since 0.1
  */
-public record SlotSettings(long leaseNanos, long idleNanos, long takeoverDelayNanos, long recallPeriodNanos) {
+public record SlotSettings(
+    long leaseNanos, long idleNanos, long takeoverDelayNanos, long recallPeriodNanos) {
 
   /**
    * Returns settings for a few nodes: each request leases its slot.
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/CollectionMirrorTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/CollectionMirrorTest.java
@@ -202,7 +202,9 @@
       assertTrue(w.mirror.timeSinceLastAnswer().compareTo(Duration.ofSeconds(4)) >= 0);
       w.create("a");
       w.time.advance(Duration.ofMillis(10));
-      assertTrue(w.mirror.timeSinceLastAnswer().toMillis() <= 10, w.mirror.timeSinceLastAnswer().toString());
+      assertTrue(
+          w.mirror.timeSinceLastAnswer().toMillis() <= 10,
+          w.mirror.timeSinceLastAnswer().toString());
     }
 
     @Test
--- a/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/ObjectLogTest.java
+++ b/org.larkkeel.store.test/src/test/java/org/larkkeel/store/log/ObjectLogTest.java
@@ -80,7 +80,8 @@
       Fault r = Fault.REFUSE;
       setWriteFaults(a, Fault.LOSE_ANSWER, r, r, r, r, r);
       assertTrue(rig.await(a.log.append(e).call()) instanceof AppendResult.Unresolved);
-      AppendResult again = rig.await(a.log.append(e).setPriorAttempt(PriorAttempt.UNRESOLVED).call());
+      AppendResult again =
+          rig.await(a.log.append(e).setPriorAttempt(PriorAttempt.UNRESOLVED).call());
       assertEquals(again, new AppendResult.Appended(e));
     }
 
@@ -146,7 +147,8 @@
       logWithSnapshot(rig, 9);
       LogRig.Node late = rig.node("late");
       LogEntry e = late.entry(3, 99);
-      AppendResult r = rig.await(late.log.append(e).setPriorAttempt(PriorAttempt.UNRESOLVED).call());
+      AppendResult r =
+          rig.await(late.log.append(e).setPriorAttempt(PriorAttempt.UNRESOLVED).call());
       assertEquals(r, new AppendResult.PositionTruncated());
     }
 
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/BudgetedObjectApi.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/BudgetedObjectApi.java
@@ -53,7 +53,8 @@
     this.reads = new CallBucket(budget.readsPerSecond(), budget.burst(), now);
     this.writes = new CallBucket(budget.writesPerSecond(), budget.burst(), now);
     this.circuitBreaker =
-        new StoreCircuitBreaker(new Backoff(budget.initialProbeDelay(), budget.maxProbeDelay(), random));
+        new StoreCircuitBreaker(
+            new Backoff(budget.initialProbeDelay(), budget.maxProbeDelay(), random));
   }
 
   @Override
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/EntryProblem.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/EntryProblem.java
@@ -9,9 +9,9 @@
 /**
  * The reason why an entry of the store cannot be read.
  *
- * <p>Invariant: {@code found} comes from other writers, so it is truncated to {@value #MAX_FOUND_CHARS}
- * characters and contains only printable ASCII characters other than the double quote; it can be
- * written to a log line without escaping. Immutable and thread-safe.
+ * <p>Invariant: {@code found} comes from other writers, so it is truncated to {@value
+ * #MAX_FOUND_CHARS} characters and contains only printable ASCII characters other than the double
+ * quote; it can be written to a log line without escaping. Immutable and thread-safe.
  *
  * @param reason the kind of problem, used as a metric label, never null
  * @param field the field that cannot be read, never null
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/JsonHttpClient.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/internal/http/JsonHttpClient.java
@@ -21,8 +21,8 @@
 /**
  * A client for calls with JSON bodies, whose failures are those of the object API.
  *
- * <p>Thread-safe. Futures complete on the scheduler of the {@link HttpServiceClient}; they fail with
- * {@link ObjectApiException} unless the response has a success status and can be parsed.
+ * <p>Thread-safe. Futures complete on the scheduler of the {@link HttpServiceClient}; they fail
+ * with {@link ObjectApiException} unless the response has a success status and can be parsed.
  */
 public final class JsonHttpClient implements AutoCloseable {
   private final HttpServiceClient client;
@@ -101,7 +101,8 @@
           }
           if (!isAcceptedByObserver(reply)) {
             throw new CompletionException(
-                HttpFailures.of(effect, name, new IOException("the observer rejected the response")));
+                HttpFailures.of(
+                    effect, name, new IOException("the observer rejected the response")));
           }
           if (reply.status() / 100 != 2) {
             throw new CompletionException(HttpFailures.of(effect, name, reply));
--- a/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendCommand.java
+++ b/org.larkkeel.store/src/main/java/org/larkkeel/store/log/AppendCommand.java
@@ -13,9 +13,9 @@
 import org.larkkeel.store.ObjectApiFailure;
 import org.larkkeel.store.StoredObject;
 import org.larkkeel.store.log.AppendResult.Appended;
-import org.larkkeel.store.log.AppendResult.PositionTruncated;
-import org.larkkeel.store.log.AppendResult.PositionTaken;
 import org.larkkeel.store.log.AppendResult.NotAppended;
+import org.larkkeel.store.log.AppendResult.PositionTaken;
+import org.larkkeel.store.log.AppendResult.PositionTruncated;
 import org.larkkeel.store.log.AppendResult.Unresolved;
 
 /**
@@ -44,8 +44,8 @@
   /**
    * Sets what is known of earlier attempts to append the same entry.
    *
-   * @param newPrior {@link PriorAttempt#UNRESOLVED} if an earlier attempt returned {@link Unresolved};
-   *     {@link PriorAttempt#NONE} unless set
+   * @param newPrior {@link PriorAttempt#UNRESOLVED} if an earlier attempt returned {@link
+   *     Unresolved}; {@link PriorAttempt#NONE} unless set
    * @return this
    */
   public AppendCommand setPriorAttempt(PriorAttempt newPrior) {
@@ -122,7 +122,8 @@
 
   private void compare(Optional<LogEntry> found) {
     if (found.isEmpty()) {
-      result.complete(prior == PriorAttempt.NONE ? new PositionTaken(found) : new PositionTruncated());
+      result.complete(
+          prior == PriorAttempt.NONE ? new PositionTaken(found) : new PositionTruncated());
     } else if (found.get().id().equals(entry.id())) {
       result.complete(new Appended(entry));
     } else {
@@ -156,7 +157,8 @@
 
   /** Deletes an entry that was created at a truncated position; readers ignore such entries. */
   private void withdraw(StoredObject object) {
-    AppendResult r = prior == PriorAttempt.NONE ? new PositionTaken(Optional.empty()) : new PositionTruncated();
+    AppendResult r =
+        prior == PriorAttempt.NONE ? new PositionTaken(Optional.empty()) : new PositionTruncated();
     log.api()
         .delete(object.key(), object.resourceVersion())
         .whenComplete((ok, ignored) -> result.complete(r));
--- a/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaClusterTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/quota/QuotaClusterTest.java
@@ -243,7 +243,8 @@
       holder.take(0, new RequestId(1), QuotaCluster.WORKSPACE, SMALL, 500, 0);
       QuotaGrant grant =
           grant(
-              new QuotaCoordinator(QuotaTolerance.NONE), holder.nextRequest(1_000_000_000L, false).orElseThrow());
+              new QuotaCoordinator(QuotaTolerance.NONE),
+              holder.nextRequest(1_000_000_000L, false).orElseThrow());
       assertEquals(holder.granted(1_000_000_000L, grant).size(), 1);
       assertEquals(holder.granted(1_000_000_000L, grant).size(), 0);
       assertEquals(holder.held(QuotaCluster.WORKSPACE), 0);
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/CrashingRequestsTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/CrashingRequestsTest.java
@@ -266,7 +266,8 @@
       w.pass(1_000);
       SuspectRequest report = w.router.suspects(w.now()).getFirst();
       assertEquals(
-          report.crashes().get(RelayWorld.incarnation("a")), Long.valueOf(1_500 * RelayWorld.MILLI));
+          report.crashes().get(RelayWorld.incarnation("a")),
+          Long.valueOf(1_500 * RelayWorld.MILLI));
     }
 
     @Test
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/MemoryReservationTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/MemoryReservationTest.java
@@ -183,7 +183,11 @@
       long large = (long) (0.9 * RelayWorld.MEMORY);
       receiveRequests(w, request(1, large), request(2, large));
       ImmutableMap<UpstreamIncarnation, Long> both =
-          ImmutableMap.of(grants(w).get(0).reservedUpstream(), large, grants(w).get(1).reservedUpstream(), large);
+          ImmutableMap.of(
+              grants(w).get(0).reservedUpstream(),
+              large,
+              grants(w).get(1).reservedUpstream(),
+              large);
       w.apply(new RelayEvent.LoadHeard(w.now(), OTHER, both, ImmutableSet.of()));
       receiveRequests(w, request(3, large));
       assertEquals(grants(w).size(), 2);
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayRouterTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayRouterTest.java
@@ -201,7 +201,9 @@
       for (int i = 0; i < 40; i++) {
         w.arrive("/once/a");
         assertNotEquals(
-            w.sent().upstream().incarnation(), replaced, "even if the other upstream has more load");
+            w.sent().upstream().incarnation(),
+            replaced,
+            "even if the other upstream has more load");
       }
     }
 
@@ -453,7 +455,8 @@
       w.declined();
       assertEquals(w.router.losingHandles(w.now()), ImmutableSet.of());
       w.began();
-      assertEquals(w.router.losingHandles(w.now()), ImmutableSet.of(RelayWorld.incarnation("read-1")));
+      assertEquals(
+          w.router.losingHandles(w.now()), ImmutableSet.of(RelayWorld.incarnation("read-1")));
       w.pass(2_000);
       assertEquals(w.router.losingHandles(w.now()), ImmutableSet.of());
     }
@@ -624,7 +627,8 @@
       w.declined();
       w.arrive("/stream/b", 14_000, LARGE);
       w.arrive("/stream/c", 14_000, tiny);
-      assertNotEquals(w.sent().upstream().incarnation(), full, "even though its known load is lower");
+      assertNotEquals(
+          w.sent().upstream().incarnation(), full, "even though its known load is lower");
       w.pass(300);
       w.arrive("/stream/d", 14_000, tiny);
       assertEquals(w.sent().upstream().incarnation(), full);
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayWorld.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/RelayWorld.java
@@ -143,7 +143,13 @@
         new UpstreamName(id),
         (name, u) ->
             new RelayUpstream(
-                u.incarnation(), u.service(), u.address(), u.dataCentre(), u.slots(), u.stage(), true));
+                u.incarnation(),
+                u.service(),
+                u.address(),
+                u.dataCentre(),
+                u.slots(),
+                u.stage(),
+                true));
     applyDiscoveryList();
   }
 
@@ -198,7 +204,8 @@
                 apply(
                     new RelayEvent.QuotaGranted(
                         now,
-                        quotaCoordinator.grant(now, new HostName("node-1"), ask, 1, router::quotaLimit))));
+                        quotaCoordinator.grant(
+                            now, new HostName("node-1"), ask, 1, router::quotaLimit))));
   }
 
   /** Advances the time tick by tick. */
--- a/org.larkkeel.test/src/test/java/org/larkkeel/relay/UpstreamRestartTest.java
+++ b/org.larkkeel.test/src/test/java/org/larkkeel/relay/UpstreamRestartTest.java
@@ -93,7 +93,8 @@
       w.pass(1_600);
       String upstream = lastUpstream(w);
       w.restart(upstream, LATER_INCARNATION);
-      assertEquals(w.sent().upstream().incarnation(), RelayWorld.incarnation(upstream, LATER_INCARNATION));
+      assertEquals(
+          w.sent().upstream().incarnation(), RelayWorld.incarnation(upstream, LATER_INCARNATION));
     }
 
     @Test
@@ -256,7 +257,8 @@
       RelayEvent requested =
           new RelayEvent.RoomAsked(w.now(), OTHER, RelayWorld.HERE, ImmutableList.of(request));
       w.apply(requested);
-      UpstreamIncarnation first = w.of(RelayEffect.GrantReservation.class).getLast().reservedUpstream();
+      UpstreamIncarnation first =
+          w.of(RelayEffect.GrantReservation.class).getLast().reservedUpstream();
       w.restart(first.name().value(), LATER_INCARNATION);
       assertEquals(w.of(RelayEffect.GrantReservation.class).size(), 2);
       assertNotEquals(w.of(RelayEffect.GrantReservation.class).getLast().reservedUpstream(), first);
@@ -350,7 +352,8 @@
               call,
               RelayWorld.incarnation("run-1", LATER_INCARNATION),
               Optional.of(RelayWorld.incarnation("read-1", LATER_INCARNATION))));
-      assertEquals(w.sent().upstream().incarnation(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
+      assertEquals(
+          w.sent().upstream().incarnation(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
     }
 
     @Test
@@ -365,7 +368,8 @@
       w.arrive("/stream/a", 14_000, SMALL);
       assertEquals(lastUpstream(w), "read-1", "its prompts are not considered lost");
       w.promptRead();
-      assertEquals(w.sent().upstream().incarnation(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
+      assertEquals(
+          w.sent().upstream().incarnation(), RelayWorld.incarnation("run-1", LATER_INCARNATION));
     }
 
     @Test
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ObjectReader.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ObjectReader.java
@@ -160,7 +160,8 @@
   }
 
   private static Duration readMillis(FieldReader fields, String key, Duration defaultValue) {
-    return Duration.ofMillis(fields.wholeNumber(key, 1, MAX_DURATION_MILLIS, defaultValue.toMillis()));
+    return Duration.ofMillis(
+        fields.wholeNumber(key, 1, MAX_DURATION_MILLIS, defaultValue.toMillis()));
   }
 
   private static ConfigurationObject readWorkspace(String name, FieldReader fields) {
--- a/org.larkkeel/src/main/java/org/larkkeel/config/ProblemCollector.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/config/ProblemCollector.java
@@ -41,7 +41,8 @@
   }
 
   /** Adds an error; {@link Problem} describes the parameters. */
-  public void addError(Position position, JsonPath path, String value, String message, String remedy) {
+  public void addError(
+      Position position, JsonPath path, String value, String message, String remedy) {
     problems.add(Problem.error(path, value, message, remedy).at(source, position));
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/lib/UpstreamIncarnation.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/lib/UpstreamIncarnation.java
@@ -15,8 +15,8 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param name the name, never null
- * @param incarnation the incarnation, never null; after a clock was set back, a later incarnation can
- *     have the smaller number, so incarnations are compared only for equality
+ * @param incarnation the incarnation, never null; after a clock was set back, a later incarnation
+ *     can have the smaller number, so incarnations are compared only for equality
  * @since 0.1
  */
 public record UpstreamIncarnation(UpstreamName name, Incarnation incarnation) {
@@ -38,7 +38,9 @@
    */
   @Override
   public boolean equals(Object other) {
-    return other instanceof UpstreamIncarnation o && name.equals(o.name) && incarnation.equals(o.incarnation);
+    return other instanceof UpstreamIncarnation o
+        && name.equals(o.name)
+        && incarnation.equals(o.incarnation);
   }
 
   @Override
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaHolder.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/QuotaHolder.java
@@ -365,7 +365,8 @@
     return demands.build();
   }
 
-  private Optional<QuotaRequest.Demand> demand(long at, QuotaKey key, QuotaAccount a, boolean idle) {
+  private Optional<QuotaRequest.Demand> demand(
+      long at, QuotaKey key, QuotaAccount a, boolean idle) {
     long keep = idle ? 0 : ahead(a);
     boolean inUse =
         !a.waiting.isEmpty() || (isUpstreamQuota(a) && at - a.usedAt <= QuotaAccount.DEMAND_NANOS);
@@ -387,7 +388,8 @@
     a.requestedAt = at;
     a.held -= returned;
     long missingAhead = low ? (long) (keep - Math.max(0, a.held)) : 0;
-    return Optional.of(new QuotaRequest.Demand(key, needed, a.minUseful(at), missingAhead, returned));
+    return Optional.of(
+        new QuotaRequest.Demand(key, needed, a.minUseful(at), missingAhead, returned));
   }
 
   /**
--- a/org.larkkeel/src/main/java/org/larkkeel/quota/package-info.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/quota/package-info.java
@@ -9,11 +9,11 @@
  *
  * <p>A quota refills with time, and each node is the source of one share of that time: with n
  * nodes, one second of a node's time is worth 1/n second of each quota's rate. A node lends its
- * time to the coordinator, whose {@link org.larkkeel.quota.QuotaCoordinator} converts it into tokens and
- * grants them to the nodes that request them; a node that reaches no coordinator spends its own
- * time. No moment of a node's time is both lent and spent, and tokens are created in no other way.
- * Therefore the sum over all nodes is bounded, whichever nodes are partitioned, killed, suspended,
- * or act as coordinator at the same time. A lost message loses its tokens.
+ * time to the coordinator, whose {@link org.larkkeel.quota.QuotaCoordinator} converts it into
+ * tokens and grants them to the nodes that request them; a node that reaches no coordinator spends
+ * its own time. No moment of a node's time is both lent and spent, and tokens are created in no
+ * other way. Therefore the sum over all nodes is bounded, whichever nodes are partitioned, killed,
+ * suspended, or act as coordinator at the same time. A lost message loses its tokens.
  *
  * <p>Everything here is deterministic: callers pass the times, in nanoseconds of a steady clock.
  */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RateLimitReport.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RateLimitReport.java
@@ -19,4 +19,5 @@
  * @param ageNanos an upper bound of the time since the limit was observed; at least 0
  * @since 0.1
  */
-public record RateLimitReport(UpstreamIncarnation upstream, Optional<RequestRate> limit, long ageNanos) {}
+public record RateLimitReport(
+    UpstreamIncarnation upstream, Optional<RequestRate> limit, long ageNanos) {}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RateLimitUsage.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RateLimitUsage.java
@@ -19,4 +19,5 @@
  * @param sent the number of requests that this node has sent since it has known a limit
  * @since 0.1
  */
-public record RateLimitUsage(UpstreamIncarnation upstream, RequestRate limit, long ageNanos, long sent) {}
+public record RateLimitUsage(
+    UpstreamIncarnation upstream, RequestRate limit, long ageNanos, long sent) {}
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEffect.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayEffect.java
@@ -114,9 +114,14 @@
    * @param node the node that requested the reservation
    * @param call the call of that node
    * @param reservedUpstream the upstream where the memory is reserved and which will run the call
-   * @param prefillUpstream the prefill upstream; empty if the reserved upstream prefills the prompt itself
+   * @param prefillUpstream the prefill upstream; empty if the reserved upstream prefills the prompt
+   *     itself
    */
-  record GrantReservation(HostName node, RequestId call, UpstreamIncarnation reservedUpstream, Optional<UpstreamIncarnation> prefillUpstream)
+  record GrantReservation(
+      HostName node,
+      RequestId call,
+      UpstreamIncarnation reservedUpstream,
+      Optional<UpstreamIncarnation> prefillUpstream)
       implements RelayEffect {}
 
   /** Probe whether the upstream's process listens. Answered by {@code RelayEvent.Probed}. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayFact.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayFact.java
@@ -62,7 +62,8 @@
    * @param call the caller's id of the call
    * @param node the node of the call
    * @param upstream the upstream where the memory is reserved
-   * @param prefillUpstream the prefill upstream; empty if the reserved upstream prefills the prompt itself
+   * @param prefillUpstream the prefill upstream; empty if the reserved upstream prefills the prompt
+   *     itself
    * @param units the reserved tokens
    * @param load the total load of the upstream over all nodes, including the call
    * @param memory the memory capacity of the upstream
@@ -124,8 +125,10 @@
    * @param upstream the incarnation that had the attempt
    * @param request the fingerprint, equal for all calls of the same request
    * @param sinceSentNanos the time since the attempt was sent
-   * @param sinceFirstEventNanos the time since its first event was received; negative if none was received
-   * @param otherAttempts the number of other attempts that this node has in progress at the upstream
+   * @param sinceFirstEventNanos the time since its first event was received; negative if none was
+   *     received
+   * @param otherAttempts the number of other attempts that this node has in progress at the
+   *     upstream
    */
   record AttemptBroken(
       String call,
@@ -144,7 +147,8 @@
    * @param proof the evidence of the crash
    * @param requests the number of requests that may have caused it
    */
-  record UpstreamEnded(UpstreamIncarnation upstream, String proof, int requests) implements RelayFact {}
+  record UpstreamEnded(UpstreamIncarnation upstream, String proof, int requests)
+      implements RelayFact {}
 
   /**
    * A request is suspected of crashing upstreams.
@@ -268,7 +272,8 @@
    * @param address the address of the upstream
    * @param change the kind of the change
    */
-  record UpstreamChanged(UpstreamIncarnation upstream, String service, String address, String change)
+  record UpstreamChanged(
+      UpstreamIncarnation upstream, String service, String address, String change)
       implements RelayFact {}
 
   /** An upstream asked this node to send no requests for a time. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/RelayRouter.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 import org.larkkeel.lib.Fingerprint;
 import org.larkkeel.lib.UpstreamIncarnation;
-import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaKey;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaTolerance;
 import org.larkkeel.quota.TokenLimit;
 import org.larkkeel.relay.internal.EventHandler;
@@ -49,19 +49,23 @@
     switch (event) {
       case RelayEvent.Arrived e -> eventHandler.arrived(at, e.call());
       case RelayEvent.CallerLeft e -> eventHandler.callerLeft(at, e.call());
-      case RelayEvent.PromptRead e -> eventHandler.outcomes().promptRead(at, e.attempt(), e.handle());
+      case RelayEvent.PromptRead e ->
+          eventHandler.outcomes().promptRead(at, e.attempt(), e.handle());
       case RelayEvent.Began e -> eventHandler.outcomes().began(at, e.attempt());
       case RelayEvent.Progressed e -> eventHandler.outcomes().progressed(e.attempt(), e.events());
       case RelayEvent.Answered e -> eventHandler.outcomes().answered(at, e.attempt(), e.grade());
       case RelayEvent.Refused e -> eventHandler.outcomes().refused(at, e.attempt(), e.cause());
       case RelayEvent.Lost e -> eventHandler.outcomes().lost(at, e.attempt(), e.cause());
       case RelayEvent.Moved e -> eventHandler.moved(at, e.attempt(), e.result());
-      case RelayEvent.UpstreamsChanged e -> eventHandler.upstreamsChanged(at, e.changed(), e.removed());
+      case RelayEvent.UpstreamsChanged e ->
+          eventHandler.upstreamsChanged(at, e.changed(), e.removed());
       case RelayEvent.Ordered e -> eventHandler.ordered(at, e.upstream(), e.maxNanos());
       case RelayEvent.OrderRefused e -> eventHandler.orderEnded(at, e.upstream());
       case RelayEvent.ConfigurationRead e -> eventHandler.configurationRead(e.configuration());
-      case RelayEvent.LoadHeard e -> eventHandler.loadReceived(at, e.node(), e.loads(), e.losingHandles());
-      case RelayEvent.RoomAsked e -> eventHandler.reservationsRequested(at, e.node(), e.dataCentre(), e.requests());
+      case RelayEvent.LoadHeard e ->
+          eventHandler.loadReceived(at, e.node(), e.loads(), e.losingHandles());
+      case RelayEvent.RoomAsked e ->
+          eventHandler.reservationsRequested(at, e.node(), e.dataCentre(), e.requests());
       case RelayEvent.RoomGranted e ->
           eventHandler.reservationGranted(at, e.call(), e.reservedUpstream(), e.prefillUpstream());
       case RelayEvent.Noticed e -> eventHandler.noticed(at, e.upstream(), e.sentAt(), e.notice());
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/SuspectRequest.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/SuspectRequest.java
@@ -23,7 +23,8 @@
  * @param crashes the age of the crash of each upstream incarnation, in nanoseconds
  * @since 0.1
  */
-public record SuspectRequest(Fingerprint request, int clearanceEpoch, ImmutableMap<UpstreamIncarnation, Long> crashes) {
+public record SuspectRequest(
+    Fingerprint request, int clearanceEpoch, ImmutableMap<UpstreamIncarnation, Long> crashes) {
   /** The number of crashes from which a request is quarantined; two may be a coincidence. */
   public static final int CRASHES_TO_QUARANTINE = 3;
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/UpstreamNotice.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/UpstreamNotice.java
@@ -12,8 +12,8 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param leaving true if the upstream is leaving and takes no new work
- * @param backoffNanos the time for which the upstream wants no requests of this node; 0 if it did not
- *     say
+ * @param backoffNanos the time for which the upstream wants no requests of this node; 0 if it did
+ *     not say
  * @param rate the announced limit on the requests of all nodes, never null
  * @since 0.1
  */
@@ -39,7 +39,9 @@
    * known state.
    */
   public UpstreamNotice withoutLimitEnd() {
-    return rate instanceof RateLimitNotice.Unlimited ? new UpstreamNotice(leaving, backoffNanos) : this;
+    return rate instanceof RateLimitNotice.Unlimited
+        ? new UpstreamNotice(leaving, backoffNanos)
+        : this;
   }
 
   /** Returns whether the notice changes nothing for an upstream that has no known limit. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallAdapters.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CallAdapters.java
@@ -72,7 +72,13 @@
       CallDemand demand =
           CallDemands.move(c, core.admission.configuration(), core.retryBudget.nodes());
       return core.upstreams
-          .choose(at, c.service, Stage::runsCalls, excluded, a.upstream().upstream().dataCentre(), demand)
+          .choose(
+              at,
+              c.service,
+              Stage::runsCalls,
+              excluded,
+              a.upstream().upstream().dataCentre(),
+              demand)
           .map(Choice::best);
     }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashEvidence.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashEvidence.java
@@ -57,7 +57,8 @@
   /** Is notified of proven ends of incarnations. */
   interface EndListener {
     /** Handles the proven end of an incarnation of an upstream that had these requests. */
-    void incarnationEnded(long at, UpstreamIncarnation incarnation, ImmutableSet<Fingerprint> requests);
+    void incarnationEnded(
+        long at, UpstreamIncarnation incarnation, ImmutableSet<Fingerprint> requests);
   }
 
   /** The requests of one incarnation that wait for a proof of its end. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashGuard.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/CrashGuard.java
@@ -124,7 +124,8 @@
     }
   }
 
-  private void crashed(long at, UpstreamIncarnation incarnation, ImmutableSet<Fingerprint> requests) {
+  private void crashed(
+      long at, UpstreamIncarnation incarnation, ImmutableSet<Fingerprint> requests) {
     for (Fingerprint request : requests) {
       if (quarantine.recordCrash(at, request, incarnation)) {
         suspected(at, request, "self");
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EndedIncarnations.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EndedIncarnations.java
@@ -65,7 +65,8 @@
     if (c.reservedUpstream != null && incarnations.contains(c.reservedUpstream.incarnation())) {
       c.releaseReservation();
     }
-    if (c.prefilledPrompt != null && incarnations.contains(c.prefilledPrompt.source().incarnation())) {
+    if (c.prefilledPrompt != null
+        && incarnations.contains(c.prefilledPrompt.source().incarnation())) {
       c.prefilledPrompt = null;
     }
   }
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EventHandler.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/EventHandler.java
@@ -20,22 +20,22 @@
 import org.larkkeel.lib.RequestId;
 import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.lib.UpstreamName;
-import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaKey;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.TokenLimit;
 import org.larkkeel.relay.MoveResult;
 import org.larkkeel.relay.ProbeResult;
-import org.larkkeel.relay.RateLimitUsage;
 import org.larkkeel.relay.RateLimitReport;
+import org.larkkeel.relay.RateLimitUsage;
 import org.larkkeel.relay.RelayCall;
 import org.larkkeel.relay.RelayConfiguration;
 import org.larkkeel.relay.RelayEffect;
 import org.larkkeel.relay.RelayFact;
 import org.larkkeel.relay.RelaySettings;
 import org.larkkeel.relay.RelayUpstream;
-import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.ReservationMode;
+import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.SuspectRequest;
 import org.larkkeel.relay.UpstreamNotice;
 
@@ -161,7 +161,10 @@
 
   /** Handles the reservation requests of another node. */
   public void reservationsRequested(
-      long at, HostName node, DataCentreName dataCentre, ImmutableList<ReservationRequest> requests) {
+      long at,
+      HostName node,
+      DataCentreName dataCentre,
+      ImmutableList<ReservationRequest> requests) {
     core.reservations.requested(at, node, dataCentre, requests);
   }
 
@@ -227,7 +230,8 @@
   // Notices of upstreams about themselves.
 
   /** Handles a notice that an upstream's answer carries about the upstream itself. */
-  public void noticed(long at, UpstreamIncarnation incarnation, long sentAt, UpstreamNotice notice) {
+  public void noticed(
+      long at, UpstreamIncarnation incarnation, long sentAt, UpstreamNotice notice) {
     core.upstreams.find(incarnation).ifPresent(s -> noticed(at, s, sentAt, notice));
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/MemoryReservations.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/MemoryReservations.java
@@ -22,8 +22,8 @@
 import org.larkkeel.relay.RelayFact;
 import org.larkkeel.relay.RelaySettings;
 import org.larkkeel.relay.RelayUpstream;
-import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.ReservationMode;
+import org.larkkeel.relay.ReservationRequest;
 import org.larkkeel.relay.ServiceName;
 import org.larkkeel.relay.Stage;
 
@@ -165,7 +165,8 @@
   boolean tryReserve(long at, CallState c) {
     CallDemand demand = demand(c, at);
     Optional<Choice> choice =
-        upstreams.choose(at, c.service, Stage::runsCalls, c.excluded, settings.dataCentre(), demand);
+        upstreams.choose(
+            at, c.service, Stage::runsCalls, c.excluded, settings.dataCentre(), demand);
     choice.ifPresent(found -> reserve(at, c, found.best(), demand));
     return choice.isPresent();
   }
@@ -349,7 +350,10 @@
 
   /** Replaces the reservation requests of another node by exactly these. */
   void requested(
-      long at, HostName node, DataCentreName dataCentre, ImmutableList<ReservationRequest> requests) {
+      long at,
+      HostName node,
+      DataCentreName dataCentre,
+      ImmutableList<ReservationRequest> requests) {
     remote.replaceRequests(at, node, dataCentre, requests).forEach(this::sendGrant);
     placePending(at);
   }
@@ -385,7 +389,10 @@
    * upstream to be unusable.
    */
   void granted(
-      long at, CallState c, UpstreamIncarnation reserved, Optional<UpstreamIncarnation> prefillUpstream) {
+      long at,
+      CallState c,
+      UpstreamIncarnation reserved,
+      Optional<UpstreamIncarnation> prefillUpstream) {
     Optional<UpstreamState> found = upstreams.find(reserved).filter(s -> calls.isUsable(at, c, s));
     if (!c.awaitsReservation || found.isEmpty()) {
       return;
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quarantine.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quarantine.java
@@ -121,7 +121,8 @@
     return addCrash(e, incarnation, at, at);
   }
 
-  private static boolean addCrash(Entry e, UpstreamIncarnation incarnation, long crashedAt, long now) {
+  private static boolean addCrash(
+      Entry e, UpstreamIncarnation incarnation, long crashedAt, long now) {
     Long known = e.crashes.get(incarnation);
     if (known != null) {
       e.crashes.put(incarnation, Math.min(known, crashedAt));
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quotas.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/Quotas.java
@@ -11,10 +11,10 @@
 import java.util.function.Consumer;
 import org.larkkeel.errors.ErrorKind;
 import org.larkkeel.lib.WorkspaceName;
-import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.QuotaGrant;
 import org.larkkeel.quota.QuotaHolder;
 import org.larkkeel.quota.QuotaKey;
+import org.larkkeel.quota.QuotaRequest;
 import org.larkkeel.quota.TokenLimit;
 import org.larkkeel.relay.QuotaOutcome;
 import org.larkkeel.relay.RelayConfiguration;
@@ -152,7 +152,8 @@
       heldQuotas
           .holderAt(at)
           .decideWaiting(at, c.call.id(), c.quotaKey)
-          .ifPresent(d -> waitEnded(at, c, d, heldQuotas.holderAt(at).isCoordinatorUnresponsive(at)));
+          .ifPresent(
+              d -> waitEnded(at, c, d, heldQuotas.holderAt(at).isCoordinatorUnresponsive(at)));
     }
   }
 
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RateLimitState.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RateLimitState.java
@@ -10,8 +10,8 @@
 import org.larkkeel.lib.UpstreamIncarnation;
 import org.larkkeel.relay.RateLimitChange;
 import org.larkkeel.relay.RateLimitNotice;
-import org.larkkeel.relay.RateLimitUsage;
 import org.larkkeel.relay.RateLimitReport;
+import org.larkkeel.relay.RateLimitUsage;
 import org.larkkeel.relay.RequestRate;
 
 /**
@@ -110,7 +110,8 @@
    * Returns the limit, its age and the number of requests sent under it; empty if there is none.
    */
   Optional<RateLimitUsage> usage(long at, UpstreamIncarnation incarnation) {
-    return limit.map(rate -> new RateLimitUsage(incarnation, rate, at - limitReceivedAt, sentRequests));
+    return limit.map(
+        rate -> new RateLimitUsage(incarnation, rate, at - limitReceivedAt, sentRequests));
   }
 
   /** Returns the report for other nodes. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RemoteReservations.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/RemoteReservations.java
@@ -44,7 +44,10 @@
    * @return the reservations that were granted before, of which the node does not know
    */
   ImmutableList<RemoteReservation> replaceRequests(
-      long at, HostName node, DataCentreName dataCentre, ImmutableList<ReservationRequest> requests) {
+      long at,
+      HostName node,
+      DataCentreName dataCentre,
+      ImmutableList<ReservationRequest> requests) {
     ClientRequests client = clients.computeIfAbsent(node, n -> new ClientRequests());
     client.receivedAt = at;
     Map<RequestId, RemoteReservation> previous = new HashMap<>(client.reservations);
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamRateLimits.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamRateLimits.java
@@ -19,8 +19,8 @@
 import org.larkkeel.quota.TokenLimit;
 import org.larkkeel.relay.RateLimitChange;
 import org.larkkeel.relay.RateLimitNotice;
-import org.larkkeel.relay.RateLimitUsage;
 import org.larkkeel.relay.RateLimitReport;
+import org.larkkeel.relay.RateLimitUsage;
 import org.larkkeel.relay.RelayFact;
 import org.larkkeel.relay.RequestRate;
 
@@ -161,7 +161,8 @@
   boolean hasPermit(long at, UpstreamState s) {
     Optional<RequestRate> rate = s.rateLimit().limit();
     return rate.isEmpty()
-        || heldQuotas.ensureHeld(at, key(s), limit(rate.get()), QuotaKey.OfUpstream.UNITS_PER_REQUEST);
+        || heldQuotas.ensureHeld(
+            at, key(s), limit(rate.get()), QuotaKey.OfUpstream.UNITS_PER_REQUEST);
   }
 
   /** Spends a permit for a request that is sent, if the upstream has a limit. */
--- a/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamTable.java
+++ b/org.larkkeel/src/main/java/org/larkkeel/relay/internal/UpstreamTable.java
@@ -112,7 +112,10 @@
   private record ServiceStage(ServiceName service, Stage stage) {}
 
   UpstreamTable(
-      long missingNanos, SplittableRandom random, HeldQuotas heldQuotas, Consumer<RelayFact> report) {
+      long missingNanos,
+      SplittableRandom random,
+      HeldQuotas heldQuotas,
+      Consumer<RelayFact> report) {
     this.rateLimits = new UpstreamRateLimits(heldQuotas, this::find, report);
     this.missingNanos = missingNanos;
     this.random = random;
--- a/platform.test/src/test/java/org/larkkeel/platform/PlatformDialectTest.java
+++ b/platform.test/src/test/java/org/larkkeel/platform/PlatformDialectTest.java
@@ -97,7 +97,8 @@
     public void haveAtMostOneKey() {
       HeaderMap headers = new HeaderMap();
       headers.put(PlatformNames.CREDENTIAL, "key-a");
-      assertEquals(new PlatformDialect().readMetadata(headers).key(), Optional.of(CallerKey.of("key-a")));
+      assertEquals(
+          new PlatformDialect().readMetadata(headers).key(), Optional.of(CallerKey.of("key-a")));
       headers.add(PlatformNames.CREDENTIAL, "key-b");
       assertMalformed(headers);
     }
